--- a/crates/tallygauge-sched/src/tests/mod.rs
+++ b/crates/tallygauge-sched/src/tests/mod.rs
@@ -9,6 +9,7 @@
 mod machines;
 mod plain_model;
 mod preemption;
+mod recovery;
 mod sweep;
 mod trade;
 mod weights;
--- /dev/null
+++ b/crates/tallygauge-sched/src/tests/recovery.rs
@@ -0,0 +1,120 @@
+//! Recovery of a whole cluster from stored records, as a failover to a new
+//! version does it. The records are the golden ones of the daemon.
+
+use super::*;
+use serde::de::DeserializeOwned;
+use serde_json::Value;
+
+const RECORDS: &str = include_str!("../../../tallygauge/tests/golden/records.txt");
+
+/// Time of day of the failover, seconds: ten after the first job's acceptance.
+const TIME_OF_DAY: f64 = 1_750_000_010.5;
+
+const NOW: f64 = 100.0;
+
+/// A stored record: rest of its key, its version and its value.
+type Row = (&'static str, u64, Value);
+
+/// Records whose keys begin with a prefix.
+fn rows(prefix: &str) -> Vec<Row> {
+    let lines = RECORDS.lines().filter_map(|line| line.strip_prefix(prefix));
+    lines
+        .map(|line| {
+            let fields: Vec<&str> = line.splitn(3, ' ').collect();
+            let version = fields[1].parse().unwrap();
+            (fields[0], version, serde_json::from_str(fields[2]).unwrap())
+        })
+        .collect()
+}
+
+fn value<T: DeserializeOwned>(value: &Value) -> T {
+    serde_json::from_value(value.clone()).unwrap()
+}
+
+fn kept<T: DeserializeOwned>(key: &str) -> T {
+    value(&rows(key)[0].2)
+}
+
+/// Loads the records in the order in which a new leader does.
+fn recover() -> Cluster {
+    let mut cluster = cluster(&[], NOW);
+    cluster.set_time_of_day(NOW, TIME_OF_DAY);
+    assert!(cluster.load_floor(kept("s/floor")));
+    assert_eq!(cluster.believe(&kept("s/images/0")), 0);
+    cluster.load_calendar(kept("s/calendar"));
+    cluster.set_ledger(kept("s/ledger"));
+    let mut done: HashMap<String, RangeSet> = HashMap::new();
+    for (page, version, record) in rows("f/") {
+        let page = page.parse().unwrap();
+        for ((id, _), ranges) in cluster.pages.load(page, version, value(&record)) {
+            done.entry(id).or_default().extend(&ranges, u32::MAX);
+        }
+    }
+    for (id, version, record) in rows("o/") {
+        let accepted_at = record["at"].as_f64().unwrap();
+        let finished = done.get(id).cloned().unwrap_or_default();
+        let ago = TIME_OF_DAY - accepted_at;
+        cluster.add_job(value(&record["spec"]), version, NOW - ago, &finished);
+        cluster.accepted(id, accepted_at);
+    }
+    let jobs = &cluster.jobs;
+    cluster.pages.retain(|id| jobs.contains_key(id));
+    for (name, _, record) in rows("p/") {
+        cluster.inherit(name, &value(&record), NOW, TIME_OF_DAY);
+    }
+    cluster
+}
+
+#[test]
+fn a_cluster_recovered_from_stored_records_has_its_jobs_progress_attempts_and_quota() {
+    let cluster = recover();
+
+    let jobs: Vec<(&str, u64, f64)> = cluster
+        .jobs
+        .iter()
+        .map(|(id, job)| (id.as_str(), job.version, job.accepted_at))
+        .collect();
+    assert_eq!(jobs, [("req-1", 21, 90.0), ("req-2", 22, 91.0)]);
+    assert_eq!(cluster.counts("req-1"), Some((2, 3)));
+    assert_eq!(cluster.counts("req-2"), Some((0, 1)));
+    let waiting = |id: &str| cluster.jobs[id].waiting.iter().collect::<Vec<u32>>();
+    assert_eq!((waiting("req-1"), waiting("req-2")), (vec![5], vec![1]));
+
+    let mut held: Vec<(String, &str, u64, u64, f64, bool)> = Vec::new();
+    for worker in cluster.workers.values() {
+        held.extend(worker.held.iter().map(|h| {
+            let stopped = h.stop.is_some();
+            (
+                h.task_name(),
+                &*worker.name,
+                h.attempt,
+                h.session,
+                h.saved_s,
+                stopped,
+            )
+        }));
+    }
+    held.sort_by_key(|attempt| attempt.2);
+    assert_eq!(
+        held,
+        [
+            ("req-1/2".into(), "sa", 536_870_914, 1, 0.0, false),
+            ("req-1/3".into(), "sa", 536_870_915, 1, 12.0, false),
+            ("req-1/4".into(), "la", 536_870_916, 2, 0.0, false),
+            ("req-9/3".into(), "la", 536_870_917, 2, 7.0, true),
+            ("req-2/0".into(), "la", 536_870_920, 2, 0.0, false),
+        ]
+    );
+    assert!(cluster.next_attempt > held[4].2, "attempts never repeat");
+
+    let used: Vec<f64> = cluster.ledgers.iter().map(|l| l.cpus).collect();
+    assert_eq!(used, [4.5, 3.0]);
+
+    assert_eq!(cluster.ledger().in_force().map(|e| e.number), Some(1));
+    assert_eq!(
+        serde_json::to_value(cluster.calendar()).unwrap()["m"][0],
+        "night@1"
+    );
+    let floor = serde_json::to_value(cluster.floor_record(4096)).unwrap();
+    assert_eq!(floor["t"][0][1], serde_json::json!([5, 1, 2, 1]));
+}
--- /dev/null
+++ b/crates/tallygauge-wire/tests/golden.rs
@@ -0,0 +1,146 @@
+//! Golden messages: what goes over the wire must stay as it is, byte for byte.
+//!
+//! Each line of `tests/golden/*.txt` has the name of a sample and the message as
+//! text (protobuf in hexadecimal). The files are never changed along with the
+//! names of types and fields.
+
+use serde::{Serialize, de::DeserializeOwned};
+use tallygauge_wire::{cloud, ops, peer, state, users, workers};
+
+/// Reads a message with its type, and writes it again.
+type Rewrite = fn(&str) -> String;
+
+fn json<T: DeserializeOwned + Serialize>(text: &str) -> String {
+    let message: T = serde_json::from_str(text).unwrap_or_else(|e| panic!("{e}: {text}"));
+    serde_json::to_string(&message).unwrap()
+}
+
+fn protobuf<T: prost::Message + Default>(text: &str) -> String {
+    let bytes: Vec<u8> = (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
+        .collect();
+    let message = T::decode(bytes.as_slice()).unwrap();
+    let written = message.encode_to_vec();
+    written.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Rewrites all samples of a file; each must have its type here, and each type
+/// its sample there.
+fn rewrite_all(samples: &str, types: &[(&str, Rewrite)]) {
+    let lines = samples.lines().map(|line| line.split_once(' ').unwrap());
+    let lines: Vec<(&str, &str)> = lines.collect();
+    let names: Vec<&str> = lines.iter().map(|line| line.0).collect();
+    let expected: Vec<&str> = types.iter().map(|entry| entry.0).collect();
+    assert_eq!(names, expected, "samples in the file and types in the test");
+    for ((name, text), (_, rewrite)) in lines.into_iter().zip(types) {
+        assert_eq!(rewrite(text), text, "{name}");
+    }
+}
+
+#[test]
+fn users_messages_are_read_and_written_unchanged() {
+    rewrite_all(
+        include_str!("golden/users.txt"),
+        &[
+            ("submission-array", json::<users::JobSpec>),
+            ("submission-service", json::<users::JobSpec>),
+            ("answer-full", json::<users::JobAnswer>),
+            ("answer-absent", json::<users::JobAnswer>),
+            ("refusal", json::<users::ErrorBody>),
+            ("shapes", json::<Vec<users::Shape>>),
+            ("priorities", json::<Vec<users::Priority>>),
+            ("statuses", json::<Vec<users::JobStatus>>),
+        ],
+    );
+}
+
+#[test]
+fn workers_messages_are_read_and_written_unchanged() {
+    rewrite_all(
+        include_str!("golden/workers.txt"),
+        &[
+            ("report-full", json::<workers::Report>),
+            ("report-absent", json::<workers::Report>),
+            ("task-states", json::<Vec<workers::TaskState>>),
+            ("end-causes", json::<Vec<workers::EndCause>>),
+            ("answer", json::<workers::ReportAnswer>),
+            ("direct-commands", json::<workers::DirectCommands>),
+            ("redirect-known", json::<workers::Redirect>),
+            ("redirect-unknown", json::<workers::Redirect>),
+        ],
+    );
+}
+
+#[test]
+fn cloud_messages_are_read_and_written_unchanged() {
+    rewrite_all(
+        include_str!("golden/cloud.txt"),
+        &[
+            ("catalogue", json::<cloud::Catalogue>),
+            ("rent-request", json::<cloud::RentRequest>),
+            ("machine-names", json::<cloud::Machines>),
+            ("machine-page", json::<cloud::MachinePage>),
+            ("machine-states", json::<Vec<cloud::MachineState>>),
+        ],
+    );
+}
+
+#[test]
+fn state_service_messages_are_read_and_written_unchanged() {
+    rewrite_all(
+        include_str!("golden/state.txt"),
+        &[
+            ("row", json::<state::Row>),
+            ("revision", json::<state::Revision>),
+            ("page", json::<state::Page>),
+            ("transaction-full", json::<state::Transaction>),
+            ("transaction-guards-only", json::<state::Transaction>),
+            ("conflict", json::<state::Conflict>),
+            ("lease-request", json::<state::LeaseRequest>),
+            ("lease", json::<state::Lease>),
+            ("changes", json::<state::Changes>),
+        ],
+    );
+}
+
+#[test]
+fn operators_messages_are_read_and_written_unchanged() {
+    rewrite_all(
+        include_str!("golden/ops.txt"),
+        &[
+            ("roles", json::<Vec<ops::Role>>),
+            ("failure", json::<ops::Failure>),
+            ("job-page-full", json::<ops::JobPage>),
+            ("job-page-absent", json::<ops::JobPage>),
+            ("job-detail-full", json::<ops::JobDetail>),
+            ("job-detail-absent", json::<ops::JobDetail>),
+            ("why", json::<ops::WhyAnswer>),
+            ("machine-page-full", json::<ops::MachinePage>),
+            ("machine-page-absent", json::<ops::MachinePage>),
+            ("machine-detail", json::<ops::MachineDetail>),
+            ("teams", json::<ops::Teams>),
+            ("nodes", json::<ops::Nodes>),
+            ("overview", json::<ops::Overview>),
+            ("drain-scopes", json::<Vec<ops::DrainScope>>),
+            ("drain-request-full", json::<ops::DrainRequest>),
+            ("drain-request-absent", json::<ops::DrainRequest>),
+            ("drains", json::<ops::Drains>),
+        ],
+    );
+}
+
+#[test]
+fn peers_messages_are_read_and_written_unchanged() {
+    rewrite_all(
+        include_str!("golden/peers.txt"),
+        &[
+            ("relay-request", protobuf::<peer::RelayRequest>),
+            ("relay-reply", protobuf::<peer::RelayReply>),
+            ("announcement-full", protobuf::<peer::Announcement>),
+            ("announcement-absent", protobuf::<peer::Announcement>),
+            ("progress-request", protobuf::<peer::ProgressRequest>),
+            ("progress-reply", protobuf::<peer::ProgressReply>),
+        ],
+    );
+}
--- a/crates/tallygauge/src/kept.rs
+++ b/crates/tallygauge/src/kept.rs
@@ -224,3 +224,6 @@
         Ok(Outcome::NoLease) | Err(Error::Refused) => {}
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -419,3 +419,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/tallygauge/tests/golden.rs
@@ -0,0 +1,170 @@
+//! Golden records and settings: what is stored and what operators and the
+//! platform write must be understood as it is now.
+//!
+//! Each line of `tests/golden/records.txt` has a key at the state service, its
+//! version and its value. The files are never changed along with the names of
+//! types and fields.
+
+use serde::{Serialize, de::DeserializeOwned};
+use serde_json::Value;
+use tallygauge::{
+    node::{batch_key, open_key, over_key, page_key},
+    settings::Settings,
+    trade::{Calendar, Cutoff, RankEntry, Ranks},
+    tuning::{Floor, Tuning, Weights, Worth},
+    users::{OpenRecord, OverRecord},
+};
+use tallygauge_kept::{Found, Record, name_of, read, value_of};
+use tallygauge_sched::{BatchRecord, CalendarBook, FloorRecord, ImagesPart, Ledger, PageRecord};
+
+/// Reads a record with its type, and writes it again.
+type Rewrite = fn(Value) -> Value;
+
+fn plain<T: DeserializeOwned + Serialize>(value: Value) -> Value {
+    let record: T = serde_json::from_value(value).unwrap();
+    serde_json::to_value(&record).unwrap()
+}
+
+fn kept<T: Record>(value: Value) -> Value {
+    match read::<T>(Some(value)) {
+        Found::Read(record, at) => value_of(&record, at).unwrap(),
+        other => panic!("{}: {:?}", T::NAME, other.complaint()),
+    }
+}
+
+fn kept_key<T: Record>(part: Option<usize>) -> String {
+    format!("s/{}", name_of::<T>(part))
+}
+
+#[test]
+fn stored_records_are_read_and_written_unchanged_under_their_keys() {
+    let types: Vec<(String, Rewrite)> = vec![
+        (open_key("req-1"), plain::<OpenRecord>),
+        (open_key("req-2"), plain::<OpenRecord>),
+        (over_key("req-8"), plain::<OverRecord>),
+        (over_key("req-9"), plain::<OverRecord>),
+        (page_key(0), plain::<PageRecord>),
+        (batch_key("2-1"), plain::<BatchRecord>),
+        (batch_key("2-2"), plain::<BatchRecord>),
+        (kept_key::<FloorRecord>(None), kept::<FloorRecord>),
+        (kept_key::<ImagesPart>(Some(0)), kept::<ImagesPart>),
+        (kept_key::<CalendarBook>(None), kept::<CalendarBook>),
+        (kept_key::<Ledger>(None), kept::<Ledger>),
+        (kept_key::<Calendar>(None), kept::<Calendar>),
+    ];
+    let lines: Vec<&str> = include_str!("golden/records.txt").lines().collect();
+    assert_eq!(lines.len(), types.len());
+    for (line, (key, rewrite)) in lines.into_iter().zip(types) {
+        let fields: Vec<&str> = line.splitn(3, ' ').collect();
+        assert_eq!(fields[0], key);
+        let value = serde_json::from_str(fields[2]).unwrap();
+        assert_eq!(rewrite(value).to_string(), fields[2], "{key}");
+    }
+}
+
+#[test]
+fn every_element_of_the_operators_settings_is_read() {
+    let expected = Tuning {
+        round_interval: 11.0,
+        round_gap: 0.06,
+        remaining_floor: 6.0,
+        worth: Worth {
+            low: 1.5,
+            normal: 2.5,
+            high: 8.5,
+            production: 16.5,
+        },
+        late_worth: 0.2,
+        idle_wait: 1.75,
+        rent_horizon: 1.25,
+        floor: Floor {
+            share: 0.7,
+            begin_within: 250.0,
+        },
+        weights: Weights {
+            replica_risk: 61.0,
+            remember_from: 1.5,
+        },
+        calendar: Calendar {
+            version: 4,
+            act_on_drawn: true,
+            holiday: vec!["2026-12-25".into()],
+            cutoff: vec![Cutoff {
+                name: "lectures".into(),
+                zone: "Asia/Seoul".into(),
+                days: "month-end".into(),
+                before: 2,
+                opens: "18:00".into(),
+                opens_before: 1,
+                at: "08:00".into(),
+                classes: "w exam".into(),
+                teams: "red blue".into(),
+            }],
+        },
+        ledger: Ranks {
+            version: 3,
+            rank: vec![
+                RankEntry {
+                    class: Some("w".into()),
+                    team: Some("red".into()),
+                    during: Some("lectures".into()),
+                    value: 90,
+                },
+                RankEntry {
+                    class: None,
+                    team: None,
+                    during: None,
+                    value: 10,
+                },
+            ],
+        },
+    };
+    let read = Tuning::parse(include_str!("golden/settings.xml"));
+    assert_eq!(read, Ok(expected));
+}
+
+#[test]
+fn every_field_of_the_platforms_settings_is_read() {
+    let settings = Settings::parse(include_str!("golden/settings.json")).unwrap();
+    assert_eq!((&*settings.node_name, &*settings.area), ("n-0", "a"));
+    assert_eq!(settings.client_listen.port(), 7080);
+    assert_eq!(settings.back.port(), 7081);
+    assert_eq!(settings.peers.len(), 1);
+    let peer = &settings.peers[0];
+    assert_eq!((&*peer.node_name, peer.addr.port()), ("n-1", 7181));
+    assert_eq!(settings.services.cloud.port(), 7001);
+    assert_eq!(settings.services.state.port(), 7002);
+
+    let deployment = &settings.deployment;
+    assert_eq!(deployment.count, 3);
+    let teams = deployment.teams.iter();
+    let teams: Vec<(&str, [f64; 4])> = teams
+        .map(|t| (&*t.name, [t.cpus, t.cpus_max, t.gpus, t.gpus_max]))
+        .collect();
+    assert_eq!(
+        teams,
+        [("red", [8.0, 16.0, 2.0, 4.0]), ("guests", [0.0; 4])]
+    );
+    let objectives = deployment.objectives.iter();
+    let objectives: Vec<_> = objectives
+        .map(|o| (&*o.kind, o.class.as_deref(), o.within_s, o.times))
+        .collect();
+    assert_eq!(
+        objectives,
+        [
+            ("finished", Some("w"), Some(60.0), Some(1.5)),
+            ("started", None, None, None)
+        ]
+    );
+    let workers = &deployment.workers;
+    let times = (workers.report_s, workers.lease_s, workers.cancel_s);
+    assert_eq!(times, (1.0, 10.0, 20.0));
+    let state = &deployment.state;
+    let limits = (state.rps, state.write_rps, state.value_kb, state.txn_ops);
+    assert_eq!(limits, (100.0, 50.0, 8.0, 16));
+    let cloud = &deployment.cloud;
+    assert_eq!((cloud.rps, cloud.list_lag_s), (4.0, 2.0));
+    let quota = &deployment.quota;
+    let process = (quota.cores, quota.memory_mb, quota.sockets);
+    assert_eq!(process, (0.5, 128.0, 200));
+}
