--- a/crates/tallygauge-ops/src/listen.rs
+++ b/crates/tallygauge-ops/src/listen.rs
@@ -1,4 +1,4 @@
-//! Connections and bodies, for this interface and the users'.
+//! Connections and request bodies.
 
 use bytes::Buf;
 use futures_util::{Stream, StreamExt};
