--- a/crates/tallygauge-ops/tests/connections.rs
+++ b/crates/tallygauge-http/tests/connections.rs
@@ -2,7 +2,7 @@
 
 use hyper_util::service::TowerToHyperService;
 use std::{net::SocketAddr, time::Duration};
-use tallygauge_ops::{accept, bounded_body};
+use tallygauge_http::{accept, bounded_body};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
--- a/crates/tallygauge/src/server.rs
+++ b/crates/tallygauge/src/server.rs
@@ -7,7 +7,7 @@
 };
 use hyper_util::service::TowerToHyperService;
 use std::{sync::Arc, time::Duration};
-use tallygauge_ops::{accept, bounded_body};
+use tallygauge_http::{accept, bounded_body};
 use tallygauge_wire::users::ErrorBody;
 use tokio::net::TcpListener;
 use warp::{
