--- a/crates/tallygauge-wire/src/lib.rs
+++ b/crates/tallygauge-wire/src/lib.rs
@@ -6,7 +6,6 @@
 //! are ignored everywhere, and a nullable field may be left out.
 
 pub mod cloud;
-pub mod ops;
 pub mod state;
 pub mod users;
 pub mod workers;
