--- a/crates/tallygauge-sched/src/cluster.rs
+++ b/crates/tallygauge-sched/src/cluster.rs
@@ -87,7 +87,6 @@
     pub changed: bool,
     /// Machines that went: old lists and late reports may still show them.
     pub(crate) departed: Departed,
-    pub(crate) drains: Vec<Drain>,
     pub(crate) floor: Floor,
     pub(crate) begins: Begins,
     pub(crate) sweep: Sweep,
@@ -130,7 +129,6 @@
             events: Vec::new(),
             changed: true,
             departed,
-            drains: Vec::new(),
             floor,
             begins: Begins::default(),
             sweep: Sweep::default(),
--- a/crates/tallygauge-sched/src/demand.rs
+++ b/crates/tallygauge-sched/src/demand.rs
@@ -109,7 +109,7 @@
             // one that is up but busy has no room.
             let coming = !w.up() && now - w.rented_at < t.boot_s * 1.7;
             let quiet = w.up() && now - w.heard_at < self.cfg.lease_s;
-            let stays = w.leaving.is_none() && w.notice_until.is_none() && w.drained.is_none();
+            let stays = w.leaving.is_none() && w.notice_until.is_none();
             let stays = stays && w.hearing.trusted(now, &self.cfg.hearing());
             if stays && (coming || quiet) && w.free.cpus + EPS >= smallest {
                 market.rooms.push(Virtual {
@@ -236,7 +236,7 @@
                         *misplaced.entry(held.spec.id.as_str()).or_default() += held.spec.cpus;
                     }
                 }
-                _ if w.leaving.is_none() && w.notice_until.is_none() && w.drained.is_none() => {
+                _ if w.leaving.is_none() && w.notice_until.is_none() => {
                     small += w.free.cpus;
                 }
                 _ => {}
@@ -299,9 +299,7 @@
             .max(1.0);
             for zone in &t.zones {
                 for spot in [true, false] {
-                    if !job.allows(&t.name, zone, spot, &job.zones)
-                        || self.kind_is_drained(&t.name, zone)
-                    {
+                    if !job.allows(&t.name, zone, spot, &job.zones) {
                         continue;
                     }
                     let kind = (t.name.clone(), zone.clone(), spot);
@@ -345,7 +343,6 @@
             if worker.leaving.is_none()
                 && empty
                 && worker.fenced_at.is_some()
-                && worker.drained.is_none()
                 && (usable_for > boot_s * patience || worker.surplus)
             {
                 worker.leaving = Some((LeaveReason::Idle, now));
@@ -359,10 +356,7 @@
                 LeaveReason::Unconfirmed => true,
                 LeaveReason::NoBoot | LeaveReason::Failed => now - self.term_at > settle,
                 LeaveReason::Silent | LeaveReason::Deaf => now - since > settle,
-                LeaveReason::Faulty
-                | LeaveReason::Slow
-                | LeaveReason::Idle
-                | LeaveReason::Drained => false,
+                LeaveReason::Faulty | LeaveReason::Slow | LeaveReason::Idle => false,
             };
             if forced || (empty && !unsaved) {
                 out.push((worker.name.clone(), reason));
--- a/crates/tallygauge-sched/src/floor.rs
+++ b/crates/tallygauge-sched/src/floor.rs
@@ -237,7 +237,7 @@
             for zone in &t.zones {
                 for spot in [true, false] {
                     let kind = (t.name.clone(), zone.clone(), spot);
-                    if !self.blocked.contains_key(&kind) && !self.kind_is_drained(&t.name, zone) {
+                    if !self.blocked.contains_key(&kind) {
                         kinds.insert((&t.name, zone, spot));
                     }
                 }
--- a/crates/tallygauge-sched/src/lib.rs
+++ b/crates/tallygauge-sched/src/lib.rs
@@ -8,7 +8,6 @@
 mod cluster;
 mod commands;
 mod demand;
-mod drains;
 mod floor;
 mod ledgers;
 mod machines;
--- a/crates/tallygauge-sched/src/machines.rs
+++ b/crates/tallygauge-sched/src/machines.rs
@@ -63,7 +63,6 @@
                 free,
                 images,
                 leaving: None,
-                drained: None,
                 surplus: false,
                 return_sent: false,
                 direct_busy: false,
@@ -76,9 +75,6 @@
         if worker.endpoint.is_empty() {
             worker.endpoint = endpoint.to_string();
         }
-        if !known && !self.drains.is_empty() {
-            self.mark_drained(name, now);
-        }
     }
 
     /// Takes up a whole machine list that was asked for at `asked_at`. A
@@ -174,10 +170,7 @@
             .workers
             .values()
             .filter(|w| {
-                w.leaving.is_some()
-                    || w.notice_until.is_some()
-                    || w.drained.is_some()
-                    || self.give_up(w, now).is_some()
+                w.leaving.is_some() || w.notice_until.is_some() || self.give_up(w, now).is_some()
             })
             .map(|w| w.name.clone())
             .collect();
@@ -252,15 +245,8 @@
             self.events
                 .push((true, format!("{name} is given up: {reason:?}")));
         }
-        if worker.leaving.is_none()
-            && worker.drained.is_some_and(|d| !d.keep)
-            && !worker.held.iter().any(Held::occupies)
-        {
-            worker.leaving = Some((LeaveReason::Drained, now));
-        }
         let until = worker.notice_until;
         let leaving = worker.leaving;
-        let drained = worker.drained;
         self.attention.insert(name.to_string());
         for held in &mut worker.held {
             if held.stop.is_some() || !held.occupies() || held.phase == Phase::Planned {
@@ -295,13 +281,6 @@
                         at: now,
                     });
                 }
-            } else if let Some(until) = drained.and_then(|d| d.stop_at)
-                && now >= Self::stop_before(held, until)
-            {
-                held.stop = Some(Stop {
-                    reason: StopReason::Drained,
-                    at: now,
-                });
             }
         }
     }
--- a/crates/tallygauge-sched/src/model/mod.rs
+++ b/crates/tallygauge-sched/src/model/mod.rs
@@ -3,7 +3,6 @@
 mod attempt;
 mod capacity;
 mod config;
-mod drain;
 mod job;
 mod records;
 mod worker;
@@ -11,7 +10,6 @@
 pub use attempt::*;
 pub use capacity::*;
 pub use config::*;
-pub use drain::*;
 pub use job::*;
 pub use records::*;
 pub use worker::*;
--- a/crates/tallygauge-sched/src/model/worker.rs
+++ b/crates/tallygauge-sched/src/model/worker.rs
@@ -22,21 +22,10 @@
     Unconfirmed,
     /// Nothing was heard of it for long.
     Silent,
-    /// An operator wants it gone.
-    Drained,
     /// It reports, but what is sent to it does not reach it.
     Deaf,
 }
 
-/// What drains mean for one machine.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Drained {
-    /// Time by which nothing may run there any more.
-    pub stop_at: Option<f64>,
-    /// It stays when it is empty.
-    pub keep: bool,
-}
-
 /// A machine, and the worker on it.
 #[derive(Debug, Clone)]
 pub struct Worker {
@@ -92,8 +81,6 @@
     pub images: Images,
     /// To be returned, and since when.
     pub leaving: Option<(LeaveReason, f64)>,
-    /// An operator wants it empty.
-    pub drained: Option<Drained>,
     /// More than open work needs: the last choice for new tasks, and returned
     /// as soon as it is empty.
     pub surplus: bool,
@@ -121,7 +108,6 @@
             && self.fenced_at.is_some()
             && self.leaving.is_none()
             && self.notice_until.is_none()
-            && self.drained.is_none()
             && now - self.heard_at < cfg.quiet_s()
             && self.hearing.trusted(now, &cfg.hearing())
     }
--- a/crates/tallygauge-sched/src/tests/mod.rs
+++ b/crates/tallygauge-sched/src/tests/mod.rs
@@ -2,7 +2,6 @@
 
 mod batches;
 mod begins;
-mod drains;
 mod floor;
 mod holding;
 mod judging;
@@ -12,6 +11,7 @@
 mod sweep;
 mod trade;
 mod weights;
+mod why;
 
 use crate::{mapping::Group, *};
 use plain_model::*;
--- a/crates/tallygauge-sched/src/why.rs
+++ b/crates/tallygauge-sched/src/why.rs
@@ -24,7 +24,7 @@
         machines: usize,
         /// Machines on their way that it may use.
         coming: usize,
-        /// Those it may use that are being drained or given up.
+        /// Those it may use that are given up or taken back.
         leaving: usize,
     },
     /// The cloud was asked for machines that would do, and had none.
@@ -153,7 +153,7 @@
             if w.usable(now, &self.cfg) {
                 machines += 1;
                 room += usize::from(w.free.holds(spec));
-            } else if w.leaving.is_some() || w.drained.is_some() || w.notice_until.is_some() {
+            } else if w.leaving.is_some() || w.notice_until.is_some() {
                 leaving += 1;
             } else if !w.up() {
                 coming += 1;
