--- a/crates/tallygauge-state/src/lib.rs
+++ b/crates/tallygauge-state/src/lib.rs
@@ -112,6 +112,12 @@
         }
     }
 
+    /// Makes the jitter of repeated requests follow from a seed, for simulations.
+    /// Without it, jitter is random.
+    pub fn seed_jitter(&self, seed: u64) {
+        self.retries.seed_jitter(seed);
+    }
+
     /// Since when the service has not served this node, if it does not. Being
     /// over the budget does not count.
     #[must_use]
--- a/crates/tallygauge-state/src/settle.rs
+++ b/crates/tallygauge-state/src/settle.rs
@@ -90,6 +90,8 @@
     pub(crate) round_trip: Mutex<RoundTrip>,
     doubts: Arc<Mutex<Doubts>>,
     allowed: TpsBudget,
+    /// Seed of the next transaction's jitter; if there is none, jitter is random.
+    next_jitter_seed: Mutex<Option<u64>>,
     /// Shortest and longest time-out of a copy.
     floor: Duration,
     cap: Duration,
@@ -101,6 +103,7 @@
             round_trip: Mutex::default(),
             doubts: Arc::default(),
             allowed: TpsBudget::new(RETRY_WINDOW, LEAST_RETRIES_PER_S, RETRY_SHARE),
+            next_jitter_seed: Mutex::default(),
             floor,
             cap,
         }
@@ -129,13 +132,28 @@
 
     /// Pauses before a copy after a refusal, so that an outage brings no storm.
     fn pauses(&self) -> impl Iterator<Item = Duration> + use<> {
-        ExponentialBuilder::default()
+        let pauses = ExponentialBuilder::default()
             .with_min_delay(self.floor)
             .with_max_delay(self.cap)
             .with_factor(PAUSE_GROWTH)
             .with_jitter()
-            .without_max_times()
-            .build()
+            .without_max_times();
+        match self.take_jitter_seed() {
+            Some(seed) => pauses.with_jitter_seed(seed).build(),
+            None => pauses.build(),
+        }
+    }
+
+    /// Makes jitter follow from a seed.
+    pub(crate) fn seed_jitter(&self, seed: u64) {
+        *self.next_jitter_seed.lock().expect("jitter lock") = Some(seed);
+    }
+
+    fn take_jitter_seed(&self) -> Option<u64> {
+        let mut next = self.next_jitter_seed.lock().expect("jitter lock");
+        let seed = *next;
+        *next = seed.map(|seed| seed.wrapping_add(1));
+        seed
     }
 }
 
--- /dev/null
+++ b/crates/tallygauge-world/src/drawn_days.rs
@@ -0,0 +1,540 @@
+//! Days drawn from a seed: controllers that fail, with every trouble the stand-ins
+//! know, one over the other.
+
+use crate::{CANCEL_S, JobShape, LEASE_S, StepAt, TEAM_CPUS, World, leads, status_of, until};
+use rand::{RngExt, SeedableRng, rngs::StdRng};
+use serde_json::Value;
+use std::{
+    ops::RangeInclusive,
+    sync::{
+        Arc, Mutex,
+        atomic::{AtomicU64, Ordering},
+    },
+    time::Duration,
+};
+use tallygauge::{node::Node, users::Reply};
+use tallygauge_wire::users::{JobStatus, POLL_WAIT_S};
+use tokio::task::JoinHandle;
+
+const NODES: usize = 3;
+
+/// Kinds of troubles that are drawn.
+const TROUBLES: u32 = 29;
+
+/// Steps of controllers at which something befalls them.
+const STEPS: [&str; 10] = [
+    "POST /multi",
+    "POST /orders",
+    "POST /leases",
+    "POST /machines",
+    "GET /machines",
+    "GET /changes?starts=o/",
+    "GET /changes?starts=t/",
+    "GET /store?starts=o/",
+    "GET /store?starts=p/",
+    "GET /store?starts=t/",
+];
+
+/// Seconds for which no job may be left waiting beside room, once troubles are over.
+const NEGLECTED_S: f64 = 90.0;
+
+/// Seconds after the last trouble by which a job must have been answered for.
+const FORGOTTEN_S: f64 = 75.0;
+
+struct Site {
+    world: Arc<World>,
+    nodes: Vec<(Arc<Node>, JoinHandle<()>)>,
+    jobs: Vec<Accepted>,
+    /// What was wrong so far with what users were told.
+    wrong: Vec<String>,
+}
+
+impl Site {
+    fn name(n: usize) -> String {
+        format!("n-{n}")
+    }
+
+    fn leader(&self) -> Option<usize> {
+        (0..NODES).find(|n| leads(&self.nodes[*n].0))
+    }
+
+    fn ids(&self) -> Vec<String> {
+        self.jobs.iter().map(|j| j.id.clone()).collect()
+    }
+
+    fn restart(&mut self, n: usize) {
+        self.nodes[n] = self.world.node(&Self::name(n));
+    }
+
+    fn crash(&mut self, n: usize) {
+        self.nodes[n].1.abort();
+        self.world.forget_node(&Self::name(n));
+    }
+
+    /// A user submits a job through one node until it is accepted.
+    async fn accepted(&self, node: usize, body: &[u8]) {
+        let node = &self.nodes[node].0;
+        let kept = until(30.0, async || {
+            matches!(self.world.submit(node, body).await.status(), 200 | 201)
+        })
+        .await;
+        assert!(kept, "not accepted");
+    }
+
+    /// A user cancels a job through one node, and may be told so.
+    async fn cancel(&mut self, node: usize, id: &str) {
+        let reply = self.world.ask_cancel(&self.nodes[node].0, id);
+        let reply = self.world.on(&Self::name(node), reply);
+        let reply = tokio::time::timeout(Duration::from_secs(5), reply).await;
+        if let Some(job) = self.jobs.iter_mut().find(|j| j.id == id) {
+            // Who has asked may find it cancelled though nobody has answered.
+            job.cancelled = true;
+            if let Ok(reply) = reply {
+                self.wrong.extend(job.told(&self.world, &reply));
+            }
+        }
+    }
+
+    /// Users send what can't run, lacks a field, or was sent before.
+    async fn odd_requests(&mut self, node: usize, body: &[u8]) {
+        let job: Value = serde_json::from_slice(body).unwrap();
+        let changed = |field: &str, value: Value| {
+            let mut odd = job.clone();
+            odd["nameId"] = "req-900000".into();
+            odd[field] = value;
+            odd
+        };
+        let mut lacking = changed("cores", 1.0.into());
+        lacking.as_object_mut().unwrap().remove("bundle");
+        for (odd, fits) in [
+            (changed("cores", 900.0.into()), &[422, 503][..]),
+            (changed("owner", "nobody".into()), &[422, 503]),
+            (changed("site", "nowhere".into()), &[422, 503]),
+            (changed("pieces", 0.into()), &[400, 503]),
+            (lacking, &[400, 503]),
+            (job.clone(), &[200, 201, 503]),
+        ] {
+            let body = odd.to_string().into_bytes();
+            let reply = self.world.submit(&self.nodes[node].0, &body);
+            let reply = self.world.on(&Self::name(node), reply);
+            let reply = tokio::time::timeout(Duration::from_secs(5), reply).await;
+            if let Ok(reply) = reply
+                && !fits.contains(&reply.status())
+            {
+                let text = format!("{odd} is answered {}", reply.status());
+                self.wrong.push(text);
+            }
+        }
+    }
+
+    /// A user polls through one node. Returns whether that was answered.
+    async fn poll(&mut self, node: usize, job: usize) -> bool {
+        let id = self.jobs[job].id.clone();
+        let reply = self.world.ask_status(&self.nodes[node].0, &id);
+        let reply = self.world.on(&Self::name(node), reply);
+        let patience = Duration::from_secs_f64(POLL_WAIT_S);
+        let Ok(reply) = tokio::time::timeout(patience, reply).await else {
+            return false;
+        };
+        self.wrong.extend(self.jobs[job].told(&self.world, &reply));
+        status_of(&reply).is_some()
+    }
+}
+
+/// A job, and what its user has done and heard.
+struct Accepted {
+    id: String,
+    tasks: u32,
+    cancelled: bool,
+    over: Option<JobStatus>,
+}
+
+impl Accepted {
+    fn new(id: String, tasks: u32) -> Self {
+        Self {
+            id,
+            tasks,
+            cancelled: false,
+            over: None,
+        }
+    }
+
+    /// Its user is told something. Returns what is wrong with that.
+    fn told(&mut self, world: &World, reply: &Reply) -> Option<String> {
+        let id = &self.id;
+        if reply.status() == 404 {
+            return Some(format!("{id} is forgotten: 404"));
+        }
+        let status = status_of(reply)?;
+        if self.over.is_some_and(|over| over != status) {
+            return Some(format!("{id} went back from {:?} to {status:?}", self.over));
+        }
+        match status {
+            JobStatus::Cancelled if !self.cancelled => {
+                return Some(format!("{id} is called cancelled"));
+            }
+            JobStatus::Cancelled if self.over.is_none() => world.told_cancelled(id),
+            JobStatus::Done if !world.all_ended(id, self.tasks) => {
+                return Some(format!("{id} is not done"));
+            }
+            _ => {}
+        }
+        if matches!(status, JobStatus::Done | JobStatus::Cancelled) {
+            self.over = Some(status);
+        }
+        None
+    }
+}
+
+/// Something wrong that is planted, so that the checkers are seen to find it.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Plant {
+    Nothing,
+    /// Nobody is served any more.
+    NobodyServed,
+    /// A task starts on a machine while it is on another.
+    RanTwice,
+    /// A user is told that a job is cancelled, and it runs on.
+    RunsOn,
+    /// A job is lost from record and picture.
+    Lost,
+    /// A job is called done of which a task never ended.
+    NotDone,
+    /// No placement is ever made, while machines have room.
+    NothingPlaced,
+}
+
+/// One day; returns what was wrong with it.
+pub async fn day(seed: u64, plant: Plant) -> Vec<String> {
+    day_in(World::new(), seed, plant).await
+}
+
+/// Digest of all that is exchanged on one day, and how many requests there are.
+pub async fn digest_of_day(seed: u64) -> (String, u64) {
+    let world = World::new();
+    world.record_exchanges(false);
+    day_in(world.clone(), seed, Plant::Nothing).await;
+    world.exchange_digest().expect("exchanges are recorded")
+}
+
+/// Every message that is exchanged on one day, as text.
+pub async fn messages_of_day(seed: u64) -> Vec<String> {
+    let world = World::new();
+    world.record_exchanges(true);
+    day_in(world.clone(), seed, Plant::Nothing).await;
+    world.exchanged_text()
+}
+
+/// Plays something for each seed, each on a runtime of its own in simulated time,
+/// so many at once. Returns what came of it, in the order of the seeds.
+pub fn play_each<T: Send, F: Future<Output = T>>(
+    seeds: RangeInclusive<u64>,
+    threads: usize,
+    play: impl Fn(u64) -> F + Sync,
+) -> Vec<(u64, T)> {
+    let next = AtomicU64::new(*seeds.start());
+    let results = Mutex::new(Vec::new());
+    std::thread::scope(|scope| {
+        for _ in 0..threads {
+            scope.spawn(|| {
+                loop {
+                    let seed = next.fetch_add(1, Ordering::Relaxed);
+                    if !seeds.contains(&seed) {
+                        return;
+                    }
+                    let runtime = tokio::runtime::Builder::new_current_thread()
+                        .enable_all()
+                        .start_paused(true)
+                        .build()
+                        .unwrap();
+                    let result = runtime.block_on(play(seed));
+                    results.lock().unwrap().push((seed, result));
+                }
+            });
+        }
+    });
+    let mut results = results.into_inner().unwrap();
+    results.sort_by_key(|(seed, _)| *seed);
+    results
+}
+
+/// One day in a world of its own; returns what was wrong with it.
+async fn day_in(world: Arc<World>, seed: u64, plant: Plant) -> Vec<String> {
+    let mut chance = StdRng::seed_from_u64(seed);
+    world.seed(seed);
+    world.inner.lock().unwrap().zones = vec!["a", "b"];
+    tokio::spawn(world.clone().play());
+    let nodes = (0..NODES).map(|n| world.node(&Site::name(n))).collect();
+    let mut site = Site {
+        world,
+        nodes,
+        jobs: Vec::new(),
+        wrong: Vec::new(),
+    };
+    tokio::time::sleep(Duration::from_secs(5)).await;
+    // How long all work takes its team at least, were it all to be done again.
+    let mut work_s = 0.0;
+    for n in 1..=14u32 {
+        let tasks = chance.random_range(1..5);
+        // Some outlast an outage.
+        let most_s = if chance.random_range(0..4) == 0 {
+            CANCEL_S * 4.0
+        } else {
+            15.0
+        };
+        let run_s = chance.random_range(2.0..most_s);
+        let cpus = [1.0, 2.0, 4.0, 8.0][chance.random_range(0..4)];
+        work_s += f64::from(tasks) * run_s * cpus / TEAM_CPUS;
+        let shape = JobShape {
+            tasks,
+            cpus,
+            run_s,
+            team: ["t", "u"][chance.random_range(0..2)],
+            zone: [None, None, Some("a"), Some("b")][chance.random_range(0..4)],
+            one_zone: chance.random_range(0..4) == 0,
+            ..JobShape::default()
+        };
+        let (id, body) = site.world.job_of(n, shape);
+        // Some node takes it.
+        let at = chance.random_range(0..NODES);
+        let kept = tokio::time::timeout(Duration::from_secs(25), site.accepted(at, &body));
+        if kept.await.is_ok() {
+            site.jobs.push(Accepted::new(id.clone(), tasks));
+        }
+        // Troubles meet: one may begin at once after another.
+        let most_s = [0.2, 5.0][chance.random_range(0..2)];
+        tokio::time::sleep(Duration::from_secs_f64(chance.random_range(0.0..most_s))).await;
+        let machines = site.world.up();
+        let machine = (!machines.is_empty())
+            .then(|| machines[chance.random_range(0..machines.len())].clone());
+        let mut node = chance.random_range(0..NODES);
+        // Half of the troubles of controllers are the leader's.
+        if chance.random()
+            && let Some(leader) = site.leader()
+        {
+            node = leader;
+        }
+        let trouble = chance.random_range(0..TROUBLES);
+        tracing::info!(trouble, node, machine, "befalls");
+        match (trouble, machine) {
+            (0, _) => {
+                site.crash(node);
+                tokio::time::sleep(Duration::from_millis(chance.random_range(10..900))).await;
+                site.restart(node);
+            }
+            (1, _) => {
+                (0..NODES).for_each(|n| site.crash(n));
+                tokio::time::sleep(Duration::from_secs_f64(chance.random_range(0.01..9.0))).await;
+                (0..NODES).for_each(|n| site.restart(n));
+            }
+            (2, _) => {
+                site.world
+                    .inner
+                    .lock()
+                    .unwrap()
+                    .cut
+                    .insert(Site::name(node));
+            }
+            (3, _) => site.world.inner.lock().unwrap().cut.clear(),
+            (4, _) => {
+                site.world.set_down(true);
+                tokio::time::sleep(Duration::from_secs_f64(chance.random_range(1.0..8.0))).await;
+                site.world.set_down(false);
+            }
+            (5, Some(machine)) => site.world.deafen(&machine, true),
+            (6, Some(machine)) => site.world.deafen(&machine, false),
+            (7, Some(machine)) => site.world.begin_again(&machine),
+            (8, Some(machine)) => site.world.silence(&machine, true),
+            (9, _) => site.world.inner.lock().unwrap().lose_answers = 1,
+            (10, _) => site.world.inner.lock().unwrap().copying = (0.3, LEASE_S * 2.0),
+            (11, _) if n > 3 => site.cancel(node, &id).await,
+            (12, _) => site.world.refuse(&Site::name(node), true),
+            (13, _) => site.world.inner.lock().unwrap().refused.clear(),
+            (14, _) => site.world.inner.lock().unwrap().late_writes = 0.3,
+            (15, _) => site.world.inner.lock().unwrap().late_writes = 0.0,
+            (16, _) => site.world.inner.lock().unwrap().holding = (0.5, 8.0),
+            (17, Some(machine)) => {
+                site.world.hang(&machine, true);
+                let most_s = LEASE_S * 1.5;
+                tokio::time::sleep(Duration::from_secs_f64(chance.random_range(0.5..most_s))).await;
+                site.world.hang(&machine, false);
+            }
+            (18, _) => {
+                // The leader alone is refused; jobs are cancelled through others;
+                // then nobody is served for longer than a cancellation has.
+                let leader = site.leader().unwrap_or(node);
+                site.world.refuse(&Site::name(leader), true);
+                let alone_s = chance.random_range(0.1..4.0);
+                tokio::time::sleep(Duration::from_secs_f64(alone_s)).await;
+                for id in site.ids() {
+                    if chance.random::<bool>() {
+                        let other = (leader + 1) % NODES;
+                        site.cancel(other, &id).await;
+                    }
+                }
+                site.world.set_down(true);
+                site.world.refuse(&Site::name(leader), chance.random());
+                let down_s = CANCEL_S * chance.random_range(0.5..1.5);
+                tokio::time::sleep(Duration::from_secs_f64(down_s)).await;
+                site.world.set_down(false);
+            }
+            (19, _) => {
+                site.world.freeze(&Site::name(node));
+                tokio::time::sleep(Duration::from_secs_f64(chance.random_range(1.0..20.0))).await;
+                site.world.thaw(&Site::name(node));
+            }
+            (20, _) => {
+                // Just before or after a step of a node, it stands still, or the
+                // state service serves nobody any more.
+                let at = Some(StepAt {
+                    node: Site::name(node),
+                    request: STEPS[chance.random_range(0..STEPS.len())],
+                    answered: chance.random(),
+                });
+                let down = chance.random();
+                {
+                    let mut inner = site.world.inner.lock().unwrap();
+                    if down {
+                        inner.down_at = at;
+                    } else {
+                        inner.freeze_at = at;
+                    }
+                }
+                if chance.random() {
+                    let leader = site.leader().unwrap_or(node);
+                    site.crash(leader);
+                    site.restart(leader);
+                }
+                let for_s = chance.random_range(0.5..CANCEL_S * 1.5);
+                tokio::time::sleep(Duration::from_secs_f64(for_s)).await;
+                {
+                    let mut inner = site.world.inner.lock().unwrap();
+                    (inner.down_at, inner.freeze_at) = (None, None);
+                }
+                if down {
+                    site.world.set_down(false);
+                } else {
+                    site.world.thaw(&Site::name(node));
+                }
+            }
+            (21, _) if n > 3 => {
+                for id in site.ids() {
+                    if chance.random_range(0..3) == 0 {
+                        site.cancel(node, &id).await;
+                    }
+                }
+            }
+            (22, _) => site.world.inner.lock().unwrap().lost_answers = 0.4,
+            (23, _) => site.world.inner.lock().unwrap().lost_answers = 0.0,
+            (24, Some(machine)) => site.world.mute(&machine, true),
+            (25, Some(machine)) => site.world.mute(&machine, false),
+            (26, _) => {
+                // Copies are kept until the next leader begins.
+                site.world.inner.lock().unwrap().keep_reports = true;
+                tokio::time::sleep(Duration::from_secs_f64(chance.random_range(1.0..12.0))).await;
+                site.world.inner.lock().unwrap().keep_reports = false;
+                let leader = site.leader().unwrap_or(node);
+                site.crash(leader);
+                let wait_s = chance.random_range(0.0..3.0);
+                tokio::time::sleep(Duration::from_secs_f64(wait_s)).await;
+                site.world.bring_kept();
+                site.restart(leader);
+            }
+            (27, Some(machine)) => site.world.destroy(&machine),
+            (28, _) => {
+                let boots = [0.1, 2.0][chance.random_range(0..2)];
+                site.world.inner.lock().unwrap().boot_s = boots;
+                site.odd_requests(node, &body).await;
+            }
+            _ => {}
+        }
+        for job in 0..site.jobs.len() {
+            if chance.random_range(0..3) == 0 {
+                site.poll(chance.random_range(0..NODES), job).await;
+            }
+        }
+    }
+    // All troubles are over.
+    {
+        let machines = site.world.up();
+        let mut inner = site.world.inner.lock().unwrap();
+        inner.cut.clear();
+        inner.refused.clear();
+        inner.late_writes = 0.0;
+        inner.holding = (0.0, 0.0);
+        inner.copying = (0.0, 0.0);
+        inner.lose_answers = 0;
+        inner.lost_answers = 0.0;
+        drop(inner);
+        for machine in &machines {
+            site.world.deafen(machine, false);
+            site.world.mute(machine, false);
+        }
+    }
+    // What is planted is planted on a job that runs.
+    let planted = match plant {
+        Plant::NobodyServed | Plant::RanTwice | Plant::RunsOn => {
+            let (id, body) = site.world.job(99, 1, 1.0, 300.0);
+            site.accepted(0, &body).await;
+            tokio::time::sleep(Duration::from_secs(30)).await;
+            site.jobs.push(Accepted::new(id.clone(), 1));
+            id
+        }
+        Plant::NothingPlaced => {
+            site.world.inner.lock().unwrap().hang_writes = Some("p/");
+            let (id, body) = site.world.job(99, 1, 1.0, 1.0);
+            site.accepted(0, &body).await;
+            site.jobs.push(Accepted::new(id.clone(), 1));
+            id
+        }
+        Plant::Nothing | Plant::Lost | Plant::NotDone => String::new(),
+    };
+    match plant {
+        Plant::Nothing | Plant::NothingPlaced => {}
+        Plant::NobodyServed => site.world.set_down(true),
+        Plant::RanTwice => site.world.start_twice(&format!("{planted}/0")),
+        Plant::RunsOn => site.world.told_cancelled(&planted),
+        Plant::Lost => site.jobs.push(Accepted::new("req-000777".into(), 1)),
+        Plant::NotDone => site.world.unend("req-000001"),
+    }
+    let over = site.world.now();
+    let mut answered = vec![over; site.jobs.len()];
+    let mut served = vec![over; site.jobs.len()];
+    while site.world.now() - over < 420.0 + work_s && site.wrong.is_empty() {
+        for (job, answered) in answered.iter_mut().enumerate() {
+            for node in 0..NODES {
+                if site.poll(node, job).await {
+                    *answered = site.world.now();
+                }
+            }
+            if site.world.now() - *answered > FORGOTTEN_S {
+                let id = &site.jobs[job].id;
+                site.wrong.push(format!("{id} is forgotten"));
+            }
+        }
+        let now = site.world.now();
+        for (job, served) in site.jobs.iter().zip(&mut served) {
+            let open = job.over.is_none() && !job.cancelled && plant != Plant::Lost;
+            if !open || !site.world.could_start(&job.id) {
+                *served = now;
+            }
+            if now - *served > NEGLECTED_S {
+                site.wrong
+                    .push(format!("{} is left waiting beside room", job.id));
+            }
+        }
+        if site.jobs.iter().all(|j| j.over.is_some()) {
+            break;
+        }
+        tokio::time::sleep(Duration::from_secs(3)).await;
+    }
+    let mut wrong = site.wrong;
+    let never = site.jobs.iter().filter(|j| j.over.is_none());
+    wrong.extend(never.map(|j| format!("never done: {}", j.id)));
+    let inner = site.world.inner.lock().unwrap();
+    wrong.extend(inner.wrong());
+    if inner.starts.is_empty() {
+        wrong.push("nothing ran".into());
+    }
+    wrong
+}
--- a/crates/tallygauge-world/src/lib.rs
+++ b/crates/tallygauge-world/src/lib.rs
@@ -10,7 +10,10 @@
 // What the stand-ins are made of is told by its names.
 #![allow(missing_docs)]
 
+mod clock;
 mod cloud;
+pub mod drawn_days;
+mod exchanges;
 mod history;
 mod machines;
 mod state;
@@ -21,6 +24,8 @@
 pub use troubles::StepAt;
 pub use users::{JobShape, To, accepted, ask, cancel, done, leads, led, started, status_of, until};
 
+use clock::SimulatedClock;
+use exchanges::{Exchanges, Request};
 use machines::SimWorker;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
@@ -154,6 +159,8 @@
     changed: Notify,
     thawed: Notify,
     began: Instant,
+    /// What is exchanged, if it is recorded.
+    exchanges: Mutex<Option<Exchanges>>,
     pub nodes: Mutex<Vec<Option<Arc<Node>>>>,
 }
 
@@ -177,11 +184,19 @@
             let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
             let request = format!("{method} {path}");
             world.pass(&node, &request, false).await;
+            let number = world.record_request(&Request {
+                from: &node,
+                to: host,
+                method: method.as_str(),
+                path,
+                body: &body,
+            });
             let answer = match host {
                 "127.0.0.1:7002" => world.state(&node, &method, path, &body).await,
                 "127.0.0.1:7001" => Ok(world.cloud(&method, path, &body)),
                 _ => world.orders(&node, host, &body).await,
             };
+            world.record_outcome(number, &answer);
             world.pass(&node, &request, true).await;
             let garbled = world.inner.lock().unwrap().garbled;
             answer.map(|(code, body)| {
@@ -251,6 +266,7 @@
             changed: Notify::new(),
             thawed: Notify::new(),
             began: Instant::now(),
+            exchanges: Mutex::default(),
             nodes: Mutex::new(Vec::new()),
         })
     }
@@ -285,9 +301,11 @@
             node: name.into(),
         }));
         let settings = Settings::parse(&settings.to_string()).unwrap();
-        let (node, questions) = Node::new(settings, tuning, http.clone(), http);
+        let clock = Arc::new(SimulatedClock { began: self.began });
+        let (node, questions) = Node::new(settings, tuning, http.clone(), http, clock);
         let seed = self.inner.lock().unwrap().chance.random();
         *node.lock(&node.chance) = StdRng::seed_from_u64(seed);
+        node.state.seed_jitter(seed);
         self.nodes.lock().unwrap().push(Some(node.clone()));
         let background = tallygauge::background(node.clone(), questions);
         let task = tokio::spawn(self.on(name, background));
--- a/crates/tallygauge-world/src/machines.rs
+++ b/crates/tallygauge-world/src/machines.rs
@@ -5,10 +5,7 @@
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::{collections::HashMap, sync::Arc, time::Duration};
-use tallygauge::{
-    node::Node,
-    workers::{CheckIn, check_in},
-};
+use tallygauge::{node::Node, workers::CheckIn};
 use tallygauge_state::http::{Answer, NoAnswer};
 use tallygauge_wire::workers::{Command, DirectCommands, ReportAnswer};
 use warp::http::StatusCode;
@@ -193,7 +190,7 @@
                     };
                     node.filter(reached)
                 };
-                let answer = node.map(|n| check_in(&n, &body));
+                let answer = node.map(|n| self.report_to(&n, &name, &body));
                 let mut inner = self.inner.lock().unwrap();
                 match answer {
                     Some(CheckIn::Take(answer)) => inner.answered(sent, &name, &answer),
--- a/crates/tallygauge-world/src/troubles.rs
+++ b/crates/tallygauge-world/src/troubles.rs
@@ -7,7 +7,7 @@
     sync::Arc,
     task::{Poll, Waker},
 };
-use tallygauge::{node::Node, workers::check_in};
+use tallygauge::node::Node;
 use tallygauge_wire::workers::Command;
 
 /// A step of a node at which something befalls it: a request of its own.
@@ -146,7 +146,7 @@
             .filter(|n| !self.is_frozen(&n.settings.node_name))
         {
             for body in reports {
-                let _ = check_in(node, body);
+                let _ = self.report_to(node, "copy", body);
             }
         }
     }
--- a/crates/tallygauge/src/control.rs
+++ b/crates/tallygauge/src/control.rs
@@ -93,7 +93,7 @@
         if placed + stopped > 0 {
             tracing::debug!(placed, stopped, "round");
         }
-        c.batches(record_bytes(node), most_jobs, Node::time_of_day())
+        c.batches(record_bytes(node), most_jobs, node.time_of_day())
     });
     batches.unwrap_or_default()
 }
--- a/crates/tallygauge/src/kept.rs
+++ b/crates/tallygauge/src/kept.rs
@@ -126,7 +126,7 @@
     let before = kept.calendar.as_ref();
     let in_force = before.map_or(0, |c| c.version);
     if calendar.version > in_force {
-        let put = shelf.put(None, calendar, Node::time_of_day());
+        let put = shelf.put(None, calendar, node.time_of_day());
         tracing::info!(version = calendar.version, ?put, "cutoffs are declared");
     } else if calendar.version == in_force && before.is_some_and(|c| c != calendar) {
         let version = in_force;
@@ -136,7 +136,7 @@
         );
     }
     let declared = node.tuning.ledger.declared(&node.tuning.calendar);
-    let at = Node::time_of_day();
+    let at = node.time_of_day();
     let change = declared.ok().and_then(|d| {
         let change = node.with_cluster(|c| c.ledger().declare(&d, at))?;
         Some((d.version, change))
@@ -161,7 +161,7 @@
 
 /// Puts the records on the shelf as they should be now.
 fn collect(node: &Node, shelf: &mut Shelf, bytes: usize) {
-    let at = Node::time_of_day();
+    let at = node.time_of_day();
     // What the keeper adds to a record.
     let room = bytes.saturating_sub(64);
     let least_s = node.tuning.weights.remember_from;
--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -294,7 +294,7 @@
     let (batches, kept) = tokio::join!(batches, kept::load(node));
     let (batches, _) = batches?;
     let now = node.now();
-    let time_of_day = Node::time_of_day();
+    let time_of_day = node.time_of_day();
     let page_bytes = control::record_bytes(node);
     let mut cluster = Cluster::new(node.sched_config(term), now, node.chunk(), page_bytes);
     if let Some(types) = node.lock(&node.catalogue).clone() {
@@ -368,7 +368,7 @@
         match node.state.changes("o/", revision, block).await {
             Ok(Watched::Changes(changes)) => {
                 let now = node.now();
-                let time_of_day = Node::time_of_day();
+                let time_of_day = node.time_of_day();
                 let any = !changes.news.is_empty();
                 revision = revision.max(changes.revision);
                 if let Some(lead) = node.lock(&node.lead).as_mut() {
@@ -387,7 +387,7 @@
             Ok(Watched::TooOld) => match node.state.list(Class::Leadership, "o/").await {
                 Ok((rows, at)) => {
                     let now = node.now();
-                    let time_of_day = Node::time_of_day();
+                    let time_of_day = node.time_of_day();
                     node.with_cluster(|cluster| {
                         let over: Vec<String> = cluster
                             .jobs
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -23,12 +23,14 @@
 pub mod trade;
 pub mod tuning;
 pub mod users;
+pub mod wall_clock;
 pub mod workers;
 
 use node::Node;
 use std::{sync::Arc, time::Duration};
 use tallygauge_state::http::Http;
 use tokio::sync::mpsc;
+use wall_clock::SystemClock;
 
 /// The parts that run without being asked: leadership, questions, catalogue.
 pub async fn background(node: Arc<Node>, questions: mpsc::Receiver<node::Query>) {
@@ -60,7 +62,7 @@
     let idle = Duration::from_secs_f64(settings.deployment.workers.lease_s);
     let http = Http::new(connect, idle, limit);
     let (state, connections) = Http::driven(connect, idle, limit);
-    let (node, questions) = Node::new(settings, tuning, state, http);
+    let (node, questions) = Node::new(settings, tuning, state, http, Arc::new(SystemClock));
     tracing::info!(node = node.settings.node_name, "starts");
     tokio::spawn(server::serve(node.clone()));
     tokio::spawn(peers::run(node.clone()));
--- a/crates/tallygauge/src/node.rs
+++ b/crates/tallygauge/src/node.rs
@@ -1,11 +1,13 @@
 //! What the parts of a controller share.
 
-use crate::{relay::Relay, settings::Settings, sockets::Sockets, tuning::Tuning};
+use crate::{
+    relay::Relay, settings::Settings, sockets::Sockets, tuning::Tuning, wall_clock::WallClock,
+};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::{
     collections::{BTreeSet, HashMap, VecDeque},
     sync::{Arc, Mutex, MutexGuard},
-    time::{Duration, SystemTime, UNIX_EPOCH},
+    time::Duration,
 };
 use tallygauge_sched::{Cluster, Config, FloorConfig, Spread};
 use tallygauge_state::{Budget, Class, Client, http::Http};
@@ -253,6 +255,8 @@
     pub sockets: Sockets,
     /// Start of the process's clock.
     pub began: Instant,
+    /// Source of the time of day.
+    pub wall_clock: Arc<dyn WallClock>,
     /// Machine types, once known.
     pub catalogue: Mutex<Option<Arc<Vec<MachineType>>>>,
     /// Jobs.
@@ -310,13 +314,14 @@
 
 impl Node {
     /// A node, and the other end of its questions. `state` reaches the state
-    /// service, `http` cloud and workers.
+    /// service, `http` cloud and workers; `wall_clock` tells the time of day.
     #[must_use]
     pub fn new(
         settings: Settings,
         tuning: Tuning,
         state: Http,
         http: Http,
+        wall_clock: Arc<dyn WallClock>,
     ) -> (Arc<Self>, mpsc::Receiver<Query>) {
         let limits = &settings.deployment.state;
         let ours = vec![state.open().clone(), http.open().clone()];
@@ -338,6 +343,7 @@
             http,
             sockets,
             began: Instant::now(),
+            wall_clock,
             catalogue: Mutex::default(),
             jobs: Mutex::new(JobCache::new(most.max(1000))),
             role: Mutex::default(),
@@ -383,10 +389,8 @@
     /// Seconds of the time of day: for display and deadlines, never for
     /// safety.
     #[must_use]
-    pub fn time_of_day() -> f64 {
-        SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .map_or(0.0, |d| d.as_secs_f64())
+    pub fn time_of_day(&self) -> f64 {
+        self.wall_clock.since_epoch().as_secs_f64()
     }
 
     /// How long a leader goes on answering workers without its term being
--- a/crates/tallygauge/src/placement.rs
+++ b/crates/tallygauge/src/placement.rs
@@ -73,6 +73,8 @@
         loop {
             let had_turn = self.has_turn();
             tokio::select! {
+                // A fixed order of polling, so that simulations repeat themselves.
+                biased;
                 () = &mut work => return,
                 Some(()) = self.under_way.next(), if !self.under_way.is_empty() => {
                     self.send();
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -40,6 +40,8 @@
         tokio::pin!(wait);
         loop {
             tokio::select! {
+                // A fixed order of polling, so that simulations repeat themselves.
+                biased;
                 () = &mut wait => break,
                 Some(settled) = under_way.next(), if !under_way.is_empty() => {
                     let settled: Vec<Completion> = settled;
--- a/crates/tallygauge/src/sweep.rs
+++ b/crates/tallygauge/src/sweep.rs
@@ -56,7 +56,7 @@
         return (0, 0);
     };
     let (missing, over) = differing(&known, rows, followed);
-    let (now, time_of_day) = (node.now(), Node::time_of_day());
+    let (now, time_of_day) = (node.now(), node.time_of_day());
     let mut counts = (0, 0);
     {
         let mut lead = node.lock(&node.lead);
--- a/crates/tallygauge/src/users.rs
+++ b/crates/tallygauge/src/users.rs
@@ -511,7 +511,7 @@
 async fn accept(node: &Node, id: &str, spec: JobSpec) -> Reply {
     let record = OpenRecord {
         spec,
-        at: Node::time_of_day(),
+        at: node.time_of_day(),
     };
     let Ok(value) = serde_json::to_value(&record) else {
         return Reply::No(400, "the submission can't be kept".into());
--- /dev/null
+++ b/crates/tallygauge/src/wall_clock.rs
@@ -0,0 +1,21 @@
+//! The time of day, as a dependency that simulations can replace.
+
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// A source of the time of day.
+pub trait WallClock: Send + Sync {
+    /// Time since the Unix epoch.
+    fn since_epoch(&self) -> Duration;
+}
+
+/// The operating system's clock.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct SystemClock;
+
+impl WallClock for SystemClock {
+    fn since_epoch(&self) -> Duration {
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+    }
+}
