--- a/crates/tallygauge-capacity/src/demand.rs
+++ b/crates/tallygauge-capacity/src/demand.rs
@@ -6,7 +6,7 @@
     target::Target,
 };
 use std::fmt::Write as _;
-use tallygauge_wire::workers::{Report, TaskReport, TaskState};
+use tallygauge_protocol::workers::{Report, TaskReport, TaskState};
 
 /// Bytes of the head of a check-in's request and of its answer with no command.
 const HEAD_BYTES: f64 = 160.0 + 190.0;
--- a/crates/tallygauge-capacity/src/measured.rs
+++ b/crates/tallygauge-capacity/src/measured.rs
@@ -1,7 +1,7 @@
 //! Points that were measured, by number of machines. Work machine, beside other work:
 //! absolute times are noisy.
 
-/// `cargo run --release -p tallygauge-sched --example scale -- --machines
+/// `cargo run --release -p tallygauge-scheduler --example scale -- --machines
 /// 500,1000,2000,4000,7100`, 2026-12-02: 120 simulated seconds on one core.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StatePoint {
@@ -46,7 +46,7 @@
     }
 }
 
-/// `cargo run --release -p tallygauge-world --example load -- --machines N --report 5
+/// `cargo run --release -p tallygauge-sim --example load -- --machines N --report 5
 /// --steady 10`, 2026-12-02: the whole program as one process, four tasks a machine,
 /// stand-ins beside it on the same machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/tallygauge-calendar/src/book.rs
+++ b/crates/tallygauge-deadlines/src/book.rs
@@ -6,7 +6,7 @@
     collections::{BTreeMap, BTreeSet, VecDeque},
     sync::Arc,
 };
-use tallygauge_kept::{Record, Timing};
+use tallygauge_records::{Record, Timing};
 
 /// Results that are kept.
 const RESULTS: usize = 24;
--- a/crates/tallygauge-floor/src/book.rs
+++ b/crates/tallygauge-fairness/src/book.rs
@@ -108,10 +108,10 @@
     sizes: Vec<(String, Sizes)>,
 }
 
-impl tallygauge_kept::Record for Record {
+impl tallygauge_records::Record for Record {
     const NAME: &'static str = "floor";
     const VERSION: u32 = VERSION;
-    const TIMING: tallygauge_kept::Timing = tallygauge_kept::Timing::Behind;
+    const TIMING: tallygauge_records::Timing = tallygauge_records::Timing::Behind;
 }
 
 /// Name; done, late, cancelled, stopped; by day, of late.
--- a/crates/tallygauge-http/src/listen.rs
+++ b/crates/tallygauge-http/src/listen.rs
@@ -5,7 +5,7 @@
 use hyper::{body::Incoming, server::conn::http1, service::Service};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use std::{net::SocketAddr, time::Duration};
-use tallygauge_wire::BODY_LIMIT;
+use tallygauge_protocol::BODY_LIMIT;
 use tokio::net::TcpListener;
 
 /// Serves HTTP/1 to all callers that `admit` lets in; what it gives is held
--- a/crates/tallygauge-weights/examples/curve.rs
+++ b/crates/tallygauge-locality/examples/curve.rs
@@ -1,13 +1,13 @@
 //! What the weight on replicas at risk buys: fetches against replicas that one
 //! failure takes.
 //!
-//! `cargo run --release -p tallygauge-weights --example curve`
+//! `cargo run --release -p tallygauge-locality --example curve`
 //!
 //! Replicas of a model are placed one after the other on machines in two or three
 //! zones, a quarter of which, all in the first zone, hold the weights; twice as
 //! many machines as replicas, room for eight on each.
 
-use tallygauge_weights::{Apart, Spread};
+use tallygauge_locality::{Apart, Spread};
 
 const FETCH_S: f64 = 120.0;
 const ROOM: u32 = 8;
--- a/crates/tallygauge-weights/src/atlas.rs
+++ b/crates/tallygauge-locality/src/atlas.rs
@@ -4,7 +4,7 @@
 use roaring::RoaringBitmap;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
-use tallygauge_kept::{Record, Timing};
+use tallygauge_records::{Record, Timing};
 
 /// An image on a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/tallygauge-ledger/src/ledger.rs
+++ b/crates/tallygauge-priority/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use crate::rank::{Declared, Rank, Rule, merged, rank_of};
 use serde::{Deserialize, Serialize};
-use tallygauge_kept::{Record, Timing};
+use tallygauge_records::{Record, Timing};
 
 /// Epochs that are kept, the one in force among them.
 const KEPT: usize = 8;
--- a/crates/tallygauge-wire/tests/golden.rs
+++ b/crates/tallygauge-protocol/tests/golden.rs
@@ -5,7 +5,7 @@
 //! names of types and fields.
 
 use serde::{Serialize, de::DeserializeOwned};
-use tallygauge_wire::{cloud, peer, state, users, workers};
+use tallygauge_protocol::{cloud, peer, state, users, workers};
 
 /// Reads a message with its type, and writes it again.
 type Rewrite = fn(&str) -> String;
--- a/crates/tallygauge-sched/examples/overload/day.rs
+++ b/crates/tallygauge-scheduler/examples/overload/day.rs
@@ -6,14 +6,14 @@
     collections::{BTreeMap, BTreeSet, HashMap},
     time::Instant,
 };
-use tallygauge_sched::{
-    Aim, Batch, Cluster, Config, FloorConfig, RangeSet, Source, Spread, TeamConfig,
-};
-use tallygauge_wire::{
+use tallygauge_protocol::{
     cloud::MachineType,
     users::{JobSpec, Priority, Shape},
     workers::{Command, EndCause, Report, TaskReport, TaskState},
 };
+use tallygauge_scheduler::{
+    Aim, Batch, Cluster, Config, FloorConfig, RangeSet, Source, Spread, TeamConfig,
+};
 
 /// What is played.
 #[derive(Debug, Clone)]
--- a/crates/tallygauge-sched/examples/overload/main.rs
+++ b/crates/tallygauge-scheduler/examples/overload/main.rs
@@ -1,7 +1,7 @@
 //! Days with more work than room: what part of each class and team is served,
 //! with the floor and without, against what is possible at all.
 //!
-//! `cargo run --release -p tallygauge-sched --example overload -- --help`
+//! `cargo run --release -p tallygauge-scheduler --example overload -- --help`
 //!
 //! The picture is the real one; machines, tasks and time are played. Work comes
 //! in the first two fifths of the day, as on a day that ends in a burst.
--- a/crates/tallygauge-sched/examples/scale.rs
+++ b/crates/tallygauge-scheduler/examples/scale.rs
@@ -1,18 +1,20 @@
 //! What rounds, reports and a take-over cost by number of machines and tasks.
 //!
-//! `cargo run --release -p tallygauge-sched --example scale -- --machines 500,1000`
+//! `cargo run --release -p tallygauge-scheduler --example scale -- --machines 500,1000`
 
 use clap::Parser;
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
     time::Instant,
 };
-use tallygauge_sched::{Batch, Cluster, Config, FloorConfig, RangeSet, Source, Spread, TeamConfig};
-use tallygauge_wire::{
+use tallygauge_protocol::{
     cloud::MachineType,
     users::{JobSpec, Priority, Shape},
     workers::{Command, EndCause, Report, TaskReport, TaskState},
 };
+use tallygauge_scheduler::{
+    Batch, Cluster, Config, FloorConfig, RangeSet, Source, Spread, TeamConfig,
+};
 
 fn config() -> Config {
     let team = |n| TeamConfig {
--- a/crates/tallygauge-sched/src/begins.rs
+++ b/crates/tallygauge-scheduler/src/begins.rs
@@ -12,7 +12,7 @@
 
 use crate::{cluster::Cluster, model::*, parts::Turn};
 use std::collections::BTreeMap;
-use tallygauge_wire::{users::START_COUNTS_S, workers::TaskState};
+use tallygauge_protocol::{users::START_COUNTS_S, workers::TaskState};
 
 /// Part of a class's jobs that are large, by one reading: it is to cover the top
 /// tenth of what jobs turn out to be, and estimates are wrong by half.
--- a/crates/tallygauge-sched/src/cluster.rs
+++ b/crates/tallygauge-scheduler/src/cluster.rs
@@ -10,9 +10,9 @@
     collections::{BTreeMap, BTreeSet, HashMap},
     sync::Arc,
 };
-use tallygauge_judge::Departed;
-use tallygauge_weights::Atlas;
-use tallygauge_wire::{cloud::MachineType, users::JobSpec};
+use tallygauge_health::Departed;
+use tallygauge_locality::Atlas;
+use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
 /// Machines that went which are remembered, at most.
 const MOST_DEPARTED: usize = 4096;
--- a/crates/tallygauge-sched/src/commands.rs
+++ b/crates/tallygauge-scheduler/src/commands.rs
@@ -1,8 +1,8 @@
 //! Commands: what a worker should do now, in answers and direct messages.
 
 use crate::{cluster::Cluster, model::*};
-use tallygauge_judge::{Mark, Sign};
-use tallygauge_wire::workers::{Command, TaskState};
+use tallygauge_health::{Mark, Sign};
+use tallygauge_protocol::workers::{Command, TaskState};
 
 /// A direct message to a worker.
 #[derive(Debug, Clone)]
--- a/crates/tallygauge-sched/src/demand.rs
+++ b/crates/tallygauge-scheduler/src/demand.rs
@@ -2,7 +2,7 @@
 
 use crate::{cluster::Cluster, mapping::Group, model::*};
 use std::collections::BTreeMap;
-use tallygauge_wire::{
+use tallygauge_protocol::{
     cloud::{MAX_RENT, MachineType},
     users::JobSpec,
 };
--- a/crates/tallygauge-sched/src/floor.rs
+++ b/crates/tallygauge-scheduler/src/floor.rs
@@ -8,10 +8,10 @@
     parts::{Aside, Seat},
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use tallygauge_floor::{
+use tallygauge_fairness::{
     Candidate, Demand, End, Key, Kind, LARGEST, Level, Places, Record, Size, Tally, elect,
 };
-use tallygauge_wire::users::Shape;
+use tallygauge_protocol::users::Shape;
 
 /// Patience, in boot and run times, with a job whose class has no aim and that
 /// has no deadline.
--- a/crates/tallygauge-sched/src/ledgers.rs
+++ b/crates/tallygauge-scheduler/src/ledgers.rs
@@ -3,7 +3,7 @@
 
 use crate::{cluster::Cluster, model::*};
 use std::collections::BTreeMap;
-use tallygauge_wire::users::START_COUNTS_S;
+use tallygauge_protocol::users::START_COUNTS_S;
 
 fn decrement<K: Ord + ?Sized, Q: Ord + std::borrow::Borrow<K>>(
     counts: &mut BTreeMap<Q, u32>,
--- a/crates/tallygauge-sched/src/lib.rs
+++ b/crates/tallygauge-scheduler/src/lib.rs
@@ -37,10 +37,12 @@
 pub use progress::{Completion, Flush};
 pub use ranges::RangeSet;
 pub use reports::{Source, Verdict};
-pub use tallygauge_calendar::{Book as CalendarBook, Days, Rule as CutoffRule};
-pub use tallygauge_floor::{Kind, Record as FloorRecord};
-pub use tallygauge_judge::{Hearing, Mark};
-pub use tallygauge_ledger::{Change as LedgerChange, Declared, HIGHEST, Ledger, Rule as RankRule};
-pub use tallygauge_weights::{Part as ImagesPart, Spread};
+pub use tallygauge_deadlines::{Book as CalendarBook, Days, Rule as CutoffRule};
+pub use tallygauge_fairness::{Kind, Record as FloorRecord};
+pub use tallygauge_health::{Hearing, Mark};
+pub use tallygauge_locality::{Part as ImagesPart, Spread};
+pub use tallygauge_priority::{
+    Change as LedgerChange, Declared, HIGHEST, Ledger, Rule as RankRule,
+};
 pub use trade::Cutoff;
 pub use why::{Reason, Why};
--- a/crates/tallygauge-sched/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -3,8 +3,8 @@
 
 use crate::{cluster::Cluster, model::*};
 use std::collections::{BTreeSet, HashMap};
-use tallygauge_judge::{Hearing, Order};
-use tallygauge_wire::{
+use tallygauge_health::{Hearing, Order};
+use tallygauge_protocol::{
     cloud::{Machine, MachineState},
     users::Shape,
     workers::TaskState,
--- a/crates/tallygauge-sched/src/mapping/mod.rs
+++ b/crates/tallygauge-scheduler/src/mapping/mod.rs
@@ -12,7 +12,7 @@
 use crate::{cluster::Cluster, model::*};
 use round::Round;
 use std::collections::HashSet;
-use tallygauge_wire::{cloud::MachineType, users::JobSpec};
+use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
 /// Tasks of one job that are alike to the mapping.
 #[derive(Debug, Clone, Copy)]
--- a/crates/tallygauge-sched/src/mapping/rooms.rs
+++ b/crates/tallygauge-scheduler/src/mapping/rooms.rs
@@ -31,7 +31,7 @@
 
 impl Full {
     /// Whether a task that needs as much or more finds no room either.
-    fn covers(&self, spec: &tallygauge_wire::users::JobSpec) -> bool {
+    fn covers(&self, spec: &tallygauge_protocol::users::JobSpec) -> bool {
         let Room {
             cpus,
             gpus,
--- a/crates/tallygauge-sched/src/mapping/round.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round.rs
@@ -17,7 +17,7 @@
     cmp::Ordering,
     collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque},
 };
-use tallygauge_wire::{cloud::MachineType, users::Priority};
+use tallygauge_protocol::{cloud::MachineType, users::Priority};
 
 /// A start that a round decided on: job, task, progress, worker.
 pub(super) type PlannedStart = (String, u32, f64, String);
--- a/crates/tallygauge-sched/src/mapping/victims.rs
+++ b/crates/tallygauge-scheduler/src/mapping/victims.rs
@@ -6,7 +6,7 @@
 };
 use crate::model::*;
 use std::collections::BinaryHeap;
-use tallygauge_wire::{users::Shape, workers::TaskState};
+use tallygauge_protocol::{users::Shape, workers::TaskState};
 
 /// A running task that may be stopped.
 #[derive(Clone, Copy)]
--- a/crates/tallygauge-sched/src/model/attempt.rs
+++ b/crates/tallygauge-scheduler/src/model/attempt.rs
@@ -1,7 +1,7 @@
 //! An attempt to run a task on a worker, from its placement to its end.
 
 use std::sync::Arc;
-use tallygauge_wire::{
+use tallygauge_protocol::{
     users::JobSpec,
     workers::{EndCause, TaskState},
 };
--- a/crates/tallygauge-sched/src/model/capacity.rs
+++ b/crates/tallygauge-scheduler/src/model/capacity.rs
@@ -1,6 +1,6 @@
 //! Amounts of CPUs, GPUs and memory, and how often a task fits into them.
 
-use tallygauge_wire::{cloud::MachineType, users::JobSpec};
+use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
 /// Slack for sums of decimal amounts.
 pub(crate) const EPS: f64 = 1e-6;
--- a/crates/tallygauge-sched/src/model/config.rs
+++ b/crates/tallygauge-scheduler/src/model/config.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 use std::collections::{BTreeSet, HashMap};
-use tallygauge_judge::Limits;
-use tallygauge_weights::Spread;
-use tallygauge_wire::{
+use tallygauge_health::Limits;
+use tallygauge_locality::Spread;
+use tallygauge_protocol::{
     cloud::MachineType,
     users::{JobSpec, Priority, Shape},
 };
--- a/crates/tallygauge-sched/src/model/job.rs
+++ b/crates/tallygauge-scheduler/src/model/job.rs
@@ -5,8 +5,8 @@
     collections::{BTreeMap, BTreeSet},
     sync::Arc,
 };
-use tallygauge_calendar::Due;
-use tallygauge_wire::users::{JobSpec, Shape};
+use tallygauge_deadlines::Due;
+use tallygauge_protocol::users::{JobSpec, Shape};
 
 /// A task that waits with something of its own: progress, or a reason to wait.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/tallygauge-sched/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
-use tallygauge_judge::{Hearing, Order};
-use tallygauge_wire::{cloud::MachineType, users::JobSpec};
+use tallygauge_health::{Hearing, Order};
+use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
 /// Why a machine is to be returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/tallygauge-sched/src/parts.rs
+++ b/crates/tallygauge-scheduler/src/parts.rs
@@ -6,9 +6,9 @@
     collections::{BTreeMap, HashMap, VecDeque},
     sync::Arc,
 };
-use tallygauge_calendar::{Book as CalendarBook, Rule, Verdict};
-use tallygauge_floor::{Book, Demand};
-use tallygauge_ledger::Ledger;
+use tallygauge_deadlines::{Book as CalendarBook, Rule, Verdict};
+use tallygauge_fairness::{Book, Demand};
+use tallygauge_priority::Ledger;
 
 /// Length of the shorter window, in patience of the class that has most of it.
 const RECENT_PATIENCES: f64 = 4.0;
--- a/crates/tallygauge-sched/src/placements.rs
+++ b/crates/tallygauge-scheduler/src/placements.rs
@@ -6,7 +6,7 @@
     collections::{BTreeMap, BTreeSet, HashMap},
     sync::Arc,
 };
-use tallygauge_wire::users::{JobSpec, Priority, Shape};
+use tallygauge_protocol::users::{JobSpec, Priority, Shape};
 
 /// A batch to be written under a name that was never used before.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/tallygauge-sched/src/reports.rs
+++ b/crates/tallygauge-scheduler/src/reports.rs
@@ -2,8 +2,8 @@
 
 use crate::{cluster::Cluster, commands::DirectMessage, model::*};
 use std::collections::HashMap;
-use tallygauge_judge::{Mark, Place, Sign};
-use tallygauge_wire::{
+use tallygauge_health::{Mark, Place, Sign};
+use tallygauge_protocol::{
     users::Shape,
     workers::{ANSWER_WAIT_S, EndCause, Report, TaskReport, TaskState},
 };
--- a/crates/tallygauge-sched/src/tests/judging.rs
+++ b/crates/tallygauge-scheduler/src/tests/judging.rs
@@ -1,7 +1,7 @@
 //! Machines that are deaf, copies that come late, workers that begin again.
 
 use super::*;
-use tallygauge_judge::Hearing;
+use tallygauge_health::Hearing;
 
 /// A worker as it is, whatever of it reaches the picture.
 struct Real {
--- a/crates/tallygauge-sched/src/tests/mod.rs
+++ b/crates/tallygauge-scheduler/src/tests/mod.rs
@@ -18,7 +18,7 @@
 use plain_model::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use tallygauge_wire::{
+use tallygauge_protocol::{
     cloud::{Machine, MachineState, MachineType},
     users::{JobSpec, Priority, Shape},
     workers::{Command, EndCause, Report, TaskReport, TaskState},
--- a/crates/tallygauge-sched/src/tests/trade.rs
+++ b/crates/tallygauge-scheduler/src/tests/trade.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use std::collections::BTreeSet;
-use tallygauge_calendar::{Days, Rule};
-use tallygauge_ledger::{Change, Declared, Ledger, Rule as RankRule};
+use tallygauge_deadlines::{Days, Rule};
+use tallygauge_priority::{Change, Declared, Ledger, Rule as RankRule};
 
 /// 1000 s before the cutoff of a rule that is due at midnight each day.
 const DAY: f64 = 86_400.0 * 20_000.0 - 1000.0;
--- a/crates/tallygauge-sched/src/trade.rs
+++ b/crates/tallygauge-scheduler/src/trade.rs
@@ -6,8 +6,8 @@
 
 use crate::{cluster::Cluster, model::*};
 use std::collections::BTreeMap;
-use tallygauge_calendar::{Book, Due, Event, Load, Rule, Verdict, drawn, verdicts};
-use tallygauge_ledger::{HIGHEST, Ledger};
+use tallygauge_deadlines::{Book, Due, Event, Load, Rule, Verdict, drawn, verdicts};
+use tallygauge_priority::{HIGHEST, Ledger};
 
 /// Part of the way to the next step of urgency that a rise goes at most: never
 /// as far as that.
--- a/crates/tallygauge-sched/src/weights.rs
+++ b/crates/tallygauge-scheduler/src/weights.rs
@@ -2,8 +2,8 @@
 //! and where replicas of a service go.
 
 use crate::{cluster::Cluster, model::*};
-use tallygauge_weights::{Apart, Atlas, Holding, Part};
-use tallygauge_wire::users::Shape;
+use tallygauge_locality::{Apart, Atlas, Holding, Part};
+use tallygauge_protocol::users::Shape;
 
 impl Cluster {
     /// Takes up what an earlier leader believed of where images lie. To be called
--- a/crates/tallygauge-sched/src/why.rs
+++ b/crates/tallygauge-scheduler/src/why.rs
@@ -2,7 +2,7 @@
 
 use crate::{cluster::Cluster, mapping::Group, model::*};
 use std::collections::{BTreeSet, HashSet};
-use tallygauge_wire::workers::TaskState;
+use tallygauge_protocol::workers::TaskState;
 
 /// One reason why tasks of a job do not run.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/tallygauge-sched/tests/floor.rs
+++ b/crates/tallygauge-scheduler/tests/floor.rs
@@ -7,7 +7,7 @@
 use day::{BULK, CPUS, Class, Day, FIX, Facts, RUSH, STEP, Setup, draw, spec};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use tallygauge_sched::Kind;
+use tallygauge_scheduler::Kind;
 
 const SHARE: f64 = 0.65;
 
--- a/crates/tallygauge-world/examples/digest_days.rs
+++ b/crates/tallygauge-sim/examples/digest_days.rs
@@ -2,11 +2,11 @@
 //! controllers, state service, cloud, workers and users. Two revisions that print
 //! the same lines behave alike on these days.
 //!
-//! `cargo run --release -p tallygauge-world --example digest_days -- --first-seed 1
+//! `cargo run --release -p tallygauge-sim --example digest_days -- --first-seed 1
 //! --seeds 200`
 
 use clap::Parser;
-use tallygauge_world::drawn_days::{digest_of_day, messages_of_day, play_each};
+use tallygauge_sim::drawn_days::{digest_of_day, messages_of_day, play_each};
 
 #[derive(Parser)]
 #[command(about = "Prints seed, digest and number of requests of drawn days")]
--- a/crates/tallygauge-world/examples/draw_days.rs
+++ b/crates/tallygauge-sim/examples/draw_days.rs
@@ -1,7 +1,7 @@
 //! Draws days for the operators' bench on which troubles meet: clusters of a few
 //! faults within two seconds of each other. The seed fixes every day.
 //!
-//! `cargo run --release -p tallygauge-world --example draw_days -- --seed 1
+//! `cargo run --release -p tallygauge-sim --example draw_days -- --seed 1
 //! --count 20 --zone seoul-rack --class exam-rush --out days`
 
 use clap::Parser;
--- a/crates/tallygauge-world/examples/load.rs
+++ b/crates/tallygauge-sim/examples/load.rs
@@ -2,7 +2,7 @@
 //! real HTTP, with stand-ins of state service, cloud and workers.
 //!
 //!     cargo build --release
-//!     cargo run --release -p tallygauge-world --example load -- --machines 600
+//!     cargo run --release -p tallygauge-sim --example load -- --machines 600
 //!
 //! Phases: machines are met and tasks start on all of them; all of these end and
 //! others start; a steady time in which reports say nothing new; a restart of
@@ -21,8 +21,8 @@
     },
     time::{Duration, Instant},
 };
-use tallygauge_state::http::{Answer, Http};
-use tallygauge_world::World;
+use tallygauge_sim::World;
+use tallygauge_store::http::{Answer, Http};
 use tokio::{net::TcpListener, sync::Notify};
 use warp::{Filter, http::Method};
 
@@ -135,7 +135,7 @@
         match answer {
             Ok((code, body)) if code == 200 => {
                 counts.reports.fetch_add(1, Relaxed);
-                let answer: tallygauge_wire::workers::ReportAnswer =
+                let answer: tallygauge_protocol::workers::ReportAnswer =
                     serde_json::from_slice(&body).expect("an answer");
                 world.inner.lock().unwrap().answered(sent, &name, &answer);
                 if !answer.commands.is_empty() {
@@ -292,7 +292,7 @@
         "deployment": {
             "count": 1, "zones": ["a"],
             "teams": [{"name": "t", "cpus": cpus, "cpus_max": cpus}],
-            "workers": {"report_s": arguments.report, "lease_s": tallygauge_world::LEASE_S, "cancel_s": 20.0},
+            "workers": {"report_s": arguments.report, "lease_s": tallygauge_sim::LEASE_S, "cancel_s": 20.0},
             "state": {"rps": 400.0, "write_rps": 200.0, "value_kb": 8.0, "txn_ops": 16},
             "cloud": {"rps": 8.0, "list_lag_s": 1.0},
             "quota": {"cores": 0.5, "memory_mb": 100.0, "sockets": machines * 3}
--- a/crates/tallygauge-world/src/drawn_days.rs
+++ b/crates/tallygauge-sim/src/drawn_days.rs
@@ -13,7 +13,7 @@
     time::Duration,
 };
 use tallygauge::{node::Node, users::Reply};
-use tallygauge_wire::users::{JobStatus, POLL_WAIT_S};
+use tallygauge_protocol::users::{JobStatus, POLL_WAIT_S};
 use tokio::task::JoinHandle;
 
 const NODES: usize = 3;
--- a/crates/tallygauge-world/src/exchanges.rs
+++ b/crates/tallygauge-sim/src/exchanges.rs
@@ -12,7 +12,7 @@
     users::{self, Reply},
     workers::{CheckIn, check_in},
 };
-use tallygauge_state::http::Answer;
+use tallygauge_store::http::Answer;
 use warp::http::Method;
 
 /// Status that stands for a request without an answer.
--- a/crates/tallygauge-world/src/history.rs
+++ b/crates/tallygauge-sim/src/history.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 use tallygauge::users::Reply;
-use tallygauge_wire::users::{JobAnswer, JobStatus};
+use tallygauge_protocol::users::{JobAnswer, JobStatus};
 
 /// A job's state as an answer shows it, in the order in which it is passed through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/tallygauge-world/src/lib.rs
+++ b/crates/tallygauge-sim/src/lib.rs
@@ -38,7 +38,7 @@
     time::Duration,
 };
 use tallygauge::{node::Node, settings::Settings, tuning::Tuning};
-use tallygauge_state::http::{Answer, Http, Transport};
+use tallygauge_store::http::{Answer, Http, Transport};
 use tokio::{sync::Notify, task::JoinHandle, time::Instant};
 use tracing_subscriber::fmt::{format::Writer, time::FormatTime};
 use warp::http::{Method, StatusCode};
--- a/crates/tallygauge-world/src/machines.rs
+++ b/crates/tallygauge-sim/src/machines.rs
@@ -6,8 +6,8 @@
 use serde_json::{Value, json};
 use std::{collections::HashMap, sync::Arc, time::Duration};
 use tallygauge::{node::Node, workers::CheckIn};
-use tallygauge_state::http::{Answer, NoAnswer};
-use tallygauge_wire::workers::{Command, DirectCommands, ReportAnswer};
+use tallygauge_protocol::workers::{Command, DirectCommands, ReportAnswer};
+use tallygauge_store::http::{Answer, NoAnswer};
 use warp::http::StatusCode;
 
 pub(crate) struct SimTask {
--- a/crates/tallygauge-world/src/state.rs
+++ b/crates/tallygauge-sim/src/state.rs
@@ -5,8 +5,8 @@
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::{collections::BTreeMap, time::Duration};
-use tallygauge_state::http::{Answer, NoAnswer};
-use tallygauge_wire::state::{Transaction, Write};
+use tallygauge_protocol::state::{Transaction, Write};
+use tallygauge_store::http::{Answer, NoAnswer};
 use tokio::time::Instant;
 use warp::http::{Method, StatusCode};
 
--- a/crates/tallygauge-world/src/troubles.rs
+++ b/crates/tallygauge-sim/src/troubles.rs
@@ -8,7 +8,7 @@
     task::{Poll, Waker},
 };
 use tallygauge::node::Node;
-use tallygauge_wire::workers::Command;
+use tallygauge_protocol::workers::Command;
 
 /// A step of a node at which something befalls it: a request of its own.
 pub struct StepAt {
--- a/crates/tallygauge-world/src/users.rs
+++ b/crates/tallygauge-sim/src/users.rs
@@ -7,7 +7,7 @@
     node::Node,
     users::{self, Passing, Relay, Reply},
 };
-use tallygauge_wire::users::JobStatus;
+use tallygauge_protocol::users::JobStatus;
 use tokio::{task::JoinHandle, time::Instant};
 use warp::http::Method;
 
--- a/crates/tallygauge-world/tests/days.rs
+++ b/crates/tallygauge-sim/tests/days.rs
@@ -1,14 +1,14 @@
 //! Drawn days: controllers that fail, with every trouble the stand-ins know, one
-//! over the other. `TALLYGAUGE_SEEDS=500 cargo test --release -p tallygauge-world
+//! over the other. `TALLYGAUGE_SEEDS=500 cargo test --release -p tallygauge-sim
 //! --test days` plays more of them.
 
-use tallygauge_world::{
+use tallygauge_sim::{
     drawn_days::{Plant, day, digest_of_day, play_each},
     show_log,
 };
 
 /// Plays one day by itself, with its log: `TALLYGAUGE_SEED=7 LOG_LEVEL=debug cargo
-/// test -p tallygauge-world --test days one_day -- --nocapture`.
+/// test -p tallygauge-sim --test days one_day -- --nocapture`.
 #[tokio::test(start_paused = true)]
 async fn one_day_breaks_no_rule() {
     let seed = std::env::var("TALLYGAUGE_SEED").ok();
--- a/crates/tallygauge-world/tests/failures.rs
+++ b/crates/tallygauge-sim/tests/failures.rs
@@ -6,15 +6,15 @@
     users,
     workers::{CheckIn, called_of_late, check_in, none_call},
 };
-use tallygauge_sched::Kind;
-use tallygauge_state::{Class, Outcome};
-use tallygauge_wire::{
+use tallygauge_protocol::{
     state::{Transaction, Write},
     users::JobStatus,
 };
-use tallygauge_world::{
+use tallygauge_scheduler::Kind;
+use tallygauge_sim::{
     LEASE_S, REPORT_S, To, World, accepted, ask, leads, led, started, status_of, until,
 };
+use tallygauge_store::{Class, Outcome};
 use warp::http::Method;
 
 #[tokio::test(start_paused = true)]
--- a/crates/tallygauge-world/tests/freezes.rs
+++ b/crates/tallygauge-sim/tests/freezes.rs
@@ -6,10 +6,8 @@
     node::Node,
     users::{self, Passing, Relay},
 };
-use tallygauge_wire::users::JobStatus;
-use tallygauge_world::{
-    CANCEL_S, StepAt, To, World, accepted, ask, led, started, status_of, until,
-};
+use tallygauge_protocol::users::JobStatus;
+use tallygauge_sim::{CANCEL_S, StepAt, To, World, accepted, ask, led, started, status_of, until};
 use warp::http::Method;
 
 /// Cancels a job, through whichever node answers.
--- a/crates/tallygauge-world/tests/meetings_answers.rs
+++ b/crates/tallygauge-sim/tests/meetings_answers.rs
@@ -5,8 +5,8 @@
     time::Duration,
 };
 use tallygauge::{node::Node, users};
-use tallygauge_wire::users::JobStatus;
-use tallygauge_world::{
+use tallygauge_protocol::users::JobStatus;
+use tallygauge_sim::{
     CANCEL_S, History, JobShape, StepAt, To, World, accepted, ask, cancel, done, led, status_of,
     until,
 };
--- a/crates/tallygauge-world/tests/meetings_leaders.rs
+++ b/crates/tallygauge-sim/tests/meetings_leaders.rs
@@ -2,8 +2,8 @@
 
 use std::{sync::Arc, time::Duration};
 use tallygauge::{node::Node, users};
-use tallygauge_wire::users::JobStatus;
-use tallygauge_world::{
+use tallygauge_protocol::users::JobStatus;
+use tallygauge_sim::{
     CANCEL_S, JobShape, LEASE_S, REPORT_S, StepAt, World, accepted, ask, cancel, done, leads, led,
     started, status_of, until,
 };
--- a/crates/tallygauge-world/tests/meetings_machines.rs
+++ b/crates/tallygauge-sim/tests/meetings_machines.rs
@@ -1,7 +1,7 @@
 //! Meetings of troubles of machines, and of the writes that place work on them.
 
 use std::time::Duration;
-use tallygauge_world::{
+use tallygauge_sim::{
     CANCEL_S, JobShape, LEASE_S, REPORT_S, accepted, cancel, done, leads, led, started, until,
 };
 
--- a/crates/tallygauge-world/tests/trade.rs
+++ b/crates/tallygauge-sim/tests/trade.rs
@@ -2,13 +2,13 @@
 
 use std::{sync::Arc, time::Duration};
 use tallygauge::{node::Node, tuning::Tuning};
-use tallygauge_sched::Cutoff;
-use tallygauge_state::Class;
-use tallygauge_wire::{
+use tallygauge_protocol::{
     state::{Transaction, Write},
     users::JobStatus,
 };
-use tallygauge_world::{REPORT_S, World, accepted, ask, leads, started, until};
+use tallygauge_scheduler::Cutoff;
+use tallygauge_sim::{REPORT_S, World, accepted, ask, leads, started, until};
+use tallygauge_store::Class;
 
 /// Settings of operators: all jobs count for the end of the day, and team `t` has
 /// a rank.
@@ -186,7 +186,8 @@
     assert_eq!(started(&world), 2);
     let warm = |node: &Node| {
         let count = node.with_cluster(|c| {
-            let holds = |w: &&tallygauge_sched::Worker| w.images.cached.iter().any(|i| i.0 == "i");
+            let holds =
+                |w: &&tallygauge_scheduler::Worker| w.images.cached.iter().any(|i| i.0 == "i");
             c.workers.values().filter(holds).count()
         });
         count.unwrap_or(0)
--- a/crates/tallygauge-world/tests/troubles.rs
+++ b/crates/tallygauge-sim/tests/troubles.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 use tallygauge::{sweep, users, workers::called_of_late};
-use tallygauge_wire::users::JobStatus;
-use tallygauge_world::{
+use tallygauge_protocol::users::JobStatus;
+use tallygauge_sim::{
     CANCEL_S, LEASE_S, REPORT_S, To, World, accepted, ask, leads, led, started, status_of, until,
 };
 
--- a/crates/tallygauge-state/src/lib.rs
+++ b/crates/tallygauge-store/src/lib.rs
@@ -24,7 +24,7 @@
     sync::{Arc, Mutex},
     time::Duration,
 };
-use tallygauge_wire::state::{
+use tallygauge_protocol::state::{
     Changes, Conflict, Lease, LeaseRequest, Page, Revision, Row, Transaction, Write,
 };
 use tokio::time::Instant;
--- a/crates/tallygauge-state/src/settle.rs
+++ b/crates/tallygauge-store/src/settle.rs
@@ -16,7 +16,7 @@
     sync::{Arc, Mutex},
     time::Duration,
 };
-use tallygauge_wire::state::Transaction;
+use tallygauge_protocol::state::Transaction;
 use tokio::time::Instant;
 use tower::retry::budget::{Budget as _, TpsBudget};
 
--- a/crates/tallygauge-state/tests/settle.rs
+++ b/crates/tallygauge-store/tests/settle.rs
@@ -9,12 +9,12 @@
     sync::{Arc, Mutex},
     time::Duration,
 };
-use tallygauge_state::{
+use tallygauge_protocol::state::{Guard, Transaction, Write};
+use tallygauge_store::{
     Budget, Class, Client, Error, Outcome,
     http::{Answer, Http, NoAnswer, Transport},
     round_trip::RoundTrip,
 };
-use tallygauge_wire::state::{Guard, Transaction, Write};
 use tokio::time::Instant;
 
 const FLOOR: Duration = Duration::from_millis(100);
--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -5,8 +5,8 @@
     progress::page_writes,
 };
 use std::{sync::Arc, time::Duration};
-use tallygauge_state::{Class, Error, Outcome};
-use tallygauge_wire::state::{Guard, Transaction, Write};
+use tallygauge_protocol::state::{Guard, Transaction, Write};
+use tallygauge_store::{Class, Error, Outcome};
 
 /// Report intervals between two transactions.
 const EVERY: f64 = 0.5;
--- a/crates/tallygauge/src/cloud.rs
+++ b/crates/tallygauge/src/cloud.rs
@@ -10,11 +10,11 @@
     },
     time::Duration,
 };
-use tallygauge_sched::LeaveReason;
-use tallygauge_state::{first_time, http::NoAnswer};
-use tallygauge_wire::cloud::{
+use tallygauge_protocol::cloud::{
     Catalogue, MACHINE_PAGE, MAX_RETURN, MachinePage, MachineType, Machines, RentRequest,
 };
+use tallygauge_scheduler::LeaveReason;
+use tallygauge_store::{first_time, http::NoAnswer};
 use tokio::time::Instant;
 use warp::http::{Method, StatusCode};
 
@@ -75,7 +75,7 @@
     loop {
         let since = machines
             .last()
-            .map(|m: &tallygauge_wire::cloud::Machine| format!("since={}&", m.name))
+            .map(|m: &tallygauge_protocol::cloud::Machine| format!("since={}&", m.name))
             .unwrap_or_default();
         let path = format!("/machines?{since}page={MACHINE_PAGE}");
         match call::<(), MachinePage>(node, Method::GET, &path, None).await {
--- a/crates/tallygauge/src/control.rs
+++ b/crates/tallygauge/src/control.rs
@@ -2,8 +2,8 @@
 
 use crate::{node::Node, placement::Placements, workers};
 use std::{sync::Arc, time::Duration};
-use tallygauge_sched::Batch;
-use tallygauge_wire::{BODY_LIMIT, state::Guard};
+use tallygauge_protocol::{BODY_LIMIT, state::Guard};
+use tallygauge_scheduler::Batch;
 
 /// Report intervals between two looks at what is overdue.
 const TICK_EVERY: f64 = 0.25;
--- a/crates/tallygauge/src/floor.rs
+++ b/crates/tallygauge/src/floor.rs
@@ -1,7 +1,7 @@
 //! The floor's counts, shown.
 
 use std::fmt::Write as _;
-use tallygauge_sched::{Cluster, Kind};
+use tallygauge_scheduler::{Cluster, Kind};
 
 /// Classes (`^`: the largest of one) and teams in one field each: jobs accepted,
 /// cancelled, started, done, of these late, of the open ones overdue; `!N` when N
--- a/crates/tallygauge/src/follow.rs
+++ b/crates/tallygauge/src/follow.rs
@@ -1,8 +1,8 @@
 //! What becomes of open jobs' records, taken up into the picture.
 
 use crate::users::OpenRecord;
-use tallygauge_sched::{Cluster, RangeSet};
-use tallygauge_wire::state::Change;
+use tallygauge_protocol::state::Change;
+use tallygauge_scheduler::{Cluster, RangeSet};
 
 /// Takes an open job up into the picture, with the tasks known to be done.
 pub fn add(
--- a/crates/tallygauge/src/kept.rs
+++ b/crates/tallygauge/src/kept.rs
@@ -4,10 +4,10 @@
 use crate::{control::record_bytes, node::Node, trade::Calendar};
 use serde_json::Value;
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
-use tallygauge_kept::{Found, Parcel, Record, Shelf, name_of, read};
-use tallygauge_sched::{Ledger, LedgerChange};
-use tallygauge_state::{Class, Error, Outcome};
-use tallygauge_wire::state::{Guard, Transaction, Write};
+use tallygauge_protocol::state::{Guard, Transaction, Write};
+use tallygauge_records::{Found, Parcel, Record, Shelf, name_of, read};
+use tallygauge_scheduler::{Ledger, LedgerChange};
+use tallygauge_store::{Class, Error, Outcome};
 
 /// What the keys of kept records begin with.
 const PREFIX: &str = "s/";
--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -9,9 +9,9 @@
 };
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::{collections::HashMap, sync::Arc, time::Duration};
-use tallygauge_sched::{BatchRecord, Cluster, ImagesPart, PageRecord, RangeSet};
-use tallygauge_state::{Class, Error, Outcome, Watched};
-use tallygauge_wire::state::{Change, Guard, Transaction, Write};
+use tallygauge_protocol::state::{Change, Guard, Transaction, Write};
+use tallygauge_scheduler::{BatchRecord, Cluster, ImagesPart, PageRecord, RangeSet};
+use tallygauge_store::{Class, Error, Outcome, Watched};
 
 /// Value of the leased leader key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -28,7 +28,7 @@
 
 use node::Node;
 use std::{sync::Arc, time::Duration};
-use tallygauge_state::http::Http;
+use tallygauge_store::http::Http;
 use tokio::sync::mpsc;
 use wall_clock::SystemClock;
 
--- a/crates/tallygauge/src/node.rs
+++ b/crates/tallygauge/src/node.rs
@@ -9,9 +9,9 @@
     sync::{Arc, Mutex, MutexGuard},
     time::Duration,
 };
-use tallygauge_sched::{Cluster, Config, FloorConfig, Spread};
-use tallygauge_state::{Budget, Class, Client, http::Http};
-use tallygauge_wire::{cloud::MachineType, state::Guard, users::JobStatus};
+use tallygauge_protocol::{cloud::MachineType, state::Guard, users::JobStatus};
+use tallygauge_scheduler::{Cluster, Config, FloorConfig, Spread};
+use tallygauge_store::{Budget, Class, Client, http::Http};
 use tokio::{
     sync::{Notify, mpsc, oneshot},
     time::Instant,
@@ -548,7 +548,7 @@
                 risk_s: t.weights.replica_risk,
             },
             // A report must fit a request's body.
-            tasks_per_worker: tallygauge_wire::BODY_LIMIT / TASK_REPORT_BYTES,
+            tasks_per_worker: tallygauge_protocol::BODY_LIMIT / TASK_REPORT_BYTES,
             most_direct: self.most_direct(),
             term,
         }
--- a/crates/tallygauge/src/peers.rs
+++ b/crates/tallygauge/src/peers.rs
@@ -11,7 +11,7 @@
     sync::{Arc, Weak},
     time::Duration,
 };
-use tallygauge_wire::peer::{
+use tallygauge_protocol::peer::{
     Announcement, JobProgress, ProgressReply, ProgressRequest, RelayReply, RelayRequest,
     peer_client::PeerClient,
     peer_server::{Peer, PeerServer},
--- a/crates/tallygauge/src/placement.rs
+++ b/crates/tallygauge/src/placement.rs
@@ -9,9 +9,9 @@
     stream::{FuturesUnordered, StreamExt},
 };
 use std::{collections::VecDeque, sync::Arc, time::Duration};
-use tallygauge_sched::Batch;
-use tallygauge_state::{Class, Outcome};
-use tallygauge_wire::state::{Guard, Transaction, Write};
+use tallygauge_protocol::state::{Guard, Transaction, Write};
+use tallygauge_scheduler::Batch;
+use tallygauge_store::{Class, Outcome};
 
 /// Part of the leader's writes of a second that may be placements under way.
 const WRITES_UNDER_WAY: f64 = 0.125;
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -7,12 +7,12 @@
 };
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
-use tallygauge_sched::{Completion, Flush, PageWrite};
-use tallygauge_state::{Class, Error, Outcome};
-use tallygauge_wire::{
+use tallygauge_protocol::{
     state::{Guard, Transaction, Write},
     users::JobStatus,
 };
+use tallygauge_scheduler::{Completion, Flush, PageWrite};
+use tallygauge_store::{Class, Error, Outcome};
 
 /// Report intervals between two looks at what has ended, at most.
 const FLUSH_EVERY: f64 = 0.4;
--- a/crates/tallygauge/src/server.rs
+++ b/crates/tallygauge/src/server.rs
@@ -8,7 +8,7 @@
 use hyper_util::service::TowerToHyperService;
 use std::{sync::Arc, time::Duration};
 use tallygauge_http::{accept, bounded_body};
-use tallygauge_wire::users::ErrorBody;
+use tallygauge_protocol::users::ErrorBody;
 use tokio::net::TcpListener;
 use warp::{
     Filter,
--- a/crates/tallygauge/src/settings.rs
+++ b/crates/tallygauge/src/settings.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 use std::{collections::HashMap, net::SocketAddr, path::Path};
-use tallygauge_sched::{Aim, TeamConfig};
+use tallygauge_scheduler::{Aim, TeamConfig};
 
 /// Settings as the platform hands them over.
 #[derive(Debug, Clone, Deserialize)]
--- a/crates/tallygauge/src/sockets.rs
+++ b/crates/tallygauge/src/sockets.rs
@@ -5,7 +5,7 @@
 //! Direct messages come second, since what they carry reaches the worker with
 //! its next call as well. Users come last, where other nodes can serve them.
 
-use tallygauge_state::Open;
+use tallygauge_store::Open;
 
 /// Part of the limit that is kept for connections to the state service, the
 /// cloud and the peers, and for those that are being closed.
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -2,7 +2,7 @@
 
 use crate::{floor, node::Node};
 use std::time::Duration;
-use tallygauge_sched::Cluster;
+use tallygauge_scheduler::Cluster;
 
 /// Report intervals between two summaries.
 const EVERY: f64 = 4.0;
@@ -29,7 +29,8 @@
     let (writes_in_doubt, in_doubt) = node.state.in_doubt();
     let (sockets, sockets_free) = (node.sockets.used(), node.sockets.free());
     node.with_cluster(|c| {
-        let held = |w: &tallygauge_sched::Worker| w.held.iter().filter(|h| h.occupies()).count();
+        let held =
+            |w: &tallygauge_scheduler::Worker| w.held.iter().filter(|h| h.occupies()).count();
         let running: usize = c.workers.values().map(held).sum();
         let waiting: usize = c
             .jobs
--- a/crates/tallygauge/src/sweep.rs
+++ b/crates/tallygauge/src/sweep.rs
@@ -3,8 +3,8 @@
 
 use crate::{follow, node::Node};
 use std::{collections::BTreeSet, time::Duration};
-use tallygauge_state::Class;
-use tallygauge_wire::state::{Change, Row};
+use tallygauge_protocol::state::{Change, Row};
+use tallygauge_store::Class;
 
 /// Jobs and machines looked at in one step.
 const STEP: usize = 16;
--- a/crates/tallygauge/src/trade.rs
+++ b/crates/tallygauge/src/trade.rs
@@ -3,8 +3,8 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
-use tallygauge_kept::{Record, Timing};
-use tallygauge_sched::{Cluster, CutoffRule, Days, Declared, HIGHEST, RankRule};
+use tallygauge_records::{Record, Timing};
+use tallygauge_scheduler::{Cluster, CutoffRule, Days, Declared, HIGHEST, RankRule};
 
 /// The calendar, as operators write it, and as it is on record: while controllers
 /// have different settings files, the later version is in force under each.
--- a/crates/tallygauge/src/users.rs
+++ b/crates/tallygauge/src/users.rs
@@ -6,12 +6,12 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::{sync::Arc, time::Duration};
-use tallygauge_sched::check_feasible;
-use tallygauge_state::{Class, Outcome};
-use tallygauge_wire::{
+use tallygauge_protocol::{
     state::{Guard, Transaction, Write},
     users::{ErrorBody, JobAnswer, JobSpec, JobStatus, POLL_WAIT_S, Shape, valid_job_id},
 };
+use tallygauge_scheduler::check_feasible;
+use tallygauge_store::{Class, Outcome};
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use warp::http::Method;
 
--- a/crates/tallygauge/src/workers.rs
+++ b/crates/tallygauge/src/workers.rs
@@ -2,9 +2,9 @@
 
 use crate::node::Node;
 use std::{sync::Arc, time::Duration};
-use tallygauge_sched::{DirectMessage, Source, Verdict};
-use tallygauge_state::{first_time, http::NoAnswer};
-use tallygauge_wire::workers::{DirectCommands, Redirect, Report, ReportAnswer};
+use tallygauge_protocol::workers::{DirectCommands, Redirect, Report, ReportAnswer};
+use tallygauge_scheduler::{DirectMessage, Source, Verdict};
+use tallygauge_store::{first_time, http::NoAnswer};
 
 /// An answer to a check-in.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/tallygauge/tests/golden.rs
+++ b/crates/tallygauge/tests/golden.rs
@@ -14,8 +14,10 @@
     tuning::{Floor, Tuning, Weights, Worth},
     users::{OpenRecord, OverRecord},
 };
-use tallygauge_kept::{Found, Record, name_of, read, value_of};
-use tallygauge_sched::{BatchRecord, CalendarBook, FloorRecord, ImagesPart, Ledger, PageRecord};
+use tallygauge_records::{Found, Record, name_of, read, value_of};
+use tallygauge_scheduler::{
+    BatchRecord, CalendarBook, FloorRecord, ImagesPart, Ledger, PageRecord,
+};
 
 /// Reads a record with its type, and writes it again.
 type Rewrite = fn(Value) -> Value;
