--- a/crates/tallygauge-scheduler/src/heartbeats.rs
+++ b/crates/tallygauge-scheduler/src/heartbeats.rs
@@ -1,52 +1,57 @@
 //! Reports: what a worker says of its tasks, and what follows from it.
 
-use crate::{cluster_state::Cluster, commands::DirectMessage, model::*};
+use crate::{cluster_state::ClusterState, commands::DirectMessage, model::*};
 use std::collections::HashMap;
-use tallygauge_health::{Mark, Place, Sign};
+use tallygauge_health::{Arrival, Evidence, SequenceMark};
 use tallygauge_protocol::{
     users::Shape,
-    workers::{ANSWER_WAIT_S, EndCause, Report, TaskReport, TaskState},
+    workers::{EndCause, Heartbeat, RESPONSE_TIMEOUT_S, TaskState, TaskStatus},
 };
 
 /// What a report means for this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum HeartbeatOutcome {
     /// Taken up; it may be answered.
-    Taken,
+    Applied,
     /// Older than what is known, but its worker may wait for the answer.
     Overtaken,
     /// Older than what is known: a late copy, or of a worker that has begun
     /// again. Nobody waits for an answer that should be kept.
     Stale,
     /// From a session that is over: answering would serve nobody.
-    Dead,
+    DeadIncarnation,
     /// A higher token is about: this node leads no more.
     Deposed(u64),
 }
 
 /// How a report came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Source {
+pub enum HeartbeatSource {
     /// As a check-in. The worker sends one only when it has taken or given up
     /// the answer to the one before.
-    CheckIn,
+    Periodic,
     /// With the answer to a direct message. An answer to a check-in, with
     /// starts in it, may still be on its way to the worker.
-    Direct,
+    DirectReply,
 }
 
-impl Cluster {
+impl ClusterState {
     /// Takes up a worker's report.
-    pub fn on_report(&mut self, now: f64, report: &Report, source: Source) -> Verdict {
-        if report.token > self.cfg.term {
-            return Verdict::Deposed(report.token);
+    pub fn apply_heartbeat(
+        &mut self,
+        now: f64,
+        report: &Heartbeat,
+        source: HeartbeatSource,
+    ) -> HeartbeatOutcome {
+        if report.token > self.config.term {
+            return HeartbeatOutcome::Deposed(report.token);
         }
         if !self.workers.contains_key(&report.machine) {
             // A late copy must not make a room that nobody has.
-            if self.departed.is_gone(&report.machine) {
-                return Verdict::Dead;
+            if self.tombstones.contains(&report.machine) {
+                return HeartbeatOutcome::DeadIncarnation;
             }
-            self.know(
+            self.register_machine(
                 &report.machine,
                 &report.machine_type,
                 &report.zone,
@@ -55,127 +60,134 @@
                 now,
             );
         }
-        let term = self.cfg.term;
+        let term = self.config.term;
         let Some(worker) = self.workers.get_mut(&report.machine) else {
-            return Verdict::Stale;
+            return HeartbeatOutcome::Stale;
         };
-        if report.session <= worker.dead_session {
-            return Verdict::Dead;
-        }
-        let mark = mark_of(report);
-        match worker.order.place(mark, now, ANSWER_WAIT_S) {
-            Place::New => {}
-            Place::Overtaken => return Verdict::Overtaken,
-            Place::Old => {
+        if report.incarnation <= worker.last_dead_incarnation {
+            return HeartbeatOutcome::DeadIncarnation;
+        }
+        let mark = sequence_mark(report);
+        match worker.message_order.classify(mark, now, RESPONSE_TIMEOUT_S) {
+            Arrival::New => {}
+            Arrival::Overtaken => return HeartbeatOutcome::Overtaken,
+            Arrival::Old => {
                 // A worker that has begun again counts from the beginning: whoever
                 // lives is asked.
-                if source == Source::CheckIn && mark != worker.order.newest {
-                    worker.order.wonder();
-                    self.attention.insert(report.machine.clone());
+                if source == HeartbeatSource::Periodic && mark != worker.message_order.newest {
+                    worker.message_order.request_liveness_probe();
+                    self.needs_direct_message.insert(report.machine.clone());
                 }
-                return Verdict::Stale;
+                return HeartbeatOutcome::Stale;
             }
         }
         // Tokens never fall as long as a worker lives.
-        if report.token < worker.token && source == Source::CheckIn {
-            self.begun_again(&report.machine, None, now);
-            return Verdict::Dead;
+        if report.token < worker.fencing_token && source == HeartbeatSource::Periodic {
+            self.handle_agent_restart(&report.machine, None, now);
+            return HeartbeatOutcome::DeadIncarnation;
         }
-        worker.token = worker.token.max(report.token);
+        worker.fencing_token = worker.fencing_token.max(report.token);
         // What was held back on the way comes all at once, and shows nothing of
         // how its worker heard us.
-        if now - worker.heard_at > self.cfg.quiet_s() {
-            worker.steady_since = now;
+        if now - worker.last_heartbeat_at > self.config.heartbeat_timeout_s() {
+            worker.heartbeats_steady_since = now;
         }
-        self.weigh(now, report, source);
+        self.assess_reachability(now, report, source);
         let Some(worker) = self.workers.get_mut(&report.machine) else {
-            return Verdict::Stale;
+            return HeartbeatOutcome::Stale;
         };
         if worker.endpoint != report.endpoint {
             worker.endpoint.clone_from(&report.endpoint);
         }
-        worker.heard_at = now;
-        if worker.hearing.in_question() {
-            self.attention.insert(report.machine.clone());
+        worker.last_heartbeat_at = now;
+        if worker.reachability.needs_probe() {
+            self.needs_direct_message.insert(report.machine.clone());
         } else {
             worker.direct_failures = 0;
         }
         // It lives after all.
         if matches!(
             worker.leaving,
-            Some((LeaveReason::NoBoot | LeaveReason::Silent, _))
+            Some((LeaveReason::BootTimeout | LeaveReason::Silent, _))
         ) && !worker.return_sent
         {
             worker.leaving = None;
         }
-        let same_session = report.session == worker.session;
-        if report.session > worker.session {
-            self.changed = true;
-            worker.session_at = now;
-        }
-        worker.session = report.session;
-        worker.order.take(mark, source == Source::Direct, now);
-        if report.token == term && worker.fenced_at.is_none() {
-            self.changed = true;
-            worker.fenced_at = Some(now);
-        }
-        if report.notice_s.is_some() && worker.notice_until.is_none() {
-            self.changed = true;
+        let same_session = report.incarnation == worker.incarnation;
+        if report.incarnation > worker.incarnation {
+            self.needs_scheduling = true;
+            worker.incarnation_seen_at = now;
+        }
+        worker.incarnation = report.incarnation;
+        worker
+            .message_order
+            .advance(mark, source == HeartbeatSource::DirectReply, now);
+        if report.token == term && worker.fencing_token_seen_at.is_none() {
+            self.needs_scheduling = true;
+            worker.fencing_token_seen_at = Some(now);
+        }
+        if report.spot_notice_s.is_some() && worker.spot_notice_until.is_none() {
+            self.needs_scheduling = true;
             self.events
                 .push((true, format!("{} will be taken back", report.machine)));
         }
-        match (report.notice_s, worker.notice_until) {
-            (Some(s), None) => worker.notice_until = Some(now + s),
-            (Some(s), Some(t)) => worker.notice_until = Some(t.min(now + s)),
-            (None, _) => worker.notice_until = None,
+        match (report.spot_notice_s, worker.spot_notice_until) {
+            (Some(s), None) => worker.spot_notice_until = Some(now + s),
+            (Some(s), Some(t)) => worker.spot_notice_until = Some(t.min(now + s)),
+            (None, _) => worker.spot_notice_until = None,
         }
         // Most reports say nothing new, and cost next to nothing.
         if same_session
-            && worker.fenced_at.is_some()
-            && worker.notice_until.is_none()
+            && worker.fencing_token_seen_at.is_some()
+            && worker.spot_notice_until.is_none()
             && worker.leaving.is_none()
-            && says_nothing_new(worker, &report.tasks)
+            && is_unchanged(worker, &report.tasks)
         {
-            return Verdict::Taken;
+            return HeartbeatOutcome::Applied;
         }
         // Without our token it may be of another life: one that ended before this
         // term, its sessions beyond those of the one that runs our tasks.
-        if report.session > 1 && report.token == term {
-            self.end_session(&report.machine, report.session - 1, now);
+        if report.incarnation > 1 && report.token == term {
+            self.end_incarnation(&report.machine, report.incarnation - 1, now);
         }
-        self.take_tasks(now, report, source);
+        self.apply_task_statuses(now, report, source);
         if let Some(worker) = self.workers.get(&report.machine) {
-            if worker.fenced_at.is_none() {
-                self.attention.insert(report.machine.clone());
+            if worker.fencing_token_seen_at.is_none() {
+                self.needs_direct_message.insert(report.machine.clone());
             }
-            if worker.notice_until.is_some() || worker.leaving.is_some() {
-                self.drain(&report.machine, now);
+            if worker.spot_notice_until.is_some() || worker.leaving.is_some() {
+                self.stop_unwanted_attempts(&report.machine, now);
             }
         }
-        Verdict::Taken
+        HeartbeatOutcome::Applied
     }
 
     /// Takes up the answer to a direct message: only who lives gives one, with a
     /// number above all that it had sent before it was asked.
-    pub fn on_direct(&mut self, now: f64, message: &DirectMessage, report: &Report) -> Verdict {
-        if report.token > self.cfg.term {
-            return Verdict::Deposed(report.token);
+    pub fn apply_direct_reply(
+        &mut self,
+        now: f64,
+        message: &DirectMessage,
+        report: &Heartbeat,
+    ) -> HeartbeatOutcome {
+        if report.token > self.config.term {
+            return HeartbeatOutcome::Deposed(report.token);
         }
-        let mark = mark_of(report);
-        if mark.begun_again_since(message.before) {
-            self.begun_again(&report.machine, Some(report), now);
-            return Verdict::Dead;
+        let mark = sequence_mark(report);
+        if mark.is_restart_since(message.sent_after) {
+            self.handle_agent_restart(&report.machine, Some(report), now);
+            return HeartbeatOutcome::DeadIncarnation;
         }
         if let Some(worker) = self.workers.get_mut(&report.machine) {
-            Self::hears(worker);
+            Self::confirm_reachable(worker);
         }
-        self.on_report(now, report, Source::Direct)
+        self.apply_heartbeat(now, report, HeartbeatSource::DirectReply)
     }
 
     /// What is sent to a machine reaches it.
-    fn hears(worker: &mut Worker) {
-        worker.hearing.heard();
-        if matches!(worker.leaving, Some((LeaveReason::Deaf, _))) && !worker.return_sent {
+    fn confirm_reachable(worker: &mut Worker) {
+        worker.reachability.confirm();
+        if matches!(worker.leaving, Some((LeaveReason::Unreachable, _))) && !worker.return_sent {
             worker.leaving = None;
         }
     }
@@ -183,49 +195,56 @@
     /// Weighs what a new report says of its worker's hearing: whether it shows
     /// what the answer before it carried. A worker sends a check-in when it has
     /// taken or given up the answer to the one before.
-    fn weigh(&mut self, now: f64, report: &Report, source: Source) {
-        let (cfg, limits) = (&self.cfg, self.cfg.hearing());
-        if source != Source::CheckIn {
+    fn assess_reachability(&mut self, now: f64, report: &Heartbeat, source: HeartbeatSource) {
+        let (cfg, limits) = (&self.config, self.config.reachability_thresholds());
+        if source != HeartbeatSource::Periodic {
             return;
         }
         let Some(worker) = self.workers.get_mut(&report.machine) else {
             return;
         };
-        let renewed = worker.answered_at;
+        let renewed = worker.lease_renewed_at;
         let mut sign = None;
-        if report.session > worker.session {
+        if report.incarnation > worker.incarnation {
             // Answered all the time, its session lasts for a lease from the last
             // answer; a few of them may have been lost.
-            let sure = renewed + cfg.lease_s - cfg.report_s * 2.5 - cfg.margin_s();
-            let steady = now - worker.steady_since > cfg.report_s * 3.0;
-            sign = (now < sure && steady).then_some(Sign::SessionOver);
-        } else if worker.owes {
-            let shown = |h: &Held| {
-                let there = |t: &&TaskReport| t.attempt == h.attempt && h.is_called(&t.task);
+            let sure =
+                renewed + cfg.lease_s - cfg.heartbeat_interval_s * 2.5 - cfg.timing_margin_s();
+            let steady = now - worker.heartbeats_steady_since > cfg.heartbeat_interval_s * 3.0;
+            sign = (now < sure && steady).then_some(Evidence::LeaseExpired);
+        } else if worker.acknowledgement_due {
+            let shown = |h: &Attempt| {
+                let there = |t: &&TaskStatus| t.attempt == h.number && h.has_task_name(&t.task);
                 report.tasks.iter().any(|t| there(&t))
             };
-            let unheeded = |h: &Held| match h.phase {
-                Phase::Recorded => !shown(h),
-                Phase::Ended(_) => shown(h),
-                Phase::Planned | Phase::On(_) => false,
+            let unheeded = |h: &Attempt| match h.phase {
+                AttemptPhase::Recorded => !shown(h),
+                AttemptPhase::Ended(_) => shown(h),
+                AttemptPhase::Planned | AttemptPhase::Observed(_) => false,
             };
-            let mut carried = worker.held.iter().filter(|h| h.carried);
+            let mut carried = worker
+                .attempts
+                .iter()
+                .filter(|h| h.awaiting_acknowledgement);
             if report.token < cfg.term || carried.any(unheeded) {
-                sign = Some(Sign::Unheeded);
+                sign = Some(Evidence::NotAcknowledged);
             } else {
-                Self::hears(worker);
+                Self::confirm_reachable(worker);
             }
-        } else if let Some(deaf_s) = worker.hearing.deaf_for(now)
-            && deaf_s.min(now - worker.session_at) > cfg.stretched(cfg.lease_s)
+        } else if let Some(deaf_s) = worker.reachability.unreachable_for(now)
+            && deaf_s.min(now - worker.incarnation_seen_at) > cfg.with_clock_drift(cfg.lease_s)
         {
             // The session has lasted for longer than a lease since: an answer
             // was taken.
-            Self::hears(worker);
+            Self::confirm_reachable(worker);
         }
-        worker.owes = false;
-        worker.held.iter_mut().for_each(|h| h.carried = false);
+        worker.acknowledgement_due = false;
+        worker
+            .attempts
+            .iter_mut()
+            .for_each(|h| h.awaiting_acknowledgement = false);
         if let Some(sign) = sign
-            && worker.hearing.sign(sign, now, &limits)
+            && worker.reachability.record(sign, now, &limits)
         {
             let text = format!("{} reports but hears nothing: {sign:?}", worker.name);
             self.events.push((true, text));
@@ -237,84 +256,86 @@
     /// goes on with the next one after a lease, since it isn't answered until
     /// then. What its own word (with our token) lacks is free at once, but for
     /// starts that may yet arrive: those are held until the session is over.
-    fn begun_again(&mut self, name: &str, word: Option<&Report>, now: f64) {
-        let term = self.cfg.term;
+    fn handle_agent_restart(&mut self, name: &str, word: Option<&Heartbeat>, now: f64) {
+        let term = self.config.term;
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let session = worker.session;
-        worker.dead_session = worker.dead_session.max(session);
-        worker.session_at = now;
-        worker.order.asked();
-        worker.images = Images::default();
-        Self::hears(worker);
-        worker.token = word.map_or(0, |w| w.token);
+        let session = worker.incarnation;
+        worker.last_dead_incarnation = worker.last_dead_incarnation.max(session);
+        worker.incarnation_seen_at = now;
+        worker.message_order.liveness_probe_sent();
+        worker.images = ImageCache::default();
+        Self::confirm_reachable(worker);
+        worker.fencing_token = word.map_or(0, |w| w.token);
         worker.direct_failures = 0;
-        worker.strays.clear();
-        self.changed = true;
+        worker.orphaned_attempts.clear();
+        self.needs_scheduling = true;
         let text = format!("{name} has begun again: what ran there is lost");
         self.events.push((true, text));
         let Some(word) = word.filter(|w| w.token == term) else {
             return;
         };
-        let there = |h: &Held| word.tasks.iter().any(|t| t.attempt == h.attempt);
-        let gone = self.take_off(name, |h| {
-            h.phase != Phase::Planned && !h.may_yet_start() && !there(h)
+        let there = |h: &Attempt| word.tasks.iter().any(|t| t.attempt == h.number);
+        let gone = self.remove_attempts(name, |h| {
+            h.phase != AttemptPhase::Planned && !h.may_yet_start() && !there(h)
         });
-        for held in gone.iter().filter(|h| h.occupies()) {
-            self.lose(name, held, now);
+        for held in gone.iter().filter(|h| h.occupies_capacity()) {
+            self.requeue_lost(name, held, now);
         }
     }
 
-    fn take_tasks(&mut self, now: f64, report: &Report, source: Source) {
+    fn apply_task_statuses(&mut self, now: f64, report: &Heartbeat, source: HeartbeatSource) {
         let name = report.machine.as_str();
-        let fenced = report.token == self.cfg.term;
-        let mut seen: HashMap<u64, &TaskReport> = HashMap::new();
+        let fenced = report.token == self.config.term;
+        let mut seen: HashMap<u64, &TaskStatus> = HashMap::new();
         for task in &report.tasks {
             seen.insert(task.attempt, task);
         }
         // Absent attempts. Before the fence a report proves nothing: an older
         // start may still be under way.
-        let absent = self.take_off(name, |h| {
-            let there = seen.get(&h.attempt).is_some_and(|t| h.is_called(&t.task));
+        let absent = self.remove_attempts(name, |h| {
+            let there = seen
+                .get(&h.number)
+                .is_some_and(|t| h.has_task_name(&t.task));
             !there
                 && fenced
                 // A later session than a worker with our token has reached is one
                 // of another life of it: it has begun again since.
-                && (h.session == report.session || h.inherited)
+                && (h.incarnation == report.incarnation || h.restored)
                 && !h.may_yet_start()
                 && match h.phase {
-                    Phase::Planned => false,
+                    AttemptPhase::Planned => false,
                     // A start of this term is sent again until it is seen,
                     // unless it is not wanted any more.
-                    Phase::Recorded => {
-                        h.inherited || (h.stop.is_some() && source == Source::CheckIn)
+                    AttemptPhase::Recorded => {
+                        h.restored || (h.stop.is_some() && source == HeartbeatSource::Periodic)
                     }
-                    Phase::On(_) | Phase::Ended(_) => true,
+                    AttemptPhase::Observed(_) | AttemptPhase::Ended(_) => true,
                 }
         });
-        for held in absent.iter().filter(|h| h.occupies()) {
-            self.lose(name, held, now);
+        for held in absent.iter().filter(|h| h.occupies_capacity()) {
+            self.requeue_lost(name, held, now);
         }
         let mut strays = Vec::new();
         for task in &report.tasks {
-            self.take_task(now, name, report.session, task, &mut strays);
+            self.apply_task_status(now, name, report.incarnation, task, &mut strays);
         }
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.strays = strays;
+            worker.orphaned_attempts = strays;
         }
     }
 
-    fn take_task(
+    fn apply_task_status(
         &mut self,
         now: f64,
         name: &str,
         session: u64,
-        task: &TaskReport,
+        task: &TaskStatus,
         strays: &mut Vec<(String, u64, bool)>,
     ) {
         let ended = task.state == TaskState::Ended;
-        let Some((id, index)) = split_task(&task.task) else {
+        let Some((id, index)) = parse_task_name(&task.task) else {
             strays.push((task.task.clone(), task.attempt, ended));
             return;
         };
@@ -322,9 +343,9 @@
             return;
         };
         let known = worker
-            .held
+            .attempts
             .iter()
-            .position(|h| h.attempt == task.attempt && h.spec.id == id && h.index == index);
+            .position(|h| h.number == task.attempt && h.spec.id == id && h.index == index);
         let at = match known {
             Some(at) => at,
             None => {
@@ -334,44 +355,47 @@
                     strays.push((task.task.clone(), task.attempt, ended));
                     return;
                 };
-                let mut held = Held::new(job.spec.clone(), index, task.attempt, session, now);
-                held.phase = Phase::Recorded;
-                (held.inherited, held.sent) = (true, true);
-                self.occupy(name, held);
+                let mut held = Attempt::new(job.spec.clone(), index, task.attempt, session, now);
+                held.phase = AttemptPhase::Recorded;
+                (held.restored, held.start_sent) = (true, true);
+                self.add_attempt(name, held);
                 // On record nowhere, the next leader would not know of it.
                 if !ended {
-                    self.planned.push((name.to_string(), task.attempt));
+                    self.unbatched_attempts
+                        .push((name.to_string(), task.attempt));
                 }
                 match self.workers.get(name) {
-                    Some(w) => w.held.len() - 1,
+                    Some(w) => w.attempts.len() - 1,
                     None => return,
                 }
             }
         };
-        let of_type = self.types.get(self.workers[name].machine_type.as_str());
+        let of_type = self
+            .machine_types
+            .get(self.workers[name].machine_type.as_str());
         let cache = of_type.map_or(0.0, |t| t.cache_gb);
         let rate = of_type.map_or(f64::MAX, |t| t.fetch_gb_per_s.max(1e-3));
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let held = &mut worker.held[at];
-        held.session = session;
-        held.sent = true;
-        if matches!(held.phase, Phase::Ended(_)) {
+        let held = &mut worker.attempts[at];
+        held.incarnation = session;
+        held.start_sent = true;
+        if matches!(held.phase, AttemptPhase::Ended(_)) {
             return;
         }
         if !ended {
-            held.phase = Phase::On(task.state);
+            held.phase = AttemptPhase::Observed(task.state);
             // What was believed to lie there does not.
             if task.state == TaskState::Fetching {
                 let (image, gb) = (&held.spec.image, held.spec.image_gb);
-                worker.images.lacks(image, now + gb / rate);
+                worker.images.note_missing(image, now + gb / rate);
             }
             if matches!(task.state, TaskState::Running | TaskState::Saving)
                 && held.running_since.is_none()
             {
                 // After a take-over the start is known from the placement.
-                held.running_since = Some(if held.inherited { held.placed_at } else { now });
+                held.running_since = Some(if held.restored { held.placed_at } else { now });
                 let spec = held.spec.clone();
                 if let Some(job) = self.jobs.get_mut(id)
                     && !std::mem::replace(&mut job.started, true)
@@ -382,15 +406,15 @@
                     self.events.push((false, text));
                 }
                 worker.images.fetching.remove(&spec.image);
-                worker.images.touch(&spec.image, spec.image_gb, cache);
+                worker.images.mark_used(&spec.image, spec.image_gb, cache);
             }
             let done = self
                 .jobs
                 .get(id)
-                .is_some_and(|j| j.finished.contains(index));
-            let held = &mut worker.held[at];
+                .is_some_and(|j| j.completed.contains(index));
+            let held = &mut worker.attempts[at];
             if done && held.stop.is_none() {
-                held.stop = Some(Stop {
+                held.stop = Some(StopDecision {
                     reason: StopReason::Duplicate,
                     at: now,
                 });
@@ -398,57 +422,64 @@
             return;
         }
         let cause = task.cause.unwrap_or(EndCause::Unknown);
-        held.phase = Phase::Ended(cause);
+        held.phase = AttemptPhase::Ended(cause);
         let held = held.clone();
         if cause != EndCause::Done {
             self.events.push((
                 cause == EndCause::Error,
                 format!(
                     "{} ended on {name}: {cause:?}, kept {:?}",
-                    task.task, task.kept
+                    task.task, task.checkpointed
                 ),
             ));
         }
-        self.vacate(name, &held, now);
-        self.on_end(now, name, at, &held, cause, task.kept.unwrap_or(false));
+        self.release_attempt(name, &held, now);
+        self.handle_task_end(
+            now,
+            name,
+            at,
+            &held,
+            cause,
+            task.checkpointed.unwrap_or(false),
+        );
     }
 
-    fn on_end(
+    fn handle_task_end(
         &mut self,
         now: f64,
         name: &str,
         at: usize,
-        held: &Held,
+        held: &Attempt,
         cause: EndCause,
         kept: bool,
     ) {
         let open = self.jobs.contains_key(&held.spec.id);
         if cause == EndCause::Done && open && held.spec.shape == Shape::Array {
-            self.learn(held, name, now);
+            self.record_run_time(held, name, now);
             if let Some(worker) = self.workers.get_mut(name) {
-                worker.error_jobs.clear();
+                worker.failed_jobs.clear();
             }
-            let chunk = held.index / self.chunk;
+            let chunk = held.index / self.tasks_per_chunk;
             if let Some(job) = self.jobs.get_mut(&held.spec.id) {
-                job.errors = 0;
-                job.waiting.remove(held.index);
-                job.fresh.remove(held.index);
-                job.resumes.remove(&held.index);
-                if job.finished.insert(held.index) {
-                    job.dirty.insert(chunk);
+                job.consecutive_failures = 0;
+                job.pending.remove(held.index);
+                job.unstarted.remove(held.index);
+                job.resumable.remove(&held.index);
+                if job.completed.insert(held.index) {
+                    job.unsaved_chunks.insert(chunk);
                 }
                 // Finished under an earlier leader, its end is durable.
-                if job.dirty.contains(&chunk) {
-                    job.unsaved.push((held.index, name.to_string()));
-                    self.dirty_jobs.insert(held.spec.id.clone());
+                if job.unsaved_chunks.contains(&chunk) {
+                    job.unsaved_completions.push((held.index, name.to_string()));
+                    self.jobs_with_unsaved_progress.insert(held.spec.id.clone());
                 } else if let Some(worker) = self.workers.get_mut(name) {
-                    worker.held[at].end_durable = true;
+                    worker.attempts[at].end_durable = true;
                 }
             }
             // Other attempts of it are rare.
             let elsewhere: Vec<String> = match self.jobs.get(&held.spec.id) {
-                Some(job) if job.holds.contains_key(&held.index) => {
-                    job.on.keys().cloned().collect()
+                Some(job) if job.attempts_by_task.contains_key(&held.index) => {
+                    job.attempts_by_worker.keys().cloned().collect()
                 }
                 _ => Vec::new(),
             };
@@ -456,14 +487,14 @@
                 let Some(worker) = self.workers.get_mut(&other) else {
                     continue;
                 };
-                self.attention.insert(other);
-                for other in &mut worker.held {
-                    if other.occupies()
+                self.needs_direct_message.insert(other);
+                for other in &mut worker.attempts {
+                    if other.occupies_capacity()
                         && other.index == held.index
                         && other.spec.id == held.spec.id
                         && other.stop.is_none()
                     {
-                        other.stop = Some(Stop {
+                        other.stop = Some(StopDecision {
                             reason: StopReason::Duplicate,
                             at: now,
                         });
@@ -474,22 +505,22 @@
         }
         // Any other end needs nothing durable: the task simply waits again.
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.held[at].end_durable = true;
+            worker.attempts[at].end_durable = true;
         }
         match cause {
             EndCause::Halted | EndCause::Done => {
                 let saved = if kept {
-                    held.saved_s + held.ran_s(now)
+                    held.checkpointed_s + held.run_time_s(now)
                 } else {
-                    self.saved_after_loss(held, now)
+                    self.checkpoint_after_loss(held, now)
                 };
                 self.requeue(held, saved, name, 0.0);
             }
             EndCause::Error | EndCause::NoSuch | EndCause::Unknown => {
                 let errors = match self.jobs.get_mut(&held.spec.id) {
                     Some(job) => {
-                        job.errors = (job.errors + 1).min(64);
-                        job.errors
+                        job.consecutive_failures = (job.consecutive_failures + 1).min(64);
+                        job.consecutive_failures
                     }
                     None => 1,
                 };
@@ -497,31 +528,39 @@
                 // little; a job that fails everywhere must not keep machines
                 // busy.
                 let doublings = (errors / 4).min(4);
-                let wait = self.cfg.report_s * f64::from(1u32 << doublings);
-                let saved = self.saved_after_loss(held, now);
+                let wait = self.config.heartbeat_interval_s * f64::from(1u32 << doublings);
+                let saved = self.checkpoint_after_loss(held, now);
                 self.requeue(held, saved, name, now + wait);
                 if cause == EndCause::Error
                     && let Some(worker) = self.workers.get_mut(name)
                 {
-                    worker.error_jobs.insert(held.spec.id.clone());
-                    if worker.error_jobs.len() >= 2 && worker.leaving.is_none() {
+                    worker.failed_jobs.insert(held.spec.id.clone());
+                    if worker.failed_jobs.len() >= 2 && worker.leaving.is_none() {
                         worker.leaving = Some((LeaveReason::Faulty, now));
                     }
                 }
             }
             EndCause::NoRoom | EndCause::Busy => {
-                self.requeue(held, held.saved_s, name, now + self.cfg.report_s * 0.5);
+                self.requeue(
+                    held,
+                    held.checkpointed_s,
+                    name,
+                    now + self.config.heartbeat_interval_s * 0.5,
+                );
             }
         }
     }
 
-    fn learn(&mut self, held: &Held, name: &str, now: f64) {
-        let whole = held.saved_s + held.ran_s(now);
-        if held.spec.expected_s <= 0.0 || held.inherited || held.running_since.is_none() {
+    fn record_run_time(&mut self, held: &Attempt, name: &str, now: f64) {
+        let whole = held.checkpointed_s + held.run_time_s(now);
+        if held.spec.expected_s <= 0.0 || held.restored || held.running_since.is_none() {
             return;
         }
         let ratio = (whole / held.spec.expected_s).clamp(0.1, 10.0);
-        let pace = self.paces.entry(held.spec.class.clone()).or_default();
+        let pace = self
+            .runtime_ratios
+            .entry(held.spec.class.clone())
+            .or_default();
         // Old days fade: the last fifty or so tasks count.
         pace.ratio_sum = pace.ratio_sum * 0.98 + ratio;
         pace.count = pace.count * 0.98 + 1.0;
@@ -530,11 +569,14 @@
         let Some(job) = self.jobs.get_mut(&held.spec.id) else {
             return;
         };
-        let here = job.measured.entry(name.to_string()).or_default();
+        let here = job
+            .run_times_by_machine
+            .entry(name.to_string())
+            .or_default();
         here.0 += whole;
         here.1 += 1;
         let (sum, count) = job
-            .measured
+            .run_times_by_machine
             .iter()
             .filter(|(other, _)| *other != name)
             .fold((0.0, 0), |a, (_, m)| (a.0 + m.0, a.1 + m.1));
@@ -542,46 +584,46 @@
             && sum > 0.0
             && let Some(worker) = self.workers.get_mut(name)
         {
-            worker.pace.0 += whole / (sum / f64::from(count));
-            worker.pace.1 += 1;
+            worker.runtime_ratio.0 += whole / (sum / f64::from(count));
+            worker.runtime_ratio.1 += 1;
         }
     }
 
     /// Measured over expected run time of a class, leaning on 1 while little
     /// is known.
     #[must_use]
-    pub fn class_ratio(&self, class: &str) -> f64 {
-        let pace = self.paces.get(class).copied().unwrap_or_default();
+    pub fn runtime_ratio(&self, class: &str) -> f64 {
+        let pace = self.runtime_ratios.get(class).copied().unwrap_or_default();
         ((pace.ratio_sum + 5.0) / (pace.count + 5.0)).clamp(0.4, 2.5)
     }
 }
 
 /// Whether a report shows a worker's attempts just as they are known, all of
 /// them and no others, with nothing left to be seen of them.
-fn says_nothing_new(worker: &Worker, tasks: &[TaskReport]) -> bool {
-    worker.strays.is_empty()
-        && worker.held.len() == tasks.len()
+fn is_unchanged(worker: &Worker, tasks: &[TaskStatus]) -> bool {
+    worker.orphaned_attempts.is_empty()
+        && worker.attempts.len() == tasks.len()
         && tasks.iter().all(|t| {
-            let known = worker.held.iter().find(|h| h.attempt == t.attempt);
+            let known = worker.attempts.iter().find(|h| h.number == t.attempt);
             known.is_some_and(|h| {
-                h.phase == Phase::On(t.state)
+                h.phase == AttemptPhase::Observed(t.state)
                     && h.stop.is_none()
                     && (t.state == TaskState::Fetching || h.running_since.is_some())
-                    && h.is_called(&t.task)
+                    && h.has_task_name(&t.task)
             })
         })
 }
 
 /// A report's place among its worker's messages.
-fn mark_of(report: &Report) -> Mark {
-    Mark {
-        session: report.session,
-        seq: report.seq,
+fn sequence_mark(report: &Heartbeat) -> SequenceMark {
+    SequenceMark {
+        incarnation: report.incarnation,
+        sequence: report.sequence,
     }
 }
 
 /// Job id and task number.
-fn split_task(name: &str) -> Option<(&str, u32)> {
+fn parse_task_name(name: &str) -> Option<(&str, u32)> {
     let (id, index) = name.rsplit_once('/')?;
     Some((id, index.parse().ok()?))
 }
--- a/crates/tallygauge-scheduler/src/lib.rs
+++ b/crates/tallygauge-scheduler/src/lib.rs
@@ -27,22 +27,22 @@
 #[cfg(test)]
 mod tests;
 
-pub use batch_deadlines::Cutoff;
-pub use cluster_state::Cluster;
+pub use batch_deadlines::CutoffStatus;
+pub use cluster_state::ClusterState;
 pub use commands::DirectMessage;
-pub use completion_pages::{PageFlush, PageRecord, PageWrite, Pages, Part};
-pub use heartbeats::{Source, Verdict};
-pub use minimum_share::Standing;
+pub use completion_pages::{ChunkId, CompletionPageRecord, CompletionPages, PageFlush, PageWrite};
+pub use heartbeats::{HeartbeatOutcome, HeartbeatSource};
+pub use minimum_share::GroupStatus;
 pub use model::*;
-pub use pending_reasons::{Reason, Why};
-pub use placements::Batch;
+pub use pending_reasons::{PendingExplanation, PendingReason};
+pub use placements::PlacementBatch;
 pub use progress::{Completion, Flush};
 pub use range_set::RangeSet;
-pub use scale_out::{Rental, SpotKind};
-pub use tallygauge_deadlines::{Book as CalendarBook, Days, Rule as CutoffRule};
-pub use tallygauge_fairness::{Kind, Record as FloorRecord};
-pub use tallygauge_health::{Hearing, Mark};
-pub use tallygauge_locality::{Part as ImagesPart, Spread};
+pub use scale_out::{MachineKind, Rental};
+pub use tallygauge_deadlines::{CutoffDays, CutoffRule, DeadlineTracker as CalendarBook};
+pub use tallygauge_fairness::{GroupKind, ServiceCountsRecord as FloorRecord};
+pub use tallygauge_health::{Reachability, SequenceMark};
+pub use tallygauge_locality::{ImageLocations as ImagesPart, ReplicaSpread};
 pub use tallygauge_priority::{
-    Change as LedgerChange, Declared, HIGHEST, Ledger, Rule as RankRule,
+    DeclaredRules, MAX_RANK, PriorityRules, RankRule, RulesChange as LedgerChange,
 };
--- a/crates/tallygauge-scheduler/src/mapping/ordering.rs
+++ b/crates/tallygauge-scheduler/src/mapping/ordering.rs
@@ -4,24 +4,24 @@
 
 /// What comes first: work within its guarantee, then UPT, then age.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Rank {
-    pub(crate) within: bool,
+pub(crate) struct PlacementOrder {
+    pub(crate) within_guarantee: bool,
     pub(crate) upt: f64,
     pub(crate) accepted_at: f64,
 }
 
-impl Eq for Rank {}
+impl Eq for PlacementOrder {}
 
-impl PartialOrd for Rank {
+impl PartialOrd for PlacementOrder {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Rank {
+impl Ord for PlacementOrder {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.within
-            .cmp(&other.within)
+        self.within_guarantee
+            .cmp(&other.within_guarantee)
             .then(self.upt.total_cmp(&other.upt))
             .then(other.accepted_at.total_cmp(&self.accepted_at))
     }
--- a/crates/tallygauge-scheduler/src/model/capacity.rs
+++ b/crates/tallygauge-scheduler/src/model/capacity.rs
@@ -3,24 +3,26 @@
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
 /// Slack for sums of decimal amounts.
-pub(crate) const EPS: f64 = 1e-6;
+pub(crate) const EPSILON: f64 = 1e-6;
 
 /// How many times `need` goes into what there is.
-pub(crate) fn fit(have: f64, need: f64) -> u32 {
+pub(crate) fn count_fitting(have: f64, need: f64) -> u32 {
     if need > 0.0 {
-        ((have + EPS) / need).max(0.0) as u32
+        ((have + EPSILON) / need).max(0.0) as u32
     } else {
         u32::MAX
     }
 }
 
-pub(crate) fn fits(spec: &JobSpec, cpus: f64, gpus: f64, memory_gb: f64) -> bool {
-    spec.cpus <= cpus + EPS && spec.gpus <= gpus + EPS && spec.memory_gb <= memory_gb + EPS
+pub(crate) fn task_fits(spec: &JobSpec, cpus: f64, gpus: f64, memory_gb: f64) -> bool {
+    spec.cpus <= cpus + EPSILON
+        && spec.gpus <= gpus + EPSILON
+        && spec.memory_gb <= memory_gb + EPSILON
 }
 
 /// An amount of a machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Room {
+pub struct Resources {
     /// CPUs.
     pub cpus: f64,
     /// GPUs.
@@ -29,7 +31,7 @@
     pub memory_gb: f64,
 }
 
-impl Room {
+impl Resources {
     /// All of a machine type.
     #[must_use]
     pub fn of_type(t: &MachineType) -> Self {
@@ -40,11 +42,11 @@
         }
     }
 
-    pub(crate) fn holds(&self, spec: &JobSpec) -> bool {
-        fits(spec, self.cpus, self.gpus, self.memory_gb)
+    pub(crate) fn can_fit(&self, spec: &JobSpec) -> bool {
+        task_fits(spec, self.cpus, self.gpus, self.memory_gb)
     }
 
-    pub(crate) fn add(&mut self, spec: &JobSpec, sign: f64) {
+    pub(crate) fn add_scaled(&mut self, spec: &JobSpec, sign: f64) {
         self.cpus += sign * spec.cpus;
         self.gpus += sign * spec.gpus;
         self.memory_gb += sign * spec.memory_gb;
--- a/crates/tallygauge-scheduler/src/model/job.rs
+++ b/crates/tallygauge-scheduler/src/model/job.rs
@@ -5,22 +5,22 @@
     collections::{BTreeMap, BTreeSet},
     sync::Arc,
 };
-use tallygauge_deadlines::Due;
+use tallygauge_deadlines::CutoffWindow;
 use tallygauge_protocol::users::{JobSpec, Shape};
 
 /// A task that waits with something of its own: progress, or a reason to wait.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Resume {
+pub struct ResumableTask {
     /// Number of the task.
     pub index: u32,
     /// Saved progress.
-    pub saved_s: f64,
+    pub checkpointed_s: f64,
     /// Machine type that the progress is for.
     pub machine_type: Option<String>,
     /// Not before this time.
     pub not_before: f64,
     /// A machine it failed on.
-    pub avoid: Option<String>,
+    pub avoid_machine: Option<String>,
 }
 
 /// An open job.
@@ -35,56 +35,56 @@
     /// Its team's place in the configuration.
     pub team: usize,
     /// Places of its class and its team in the floor's book.
-    pub places: [usize; 2],
+    pub group_ids: [usize; 2],
     /// A task of it has run.
     pub started: bool,
     /// Tasks that are done.
-    pub finished: RangeSet,
+    pub completed: RangeSet,
     /// Chunks of `finished` that are not durable yet.
-    pub dirty: BTreeSet<u32>,
+    pub unsaved_chunks: BTreeSet<u32>,
     /// Ends that wait to be made durable: task and worker.
-    pub unsaved: Vec<(u32, String)>,
+    pub unsaved_completions: Vec<(u32, String)>,
     /// Tasks that wait and have nothing of their own.
-    pub waiting: RangeSet,
+    pub pending: RangeSet,
     /// Tasks that wait and have, by number.
-    pub resumes: BTreeMap<u32, Resume>,
+    pub resumable: BTreeMap<u32, ResumableTask>,
     /// How many attempts occupy a machine, by task.
-    pub holds: BTreeMap<u32, u32>,
+    pub attempts_by_task: BTreeMap<u32, u32>,
     /// How many attempts occupy a machine, by zone.
-    pub zones: BTreeMap<String, u32>,
+    pub attempts_by_zone: BTreeMap<String, u32>,
     /// How many attempts each worker knows, ended ones too.
-    pub on: BTreeMap<String, u32>,
+    pub attempts_by_worker: BTreeMap<String, u32>,
     /// Failures since the last success.
-    pub errors: u32,
+    pub consecutive_failures: u32,
     /// Run times of its tasks by machine: sum and number.
-    pub measured: BTreeMap<String, (f64, u32)>,
+    pub run_times_by_machine: BTreeMap<String, (f64, u32)>,
     /// Tasks of which no attempt has run for long enough to count, as far as
     /// this leader knows.
-    pub fresh: RangeSet,
+    pub unstarted: RangeSet,
     /// The cutoff that it counts for.
-    pub due: Option<Due>,
+    pub cutoff: Option<CutoffWindow>,
     /// Time of day when it was accepted, as its record says.
-    pub accepted_day: Option<f64>,
+    pub accepted_time_of_day: Option<f64>,
     /// How far it is raised within the step of its urgency, 0 to 1.
-    pub rise: f64,
+    pub boost: f64,
 }
 
 impl Job {
     /// Whether all its tasks are done.
     #[must_use]
-    pub fn complete(&self) -> bool {
-        self.spec.shape == Shape::Array && self.finished.len() == self.spec.tasks
+    pub fn is_complete(&self) -> bool {
+        self.spec.shape == Shape::Array && self.completed.len() == self.spec.tasks
     }
 
     /// Whether a task of it waits.
-    pub(crate) fn waits(&self) -> bool {
-        !self.waiting.is_empty() || !self.resumes.is_empty()
+    pub(crate) fn has_pending_tasks(&self) -> bool {
+        !self.pending.is_empty() || !self.resumable.is_empty()
     }
 
     /// Tasks that are not done.
     #[must_use]
     pub fn unfinished(&self) -> u32 {
-        self.spec.tasks - self.finished.len()
+        self.spec.tasks - self.completed.len()
     }
 
     /// Whether a task of the job may be on such a machine, given how many of its
@@ -96,7 +96,7 @@
         spot: bool,
         zones: &BTreeMap<String, u32>,
     ) -> bool {
-        let types = self.spec.types.as_ref();
+        let types = self.spec.machine_types.as_ref();
         (self.spec.spot || !spot)
             && types.is_none_or(|t| t.iter().any(|name| name == machine_type))
             && self.zone_allowed(zone, zones)
--- a/crates/tallygauge-scheduler/src/model/records.rs
+++ b/crates/tallygauge-scheduler/src/model/records.rs
@@ -5,24 +5,24 @@
 /// A durable batch of placements, as one round made them. It is written once,
 /// never changed, and removed when all its attempts are over.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct BatchRecord {
+pub struct PlacementBatchRecord {
     /// Time of day of the placements, seconds.
     #[serde(rename = "t")]
-    pub placed: u64,
+    pub placed_at: u64,
     /// Least attempt; the others are told from it.
     #[serde(rename = "a")]
-    pub base: u64,
+    pub first_attempt: u64,
     /// Jobs.
     #[serde(rename = "j")]
-    pub jobs: Vec<JobRecord>,
+    pub jobs: Vec<PlacedJobRecord>,
     /// Workers with their attempts.
     #[serde(rename = "w")]
-    pub workers: Vec<WorkerRecord>,
+    pub workers: Vec<PlacedWorkerRecord>,
 }
 
 /// What a batch keeps of a job: enough to count its tasks when it is over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct JobRecord {
+pub struct PlacedJobRecord {
     /// Id.
     #[serde(rename = "j")]
     pub id: String,
@@ -31,12 +31,12 @@
     pub team: String,
     /// CPUs, GPUs and memory of a task.
     #[serde(rename = "r")]
-    pub room: (f64, f64, f64),
+    pub resources: (f64, f64, f64),
 }
 
 /// A worker in a batch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct WorkerRecord {
+pub struct PlacedWorkerRecord {
     /// Name.
     #[serde(rename = "n")]
     pub name: String,
@@ -54,7 +54,7 @@
     pub spot: bool,
     /// Session.
     #[serde(rename = "s")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Attempts: place of the job in the batch, number of the task, attempt
     /// above the least, progress it began with in whole seconds.
     #[serde(rename = "t")]
--- a/crates/tallygauge-scheduler/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
-use tallygauge_health::{Hearing, Order};
+use tallygauge_health::{MessageOrder, Reachability};
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
 /// Why a machine is to be returned.
@@ -11,7 +11,7 @@
     /// Nothing to do for it.
     Idle,
     /// It did not come up.
-    NoBoot,
+    BootTimeout,
     /// It stopped by itself.
     Failed,
     /// Tasks fail on it.
@@ -23,7 +23,7 @@
     /// Nothing was heard of it for long.
     Silent,
     /// It reports, but what is sent to it does not reach it.
-    Deaf,
+    Unreachable,
 }
 
 /// A machine, and the worker on it.
@@ -44,41 +44,41 @@
     /// Since when it is known to exist.
     pub known_at: f64,
     /// Session of the newest report; 0 before the first.
-    pub session: u64,
+    pub incarnation: u64,
     /// Its messages so far.
-    pub order: Order,
+    pub message_order: MessageOrder,
     /// Highest token that it has shown.
-    pub token: u64,
+    pub fencing_token: u64,
     /// Whether what is sent to it reaches it.
-    pub hearing: Hearing,
+    pub reachability: Reachability,
     /// Since when it has been heard without a pause of some report intervals.
-    pub steady_since: f64,
+    pub heartbeats_steady_since: f64,
     /// The answer to its last check-in carried something that the next one must
     /// show: our token, or what is `carried`.
-    pub owes: bool,
+    pub acknowledgement_due: bool,
     /// When the session was first heard of.
-    pub session_at: f64,
+    pub incarnation_seen_at: f64,
     /// When the list first called the machine running: its worker may be out
     /// of reach, but it has come up.
     pub booted_at: Option<f64>,
     /// Sessions up to this one are surely over.
-    pub dead_session: u64,
+    pub last_dead_incarnation: u64,
     /// When a report first showed our token.
-    pub fenced_at: Option<f64>,
+    pub fencing_token_seen_at: Option<f64>,
     /// When a report was last answered.
-    pub answered_at: f64,
+    pub lease_renewed_at: f64,
     /// When anything was last heard.
-    pub heard_at: f64,
+    pub last_heartbeat_at: f64,
     /// When the cloud takes it.
-    pub notice_until: Option<f64>,
+    pub spot_notice_until: Option<f64>,
     /// Attempts on it.
-    pub held: Vec<Held>,
+    pub attempts: Vec<Attempt>,
     /// Attempts on it that nobody placed: stopped and cleared.
-    pub strays: Vec<(String, u64, bool)>,
+    pub orphaned_attempts: Vec<(String, u64, bool)>,
     /// Free room.
-    pub free: Room,
+    pub free_resources: Resources,
     /// Images that it has or fetches.
-    pub images: Images,
+    pub images: ImageCache,
     /// To be returned, and since when.
     pub leaving: Option<(LeaveReason, f64)>,
     /// More than open work needs: the last choice for new tasks, and returned
@@ -87,50 +87,52 @@
     /// The return was sent; the machine may go at any time.
     pub return_sent: bool,
     /// A direct message waits for an answer.
-    pub direct_busy: bool,
+    pub direct_message_in_flight: bool,
     /// Direct messages that went unanswered in a row.
     pub direct_failures: u32,
     /// No direct message before this time.
-    pub direct_after: f64,
+    pub next_direct_message_at: f64,
     /// Since when it has nothing on it.
     pub idle_since: f64,
     /// Jobs that failed on it since the last success.
-    pub error_jobs: BTreeSet<String>,
+    pub failed_jobs: BTreeSet<String>,
     /// Sum of measured over expected run times, and their number.
-    pub pace: (f64, u32),
+    pub runtime_ratio: (f64, u32),
 }
 
 impl Worker {
     /// Whether tasks may be placed on it.
     #[must_use]
-    pub fn usable(&self, now: f64, cfg: &Config) -> bool {
-        self.session > self.dead_session
-            && self.fenced_at.is_some()
+    pub fn accepts_work(&self, now: f64, cfg: &Config) -> bool {
+        self.incarnation > self.last_dead_incarnation
+            && self.fencing_token_seen_at.is_some()
             && self.leaving.is_none()
-            && self.notice_until.is_none()
-            && now - self.heard_at < cfg.quiet_s()
-            && self.hearing.trusted(now, &cfg.hearing())
+            && self.spot_notice_until.is_none()
+            && now - self.last_heartbeat_at < cfg.heartbeat_timeout_s()
+            && self
+                .reachability
+                .accepts_work(now, &cfg.reachability_thresholds())
     }
 
     /// Whether it has reported to this leader.
     #[must_use]
-    pub fn up(&self) -> bool {
-        self.session > 0
+    pub fn is_up(&self) -> bool {
+        self.incarnation > 0
     }
 }
 
 /// Images on a machine.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Images {
+pub struct ImageCache {
     /// Those it should hold, least recently used first.
     pub cached: Vec<(String, f64)>,
     /// Those it fetches now, and when each should be there.
     pub fetching: BTreeMap<String, f64>,
 }
 
-impl Images {
+impl ImageCache {
     /// Marks an image as used now, dropping the least used above the cache.
-    pub(crate) fn touch(&mut self, image: &str, gb: f64, cache_gb: f64) {
+    pub(crate) fn mark_used(&mut self, image: &str, gb: f64, cache_gb: f64) {
         self.cached.retain(|i| i.0 != image);
         self.cached.push((image.to_string(), gb));
         let mut total: f64 = self.cached.iter().map(|i| i.1).sum();
@@ -154,27 +156,29 @@
 
     /// A task that needs an image is placed: the image is fetched if it is not
     /// there.
-    pub(crate) fn want(&mut self, spec: &JobSpec, t: &MachineType, now: f64) {
+    pub(crate) fn request(&mut self, spec: &JobSpec, t: &MachineType, now: f64) {
         let fetch = self.fetch_s(&spec.image, spec.image_gb, t.fetch_gb_per_s, now);
         if fetch > 0.0 {
             self.fetching
                 .entry(spec.image.clone())
                 .or_insert(now + fetch);
         }
-        self.touch(&spec.image, spec.image_gb, t.cache_gb);
+        self.mark_used(&spec.image, spec.image_gb, t.cache_gb);
     }
 
     /// A task waits for an image: if it was believed to be there, it is fetched
     /// all the same, and there at that time at the earliest.
-    pub(crate) fn lacks(&mut self, image: &str, at: f64) {
+    pub(crate) fn note_missing(&mut self, image: &str, at: f64) {
         if !self.fetching.contains_key(image) {
             self.fetching.insert(image.to_string(), at);
         }
     }
 
     /// A fetch that no task waits for any more is given up.
-    pub(crate) fn drop_fetch(&mut self, image: &str, held: &[Held]) {
-        let wanted = held.iter().any(|h| h.occupies() && h.spec.image == image);
+    pub(crate) fn cancel_unneeded_fetch(&mut self, image: &str, held: &[Attempt]) {
+        let wanted = held
+            .iter()
+            .any(|h| h.occupies_capacity() && h.spec.image == image);
         if !wanted && self.fetching.remove(image).is_some() {
             self.cached.retain(|i| i.0 != image);
         }
--- a/crates/tallygauge-scheduler/src/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/pending_reasons.rs
@@ -1,12 +1,12 @@
 //! Why tasks of a job wait, and where the others stand, for people who ask.
 
-use crate::{cluster_state::Cluster, mapping::Group, model::*};
+use crate::{cluster_state::ClusterState, mapping::Group, model::*};
 use std::collections::{BTreeSet, HashSet};
 use tallygauge_protocol::workers::TaskState;
 
 /// One reason why tasks of a job do not run.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Reason {
+pub enum PendingReason {
     /// The team uses as much as its limit allows.
     TeamLimit {
         /// CPUs that its tasks use.
@@ -82,42 +82,42 @@
 
 /// What becomes of a job's tasks.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Why {
+pub struct PendingExplanation {
     /// Tasks that have no machine.
-    pub waiting: usize,
+    pub pending_tasks: usize,
     /// Whether the job fits its team's guarantee.
     pub within_guarantee: bool,
     /// Reasons, the most telling first.
-    pub reasons: Vec<Reason>,
+    pub reasons: Vec<PendingReason>,
 }
 
-impl Cluster {
+impl ClusterState {
     /// Why tasks of an open job wait. Looks at all machines and jobs once.
     #[must_use]
-    pub fn why(&self, id: &str, now: f64) -> Option<Why> {
+    pub fn explain_pending(&self, id: &str, now: f64) -> Option<PendingExplanation> {
         let job = self.jobs.get(id)?;
-        let within = self.within_guarantee();
+        let within = self.jobs_within_guarantee();
         let mut reasons = Vec::new();
-        let later: Vec<&Resume> = job
-            .resumes
+        let later: Vec<&ResumableTask> = job
+            .resumable
             .values()
             .filter(|r| r.not_before > now)
             .collect();
-        let waiting = job.waiting.len() as usize + job.resumes.len();
+        let waiting = job.pending.len() as usize + job.resumable.len();
         if waiting > later.len() {
             self.why_not_placed(job, &within, now, &mut reasons);
         }
         if !later.is_empty() {
             let next = later.iter().map(|r| r.not_before).fold(f64::MAX, f64::min);
-            reasons.push(Reason::Retry {
+            reasons.push(PendingReason::Retry {
                 tasks: later.len(),
                 next_s: next - now,
-                errors: job.errors,
+                errors: job.consecutive_failures,
             });
         }
         self.why_not_running(job, now, &mut reasons);
-        Some(Why {
-            waiting,
+        Some(PendingExplanation {
+            pending_tasks: waiting,
             within_guarantee: within.contains(id),
             reasons,
         })
@@ -128,67 +128,73 @@
         job: &Job,
         within: &HashSet<&str>,
         now: f64,
-        reasons: &mut Vec<Reason>,
+        reasons: &mut Vec<PendingReason>,
     ) {
         let spec = &job.spec;
-        let (team, used) = (&self.cfg.teams[job.team], &self.ledgers[job.team]);
-        let cpus = fit(team.cpus_max - used.cpus, spec.cpus);
-        let gpus = fit(team.gpus_max - used.gpus, spec.gpus);
+        let (team, used) = (&self.config.teams[job.team], &self.quota_usage[job.team]);
+        let cpus = count_fitting(team.max_cpus - used.cpus, spec.cpus);
+        let gpus = count_fitting(team.max_gpus - used.gpus, spec.gpus);
         if cpus.min(gpus) == 0 {
-            reasons.push(Reason::TeamLimit {
+            reasons.push(PendingReason::TeamLimit {
                 cpus: used.cpus,
-                cpus_max: team.cpus_max,
+                cpus_max: team.max_cpus,
                 gpus: used.gpus,
-                gpus_max: team.gpus_max,
+                gpus_max: team.max_gpus,
             });
         }
         let (mut machines, mut room, mut coming, mut leaving) = (0, 0, 0, 0);
         for w in self.workers.values() {
-            let large = self.types.get(&w.machine_type);
-            if !job.allows(&w.machine_type, &w.zone, w.spot, &job.zones)
-                || !large.is_some_and(|t| Room::of_type(t).holds(spec))
+            let large = self.machine_types.get(&w.machine_type);
+            if !job.allows(&w.machine_type, &w.zone, w.spot, &job.attempts_by_zone)
+                || !large.is_some_and(|t| Resources::of_type(t).can_fit(spec))
             {
                 continue;
             }
-            if w.usable(now, &self.cfg) {
+            if w.accepts_work(now, &self.config) {
                 machines += 1;
-                room += usize::from(w.free.holds(spec));
-            } else if w.leaving.is_some() || w.notice_until.is_some() {
+                room += usize::from(w.free_resources.can_fit(spec));
+            } else if w.leaving.is_some() || w.spot_notice_until.is_some() {
                 leaving += 1;
-            } else if !w.up() {
+            } else if !w.is_up() {
                 coming += 1;
             }
         }
         if room == 0 {
-            reasons.push(Reason::NoRoom {
+            reasons.push(PendingReason::NoRoom {
                 machines,
                 coming,
                 leaving,
             });
-            let refused = self.blocked.iter().filter(|((t, zone, spot), (until, _))| {
-                *until > now
-                    && job.allows(t, zone, *spot, &job.zones)
-                    && self
-                        .types
-                        .get(t)
-                        .is_some_and(|t| Room::of_type(t).holds(spec))
-            });
+            let refused = self
+                .capacity_backoff
+                .iter()
+                .filter(|((t, zone, spot), (until, _))| {
+                    *until > now
+                        && job.allows(t, zone, *spot, &job.attempts_by_zone)
+                        && self
+                            .machine_types
+                            .get(t)
+                            .is_some_and(|t| Resources::of_type(t).can_fit(spec))
+                });
             let untils: Vec<f64> = refused.map(|(_, (until, _))| *until).collect();
             if let Some(first) = untils.iter().copied().reduce(f64::min) {
-                reasons.push(Reason::NoCapacity {
+                reasons.push(PendingReason::NoCapacity {
                     kinds: untils.len(),
                     again_s: first - now,
                 });
             }
         }
-        let (groups, _) = self.groups(now);
+        let (groups, _) = self.pending_groups(now);
         let rank = |g: &Group| {
-            let saved = g.resume.map_or(0.0, |r| r.saved_s);
-            let left = self.remaining(g.job, saved);
-            let upt = self.worth(g.job, now + left * 0.5) / left;
+            let saved = g.resumable.map_or(0.0, |r| r.checkpointed_s);
+            let left = self.remaining_s(g.job, saved);
+            let upt = self.utility(g.job, now + left * 0.5) / left;
             (within.contains(g.job.spec.id.as_str()), upt)
         };
-        let ours = rank(&Group { job, resume: None });
+        let ours = rank(&Group {
+            job,
+            resumable: None,
+        });
         let ahead = |g: &&Group| {
             let theirs = rank(g);
             g.job.spec.id != spec.id
@@ -201,39 +207,44 @@
         let (mut jobs, mut tasks) = (BTreeSet::new(), 0);
         for group in groups.iter().filter(ahead) {
             jobs.insert(group.job.spec.id.as_str());
-            tasks += match group.resume {
+            tasks += match group.resumable {
                 Some(_) => 1,
-                None => group.job.waiting.len() as usize,
+                None => group.job.pending.len() as usize,
             };
         }
         if tasks > 0 {
-            reasons.push(Reason::Behind {
+            reasons.push(PendingReason::Behind {
                 jobs: jobs.len(),
                 tasks,
             });
         }
         if room > 0 {
-            reasons.push(Reason::Room { machines: room });
+            reasons.push(PendingReason::Room { machines: room });
         }
     }
 
-    fn why_not_running(&self, job: &Job, now: f64, reasons: &mut Vec<Reason>) {
+    fn why_not_running(&self, job: &Job, now: f64, reasons: &mut Vec<PendingReason>) {
         let (mut starting, mut fetching, mut stopping, mut lost) = (0, 0, 0, 0);
         let mut over_s: f64 = 0.0;
-        for worker in job.on.keys().filter_map(|name| self.workers.get(name)) {
-            let quiet = now - worker.heard_at.max(self.term_at) >= self.cfg.report_s * 2.5;
-            let ours = |h: &&Held| h.spec.id == job.spec.id && h.occupies();
-            for held in worker.held.iter().filter(ours) {
+        for worker in job
+            .attempts_by_worker
+            .keys()
+            .filter_map(|name| self.workers.get(name))
+        {
+            let quiet = now - worker.last_heartbeat_at.max(self.term_started_at)
+                >= self.config.heartbeat_interval_s * 2.5;
+            let ours = |h: &&Attempt| h.spec.id == job.spec.id && h.occupies_capacity();
+            for held in worker.attempts.iter().filter(ours) {
                 if quiet {
                     lost += 1;
-                    over_s = over_s.max(self.session_end(worker) - now);
+                    over_s = over_s.max(self.lease_expiry(worker) - now);
                 } else if held.stop.is_some() {
                     stopping += 1;
                 } else {
                     match held.phase {
-                        Phase::On(TaskState::Fetching) => fetching += 1,
-                        Phase::Planned | Phase::Recorded => starting += 1,
-                        Phase::On(_) | Phase::Ended(_) => {}
+                        AttemptPhase::Observed(TaskState::Fetching) => fetching += 1,
+                        AttemptPhase::Planned | AttemptPhase::Recorded => starting += 1,
+                        AttemptPhase::Observed(_) | AttemptPhase::Ended(_) => {}
                     }
                 }
             }
@@ -241,14 +252,14 @@
         let found = [
             (
                 lost,
-                Reason::OutOfReach {
+                PendingReason::OutOfReach {
                     tasks: lost,
                     over_s,
                 },
             ),
-            (fetching, Reason::Fetching { tasks: fetching }),
-            (starting, Reason::Starting { tasks: starting }),
-            (stopping, Reason::Stopping { tasks: stopping }),
+            (fetching, PendingReason::Fetching { tasks: fetching }),
+            (starting, PendingReason::Starting { tasks: starting }),
+            (stopping, PendingReason::Stopping { tasks: stopping }),
         ];
         reasons.extend(found.into_iter().filter(|f| f.0 > 0).map(|f| f.1));
     }
--- a/crates/tallygauge-scheduler/src/progress.rs
+++ b/crates/tallygauge-scheduler/src/progress.rs
@@ -1,8 +1,8 @@
 //! Progress of jobs that is to be made durable.
 
 use crate::{
-    cluster_state::Cluster,
-    completion_pages::{PageFlush, Part},
+    cluster_state::ClusterState,
+    completion_pages::{ChunkId, PageFlush},
     range_set::RangeSet,
 };
 use std::collections::BTreeSet;
@@ -24,16 +24,19 @@
     /// Pages to be written.
     pub pages: PageFlush,
     /// What of each changed part they hold.
-    parts: Vec<(Part, RangeSet)>,
+    parts: Vec<(ChunkId, RangeSet)>,
 }
 
-impl Cluster {
+impl ClusterState {
     /// Jobs whose end is not durable, but for those whose record is being
     /// written.
     #[must_use]
     pub fn completions(&self, most: usize, sent: &BTreeSet<String>) -> Vec<Completion> {
-        let jobs = self.dirty_jobs.iter().filter_map(|id| self.jobs.get(id));
-        jobs.filter(|j| j.complete() && !sent.contains(&j.spec.id))
+        let jobs = self
+            .jobs_with_unsaved_progress
+            .iter()
+            .filter_map(|id| self.jobs.get(id));
+        jobs.filter(|j| j.is_complete() && !sent.contains(&j.spec.id))
             .take(most)
             .map(|j| Completion {
                 job: j.spec.id.clone(),
@@ -45,24 +48,26 @@
 
     /// Progress of jobs that are not complete, as much as fits `most` pages and
     /// `bytes`.
-    pub fn flush(&mut self, most: usize, bytes: usize) -> Option<Flush> {
-        let mut changed: Vec<Part> = Vec::new();
-        for id in &self.dirty_jobs {
-            if let Some(job) = self.jobs.get(id).filter(|j| !j.complete()) {
-                changed.extend(job.dirty.iter().map(|c| (id.clone(), *c)));
+    pub fn next_flush(&mut self, most: usize, bytes: usize) -> Option<Flush> {
+        let mut changed: Vec<ChunkId> = Vec::new();
+        for id in &self.jobs_with_unsaved_progress {
+            if let Some(job) = self.jobs.get(id).filter(|j| !j.is_complete()) {
+                changed.extend(job.unsaved_chunks.iter().map(|c| (id.clone(), *c)));
             }
         }
         if changed.is_empty() {
             return None;
         }
-        let (jobs, chunk) = (&self.jobs, self.chunk);
-        let content = |part: &Part| match jobs.get(&part.0) {
-            Some(job) => job.finished.within(part.1 * chunk, (part.1 + 1) * chunk),
+        let (jobs, chunk) = (&self.jobs, self.tasks_per_chunk);
+        let content = |part: &ChunkId| match jobs.get(&part.0) {
+            Some(job) => job.completed.within(part.1 * chunk, (part.1 + 1) * chunk),
             None => RangeSet::default(),
         };
-        let pages = self.pages.write(&changed, most, bytes, content);
-        let parts: Vec<(Part, RangeSet)> = pages
-            .parts
+        let pages = self
+            .completion_pages
+            .prepare_flush(&changed, most, bytes, content);
+        let parts: Vec<(ChunkId, RangeSet)> = pages
+            .chunks
             .iter()
             .map(|p| (p.clone(), content(p)))
             .collect();
@@ -70,36 +75,38 @@
     }
 
     /// A flush was made at `revision`: its tasks may be cleared.
-    pub fn flushed(&mut self, flush: &Flush, revision: u64) {
+    pub fn record_flushed(&mut self, flush: &Flush, revision: u64) {
         for write in &flush.pages.writes {
-            self.pages.written(write, revision);
+            self.completion_pages.mark_written(write, revision);
         }
         let mut ends = Vec::new();
         for ((id, number), written) in &flush.parts {
             let Some(job) = self.jobs.get_mut(id) else {
                 continue;
             };
-            let low = number * self.chunk;
-            if job.finished.within(low, low + self.chunk) == *written {
-                job.dirty.remove(number);
+            let low = number * self.tasks_per_chunk;
+            if job.completed.within(low, low + self.tasks_per_chunk) == *written {
+                job.unsaved_chunks.remove(number);
             }
-            let saved = job.unsaved.extract_if(.., |u| written.contains(u.0));
+            let saved = job
+                .unsaved_completions
+                .extract_if(.., |u| written.contains(u.0));
             ends.extend(saved.map(|(index, worker)| (id.as_str(), index, worker)));
-            if job.dirty.is_empty() && !job.complete() {
-                self.dirty_jobs.remove(id);
+            if job.unsaved_chunks.is_empty() && !job.is_complete() {
+                self.jobs_with_unsaved_progress.remove(id);
             }
         }
         for (id, index, worker) in ends {
-            self.end_is_durable(id, index, &worker);
+            self.mark_end_durable(id, index, &worker);
         }
     }
 
-    fn end_is_durable(&mut self, id: &str, index: u32, worker: &str) {
+    fn mark_end_durable(&mut self, id: &str, index: u32, worker: &str) {
         let Some(worker) = self.workers.get_mut(worker) else {
             return;
         };
-        for held in &mut worker.held {
-            if !held.occupies() && held.index == index && held.spec.id == id {
+        for held in &mut worker.attempts {
+            if !held.occupies_capacity() && held.index == index && held.spec.id == id {
                 held.end_durable = true;
             }
         }
--- a/crates/tallygauge-scheduler/src/range_set.rs
+++ b/crates/tallygauge-scheduler/src/range_set.rs
@@ -91,7 +91,7 @@
 
     /// Bytes that the set takes as text, at most.
     #[must_use]
-    pub fn text_len(&self) -> usize {
+    pub fn encoded_len(&self) -> usize {
         let digits = |n: u32| n.checked_ilog10().unwrap_or(0) as usize + 1;
         let one = |r: &(u32, u32)| digits(r.0) + digits(r.1) + 4;
         2 + self.0.iter().map(one).sum::<usize>()
@@ -143,7 +143,7 @@
                 prop_assert_eq!(real.len() as usize, plain.len());
                 prop_assert_eq!(real.within(10, 20).iter().collect::<Vec<_>>(), plain.range(10..20).copied().collect::<Vec<_>>());
                 prop_assert_eq!(real.nth(n), plain.iter().nth(n as usize).copied());
-                prop_assert!(serde_json::to_string(&real).unwrap().len() <= real.text_len());
+                prop_assert!(serde_json::to_string(&real).unwrap().len() <= real.encoded_len());
                 prop_assert_eq!(real.contains(n), plain.contains(&n));
             }
         }
--- a/crates/tallygauge-scheduler/src/scale_in.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -5,57 +5,68 @@
 //! Surplus ones, dear and little used first, are the last choice for new tasks,
 //! and go as soon as they are empty.
 
-use crate::{cluster_state::Cluster, model::*, parts::Rises};
+use crate::{cluster_state::ClusterState, model::*, parts::DemandHistory};
 
 /// A machine that is returned earlier is charged for this long all the same.
 const LEAST_CHARGE_S: f64 = 60.0;
 
-impl Cluster {
+impl ClusterState {
     /// Marks the machines that are surplus. To be called about once a report
     /// interval.
-    pub fn balance(&mut self, now: f64) {
+    pub fn mark_surplus_machines(&mut self, now: f64) {
         let mut types: Vec<(f64, String)> = self
-            .types
+            .machine_types
             .values()
             .map(|t| (t.cpus, t.name.clone()))
             .collect();
         types.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        let boot_s = self.types.values().map(|t| t.boot_s).fold(0.0, f64::max);
+        let boot_s = self
+            .machine_types
+            .values()
+            .map(|t| t.boot_s)
+            .fold(0.0, f64::max);
         // By place of a type in order of size: what only machines at least as
         // large can serve, and what there is of those.
         let mut wanted = vec![0.0; types.len()];
         for job in self.jobs.values() {
-            let holds = |t: &(f64, String)| Room::of_type(&self.types[&t.1]).holds(&job.spec);
+            let holds = |t: &(f64, String)| {
+                Resources::of_type(&self.machine_types[&t.1]).can_fit(&job.spec)
+            };
             if let Some(least) = types.iter().position(holds) {
-                let most = self.cfg.teams[job.team].cpus_max;
+                let most = self.config.teams[job.team].max_cpus;
                 let cpus = (job.spec.cpus * f64::from(job.unfinished())).min(most);
                 wanted[..=least].iter_mut().for_each(|w| *w += cpus);
             }
         }
         let place = |w: &Worker| types.iter().position(|t| t.1 == w.machine_type);
         let mut over = vec![0.0; types.len()];
-        for w in self.workers.values().filter(|w| w.usable(now, &self.cfg)) {
+        for w in self
+            .workers
+            .values()
+            .filter(|w| w.accepts_work(now, &self.config))
+        {
             if let Some(at) = place(w) {
                 over[..=at].iter_mut().for_each(|o| *o += types[at].0);
             }
         }
-        self.rises.resize_with(types.len(), Rises::default);
-        for (at, rises) in self.rises.iter_mut().enumerate() {
-            over[at] -= wanted[at] + rises.note(now, wanted[at], boot_s);
+        self.demand_history
+            .resize_with(types.len(), DemandHistory::default);
+        for (at, rises) in self.demand_history.iter_mut().enumerate() {
+            over[at] -= wanted[at] + rises.record(now, wanted[at], boot_s);
         }
         // A leader new in office has seen no rises yet.
-        if now - self.term_at < boot_s * 2.0 {
+        if now - self.term_started_at < boot_s * 2.0 {
             return;
         }
         let mut dear: Vec<(bool, f64, usize, &str)> = self
             .workers
             .values()
-            .filter(|w| w.usable(now, &self.cfg) && now - w.rented_at > LEAST_CHARGE_S)
+            .filter(|w| w.accepts_work(now, &self.config) && now - w.rented_at > LEAST_CHARGE_S)
             .filter_map(|w| {
                 let at = place(w)?;
-                let t = self.types.get(&w.machine_type)?;
+                let t = self.machine_types.get(&w.machine_type)?;
                 let price = if w.spot { t.spot_price } else { t.price };
-                let unused = w.free.cpus / t.cpus.max(1.0);
+                let unused = w.free_resources.cpus / t.cpus.max(1.0);
                 Some((
                     w.surplus,
                     price / t.cpus.max(1.0) * unused,
--- a/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
+++ b/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
@@ -9,18 +9,18 @@
     let mut c = cluster(&["sa", "sb", "sc"], 100.0);
     c.add_job(spec(1, 3, 4.0), 1, 90.0, &RangeSet::default());
     assert_eq!(round(&mut c, 100.0).len(), 3);
-    let first = c.direct_messages(100.0, 0.0);
+    let first = c.take_direct_messages(100.0, 0.0);
     assert_eq!(first.len(), 1, "one goes out all the same");
     assert!(
-        c.direct_messages(100.0, 0.0).is_empty(),
+        c.take_direct_messages(100.0, 0.0).is_empty(),
         "while it is under way"
     );
     let carried = start_of(&c, "sb", 100.5);
     assert_eq!(carried.len(), 1);
     let commands = c.commands("sb", 100.5);
-    c.answered("sb", &commands, 100.5);
+    c.record_heartbeat_response("sb", &commands, 100.5);
     // With time to spare again, only what no check-in carried goes out.
-    let rest = c.direct_messages(101.0, 1.0);
+    let rest = c.take_direct_messages(101.0, 1.0);
     let workers: Vec<&str> = rest.iter().map(|m| m.worker.as_str()).collect();
     assert_eq!((first[0].worker.as_str(), workers), ("sa", vec!["sc"]));
 }
@@ -31,25 +31,33 @@
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 1, 1.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
-    let message = c.direct_messages(100.0, 1.0).remove(0);
-    assert_eq!(message.starts.len(), 1);
-    c.direct_done(&message, false, false, 104.0);
+    let message = c.take_direct_messages(100.0, 1.0).remove(0);
+    assert_eq!(message.started_attempts.len(), 1);
+    c.record_direct_message_result(&message, false, false, 104.0);
     let (name, attempt) = start_of(&c, "sa", 104.0).remove(0);
     let done = task(&name, attempt, TaskState::Ended, Some(EndCause::Done));
-    c.on_report(
+    c.apply_heartbeat(
         110.0,
         &report("sa", 1, 5, TERM, vec![done.clone()]),
-        Source::CheckIn,
+        HeartbeatSource::Periodic,
     );
     assert_eq!(c.completions(9, &BTreeSet::new()).len(), 1);
     c.remove_job("req-1", 110.0);
     assert!(c.commands("sa", 110.0).is_empty(), "must not be cleared");
     // Absent from a report it would still hold its place, being uncertain.
-    c.on_report(111.0, &report("sa", 1, 6, TERM, vec![]), Source::CheckIn);
-    assert_eq!(c.workers["sa"].held.len(), 1);
+    c.apply_heartbeat(
+        111.0,
+        &report("sa", 1, 6, TERM, vec![]),
+        HeartbeatSource::Periodic,
+    );
+    assert_eq!(c.workers["sa"].attempts.len(), 1);
     // The next session knows nothing of it, and a late start is refused there.
-    c.on_report(140.0, &report("sa", 2, 1, TERM, vec![]), Source::CheckIn);
-    assert!(c.workers["sa"].held.is_empty());
+    c.apply_heartbeat(
+        140.0,
+        &report("sa", 2, 1, TERM, vec![]),
+        HeartbeatSource::Periodic,
+    );
+    assert!(c.workers["sa"].attempts.is_empty());
 }
 
 #[test]
@@ -58,61 +66,69 @@
     let fresh = || {
         let mut c = cluster(&["l1a"], 100.0);
         c.add_job(spec(1, 1, 1.0), 1, 90.0, &RangeSet::default());
-        c.inherit("2-7", &record, 100.0, 0.0);
+        c.restore_placements("2-7", &record, 100.0, 0.0);
         c
     };
     // A report older than the fence proves nothing: a start may be under way.
     let mut c = fresh();
-    c.on_report(
+    c.apply_heartbeat(
         101.0,
         &report("sa", 1, 4, TERM - 1, vec![]),
-        Source::CheckIn,
+        HeartbeatSource::Periodic,
     );
     assert!(round(&mut c, 101.0).is_empty());
-    c.on_report(102.0, &report("sa", 1, 5, TERM, vec![]), Source::CheckIn);
+    c.apply_heartbeat(
+        102.0,
+        &report("sa", 1, 5, TERM, vec![]),
+        HeartbeatSource::Periodic,
+    );
     assert_eq!(round(&mut c, 102.0).len(), 1);
     // The session ended, and not that of a life before the one on record: only a
     // report with our token is surely newer than the record.
     let mut c = fresh();
-    c.on_report(
+    c.apply_heartbeat(
         101.0,
         &report("sa", 2, 1, TERM - 1, vec![]),
-        Source::CheckIn,
+        HeartbeatSource::Periodic,
     );
     assert!(round(&mut c, 101.0).is_empty());
-    c.on_report(102.0, &report("sa", 2, 2, TERM, vec![]), Source::CheckIn);
+    c.apply_heartbeat(
+        102.0,
+        &report("sa", 2, 2, TERM, vec![]),
+        HeartbeatSource::Periodic,
+    );
     assert_eq!(round(&mut c, 102.0).len(), 1);
     // A lower one than on record is one of another life, which began since.
     let mut c = fresh();
     let mut later = record.clone();
-    later.workers[0].session = 3;
-    c.inherit("2-8", &later, 100.0, 0.0);
+    later.workers[0].incarnation = 3;
+    c.restore_placements("2-8", &later, 100.0, 0.0);
     for (session, seq) in [(1, 5), (2, 1)] {
-        c.on_report(
+        c.apply_heartbeat(
             102.0,
             &report("sa", session, seq, TERM, vec![]),
-            Source::CheckIn,
+            HeartbeatSource::Periodic,
         );
     }
-    assert!(c.workers["sa"].held.is_empty(), "held for ever");
+    assert!(c.workers["sa"].attempts.is_empty(), "held for ever");
     // Nothing is heard: until no earlier leader can have kept its lease alive.
     let mut c = fresh();
     let bound = 100.0 + 17.0 + 20.0;
     for now in [110.0, 125.0, bound] {
-        c.on_report(
+        c.apply_heartbeat(
             now,
             &report("l1a", 1, now as u64, TERM, vec![]),
-            Source::CheckIn,
+            HeartbeatSource::Periodic,
         );
-        c.tick(now);
+        c.advance_time(now);
         assert!(round(&mut c, now).is_empty(), "too soon at {now}");
     }
-    c.on_report(
+    c.apply_heartbeat(
         bound + 2.0,
         &report("l1a", 1, 900, TERM, vec![]),
-        Source::CheckIn,
+        HeartbeatSource::Periodic,
     );
-    c.tick(bound + 2.0);
+    c.advance_time(bound + 2.0);
     assert_eq!(round(&mut c, bound + 2.0).len(), 1);
     // The machine is not in a list asked for well after it was known.
     let mut c = fresh();
@@ -126,14 +142,15 @@
         age_s: 500.0,
     };
     assert!(
-        c.on_list(&[known("l1a")], 105.0, 105.0).is_empty(),
+        c.apply_machine_list(&[known("l1a")], 105.0, 105.0)
+            .is_empty(),
         "the list may be older"
     );
-    assert_eq!(c.on_list(&[known("l1a")], 109.0, 109.0), ["sa"]);
+    assert_eq!(c.apply_machine_list(&[known("l1a")], 109.0, 109.0), ["sa"]);
     // A list from before that still shows it does not bring it back.
     let mut old = known("sa");
     old.machine_type = "small".into();
-    c.on_list(&[old, known("l1a")], 110.0, 110.0);
+    c.apply_machine_list(&[old, known("l1a")], 110.0, 110.0);
     assert!(!c.workers.contains_key("sa"));
 }
 
@@ -145,17 +162,25 @@
     c.add_job(spec(1, 1, 1.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
     let commands = c.commands("sa", 100.0);
-    c.answered("sa", &commands, 100.0);
-    let held = &mut c.workers.get_mut("sa").unwrap().held[0];
-    held.stop = Some(Stop {
+    c.record_heartbeat_response("sa", &commands, 100.0);
+    let held = &mut c.workers.get_mut("sa").unwrap().attempts[0];
+    held.stop = Some(StopDecision {
         reason: StopReason::Drained,
         at: 100.5,
     });
-    c.on_report(100.6, &report("sa", 1, 5, TERM, vec![]), Source::Direct);
-    assert!(c.jobs["req-1"].resumes.is_empty() && c.jobs["req-1"].waiting.is_empty());
+    c.apply_heartbeat(
+        100.6,
+        &report("sa", 1, 5, TERM, vec![]),
+        HeartbeatSource::DirectReply,
+    );
+    assert!(c.jobs["req-1"].resumable.is_empty() && c.jobs["req-1"].pending.is_empty());
     // The next check-in comes only after that answer was taken or given up.
-    c.on_report(101.0, &report("sa", 1, 6, TERM, vec![]), Source::CheckIn);
-    assert_eq!(c.jobs["req-1"].waiting.len(), 1);
+    c.apply_heartbeat(
+        101.0,
+        &report("sa", 1, 6, TERM, vec![]),
+        HeartbeatSource::Periodic,
+    );
+    assert_eq!(c.jobs["req-1"].pending.len(), 1);
 }
 
 #[test]
@@ -164,33 +189,37 @@
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
-    let running: Vec<TaskReport> = start_of(&c, "sa", 100.0)
+    let running: Vec<TaskStatus> = start_of(&c, "sa", 100.0)
         .iter()
         .map(|h| task(&h.0, h.1, TaskState::Running, None))
         .collect();
     let mut seq = 4;
-    let mut tell = |c: &mut Cluster, tasks: &[TaskReport]| {
+    let mut tell = |c: &mut ClusterState, tasks: &[TaskStatus]| {
         seq += 1;
-        c.on_report(
+        c.apply_heartbeat(
             100.0 + seq as f64,
             &report("sa", 1, seq, TERM, tasks.to_vec()),
-            Source::CheckIn,
+            HeartbeatSource::Periodic,
         );
-        c.workers["sa"].heard_at == 100.0 + seq as f64
+        c.workers["sa"].last_heartbeat_at == 100.0 + seq as f64
     };
     assert!(tell(&mut c, &running));
-    c.changed = false;
+    c.needs_scheduling = false;
     assert!(tell(&mut c, &running), "it was heard");
-    assert!(!c.changed);
+    assert!(!c.needs_scheduling);
     // Another task under a known attempt is a stray, whatever else is the same.
     let mut other = running.clone();
     other[1].task = "req-9/0".into();
     tell(&mut c, &other);
-    assert_eq!(c.workers["sa"].strays.len(), 1);
-    assert_eq!(c.jobs["req-1"].holds.len(), 1, "and the known one is gone");
+    assert_eq!(c.workers["sa"].orphaned_attempts.len(), 1);
+    assert_eq!(
+        c.jobs["req-1"].attempts_by_task.len(),
+        1,
+        "and the known one is gone"
+    );
     let mut ended = running[..1].to_vec();
     (ended[0].state, ended[0].cause) = (TaskState::Ended, Some(EndCause::Done));
     tell(&mut c, &ended);
-    assert_eq!(c.jobs["req-1"].finished.len(), 1);
-    assert!(c.workers["sa"].strays.is_empty());
+    assert_eq!(c.jobs["req-1"].completed.len(), 1);
+    assert!(c.workers["sa"].orphaned_attempts.is_empty());
 }
--- a/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
@@ -2,21 +2,21 @@
 
 use super::*;
 use std::collections::BTreeSet;
-use tallygauge_deadlines::{Days, Rule};
-use tallygauge_priority::{Change, Declared, Ledger, Rule as RankRule};
+use tallygauge_deadlines::{CutoffDays, CutoffRule};
+use tallygauge_priority::{DeclaredRules, PriorityRules, RankRule, RulesChange};
 
 /// 1000 s before the cutoff of a rule that is due at midnight each day.
 const DAY: f64 = 86_400.0 * 20_000.0 - 1000.0;
 
-fn nightly(class: &str) -> Rule {
+fn nightly(class: &str) -> CutoffRule {
     let text = format!("{class} each night");
     let zone = "UTC";
-    Rule {
+    CutoffRule {
         name: text,
         zone: zoned(zone),
         classes: BTreeSet::from([class.to_string()]),
         teams: BTreeSet::new(),
-        days: Days::Daily,
+        days: CutoffDays::Daily,
         at: clock("00:00"),
         opens: clock("12:00"),
         opens_before: 1,
@@ -38,23 +38,23 @@
     spec
 }
 
-fn picture(rules: Vec<Rule>) -> Cluster {
+fn picture(rules: Vec<CutoffRule>) -> ClusterState {
     let mut c = cluster(&["sa"], 100.0);
     c.set_time_of_day(100.0, DAY);
-    c.set_calendar(rules, false);
+    c.set_cutoff_rules(rules, false);
     c
 }
 
-fn add(c: &mut Cluster, spec: JobSpec, accepted: f64) {
+fn add(c: &mut ClusterState, spec: JobSpec, accepted: f64) {
     let id = spec.id.clone();
     c.add_job(spec, 1, 100.0 + accepted - DAY, &RangeSet::default());
-    c.accepted(&id, accepted);
+    c.set_accepted_time_of_day(&id, accepted);
 }
 
-fn order(c: &mut Cluster, now: f64) -> Vec<String> {
-    c.look_at_trade(now);
+fn order(c: &mut ClusterState, now: f64) -> Vec<String> {
+    c.update_deadline_risk(now);
     let mut jobs: Vec<&Job> = c.jobs.values().collect();
-    let upt = |j: &Job| c.order_worth(j, now) / c.remaining(j, 0.0);
+    let upt = |j: &Job| c.ordering_utility(j, now) / c.remaining_s(j, 0.0);
     jobs.sort_by(|a, b| {
         upt(b)
             .total_cmp(&upt(a))
@@ -76,15 +76,15 @@
     );
     add(&mut c, job(3, "lecture", 18), DAY - 5.0);
     assert_eq!(order(&mut c, 100.0), ["req-2", "req-3", "req-1"]);
-    let cutoff = &c.cutoffs(100.0)[0];
-    assert_eq!((cutoff.open, cutoff.verdict.unwrap().at_risk), (2, true));
+    let cutoff = &c.cutoff_statuses(100.0)[0];
+    assert_eq!((cutoff.open, cutoff.forecast.unwrap().at_risk), (2, true));
     // A higher urgency stays above, and who may be stopped is as before.
     let mut urgent = job(4, "archive", 1);
     urgent.priority = Priority::High;
     add(&mut c, urgent, DAY);
     assert_eq!(order(&mut c, 100.0)[0], "req-4");
     let raised = &c.jobs["req-2"];
-    assert!(c.order_worth(raised, 100.0) > c.worth(raised, 100.0));
+    assert!(c.ordering_utility(raised, 100.0) > c.utility(raised, 100.0));
     // What can't be met any more gives way to what can.
     assert_eq!(order(&mut c, 100.0 + 990.0)[1], "req-1");
 }
@@ -96,30 +96,30 @@
     for n in 1..=3 {
         add(&mut c, job(n, "lecture", 2), DAY - 10.0);
     }
-    let finish = |c: &mut Cluster, id: &str, now: f64| {
+    let finish = |c: &mut ClusterState, id: &str, now: f64| {
         let job = c.jobs.get_mut(id).unwrap();
-        (job.finished, job.waiting) = (RangeSet::first(2), RangeSet::default());
+        (job.completed, job.pending) = (RangeSet::first(2), RangeSet::default());
         c.remove_job(id, now);
     };
     finish(&mut c, "req-1", 110.0);
     c.remove_job("req-3", 111.0);
-    c.look_at_trade(111.0);
-    let seen = c.cutoffs(111.0);
+    c.update_deadline_risk(111.0);
+    let seen = c.cutoff_statuses(111.0);
     assert_eq!(
         (seen[0].done, seen[0].open),
         ((1, 0), 1),
         "a cancelled job counts for nothing"
     );
     // The next leader, on another steady clock, finds the same.
-    let text = serde_json::to_string(c.calendar()).unwrap();
-    let mut next = Cluster::new(config(), 7000.0, 16, 4096);
-    next.set_types(&types());
+    let text = serde_json::to_string(c.deadline_tracker()).unwrap();
+    let mut next = ClusterState::new(config(), 7000.0, 16, 4096);
+    next.set_machine_types(&types());
     next.set_time_of_day(7000.0, DAY + 15.0);
-    next.set_calendar(rules, false);
-    next.load_calendar(serde_json::from_str(&text).unwrap());
+    next.set_cutoff_rules(rules, false);
+    next.restore_deadline_tracker(serde_json::from_str(&text).unwrap());
     add_at(&mut next, job(2, "lecture", 2), DAY - 10.0, 7000.0);
-    next.look_at_trade(7000.0);
-    let again = next.cutoffs(7000.0);
+    next.update_deadline_risk(7000.0);
+    let again = next.cutoff_statuses(7000.0);
     assert_eq!(
         (&again[0].name, again[0].done, again[0].open),
         (&seen[0].name, (1, 0), 1)
@@ -129,14 +129,14 @@
         "it is open already"
     );
     // It passes with a job open, and closes when that is done.
-    next.look_at_trade(7000.0 + 990.0);
+    next.update_deadline_risk(7000.0 + 990.0);
     assert!(
         next.events
             .iter()
             .any(|e| e.1.contains("passed with 1 jobs open"))
     );
     finish(&mut next, "req-2", 8005.0);
-    next.look_at_trade(8006.0);
+    next.update_deadline_risk(8006.0);
     assert!(
         next.events
             .iter()
@@ -144,13 +144,13 @@
         "{:?}",
         next.events
     );
-    assert_eq!(next.calendar().results().count(), 1);
+    assert_eq!(next.deadline_tracker().results().count(), 1);
 }
 
-fn add_at(c: &mut Cluster, spec: JobSpec, accepted: f64, now: f64) {
+fn add_at(c: &mut ClusterState, spec: JobSpec, accepted: f64, now: f64) {
     let id = spec.id.clone();
     c.add_job(spec, 1, now - 20.0, &RangeSet::default());
-    c.accepted(&id, accepted);
+    c.set_accepted_time_of_day(&id, accepted);
 }
 
 #[test]
@@ -160,9 +160,9 @@
     due.deadline_s = Some(60.0);
     add(&mut c, due, DAY);
     add(&mut c, job(2, "y", 1), DAY);
-    c.look_at_trade(100.0);
-    assert_eq!(c.cutoffs(100.0).len(), 1);
-    assert!(c.jobs.values().all(|j| j.rise == 0.0));
+    c.update_deadline_risk(100.0);
+    assert_eq!(c.cutoff_statuses(100.0).len(), 1);
+    assert!(c.jobs.values().all(|j| j.boost == 0.0));
 }
 
 // Exam-week lectures above archive reprocessing, by rank and window, under the
@@ -175,14 +175,14 @@
         window: window.map(str::to_string),
         rank,
     };
-    let file = Declared {
+    let file = DeclaredRules {
         version: 7,
         rules: vec![
             rank("lecture", Some("lecture each night"), 80),
             rank("archive", None, 10),
         ],
     };
-    let Change::Next(ledger) = Ledger::default().declare(&file, DAY - 500.0) else {
+    let RulesChange::New(ledger) = PriorityRules::default().declare(&file, DAY - 500.0) else {
         panic!("it is new");
     };
     let mut c = picture(vec![nightly("lecture")]);
@@ -194,13 +194,13 @@
         ["req-1", "req-2", "req-3"],
         "not in force yet"
     );
-    c.set_ledger(ledger.clone());
+    c.set_priority_rules(ledger.clone());
     assert_eq!(order(&mut c, 100.0), ["req-3", "req-2", "req-1"]);
-    let older = Declared {
+    let older = DeclaredRules {
         version: 6,
         rules: vec![rank("routine", None, 99)],
     };
-    assert_eq!(ledger.declare(&older, DAY), Change::Nothing);
+    assert_eq!(ledger.declare(&older, DAY), RulesChange::Unchanged);
     // The window is over; the lecture was accepted in it and keeps its rank.
     assert_eq!(order(&mut c, 100.0 + 1500.0), ["req-3", "req-2", "req-1"]);
 }
--- a/crates/tallygauge-scheduler/src/tests/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/tests/image_locality.rs
@@ -13,15 +13,15 @@
     spec
 }
 
-fn holds(c: &mut Cluster, machine: &str, image: &str, gb: f64) {
+fn holds(c: &mut ClusterState, machine: &str, image: &str, gb: f64) {
     let worker = c.workers.get_mut(machine).unwrap();
     worker.images.cached.push((image.into(), gb));
 }
 
-fn wide(machines: &[&str]) -> Cluster {
+fn wide(machines: &[&str]) -> ClusterState {
     let mut c = cluster(machines, 100.0);
-    for team in &mut c.cfg.teams {
-        team.cpus_max = 1000.0;
+    for team in &mut c.config.teams {
+        team.max_cpus = 1000.0;
     }
     c
 }
@@ -34,13 +34,17 @@
     let mut old = wide(&names);
     holds(&mut old, "l-3", "llm", 18.0);
     holds(&mut old, "l-4", "small", 0.1);
-    let mut c = Cluster::new(config(), 200.0, 16, 4096);
-    c.set_types(&types());
-    for part in old.beliefs(1.0, 2000, 2) {
-        assert_eq!(c.believe(&part), 0);
+    let mut c = ClusterState::new(config(), 200.0, 16, 4096);
+    c.set_machine_types(&types());
+    for part in old.image_locations(1.0, 2000, 2) {
+        assert_eq!(c.restore_image_locations(&part), 0);
     }
     for (seq, name) in (1..).zip(names) {
-        c.on_report(200.0, &report(name, 1, seq, TERM, vec![]), Source::CheckIn);
+        c.apply_heartbeat(
+            200.0,
+            &report(name, 1, seq, TERM, vec![]),
+            HeartbeatSource::Periodic,
+        );
     }
     assert_eq!(c.workers["l-3"].images.cached, [("llm".to_string(), 18.0)]);
     assert!(
@@ -55,18 +59,24 @@
     // A wrong belief costs seconds: the report that shows the fetch corrects it.
     let attempt = start_of(&c, "l-3", 200.0)[0].1;
     let fetching = vec![task("req-1/0", attempt, TaskState::Fetching, None)];
-    c.on_report(201.0, &report("l-3", 1, 9, TERM, fetching), Source::CheckIn);
+    c.apply_heartbeat(
+        201.0,
+        &report("l-3", 1, 9, TERM, fetching),
+        HeartbeatSource::Periodic,
+    );
     let images = &c.workers["l-3"].images;
     assert!(images.fetch_s("llm", 18.0, 0.3, 201.0) > 50.0);
-    let beliefs = c.beliefs(1.0, 2000, 2);
-    let mut next = Cluster::new(config(), 300.0, 16, 4096);
-    beliefs.iter().for_each(|p| assert_eq!(next.believe(p), 0));
-    next.know("l-3", "large", "b", false, "x", 300.0);
+    let beliefs = c.image_locations(1.0, 2000, 2);
+    let mut next = ClusterState::new(config(), 300.0, 16, 4096);
+    beliefs
+        .iter()
+        .for_each(|p| assert_eq!(next.restore_image_locations(p), 0));
+    next.register_machine("l-3", "large", "b", false, "x", 300.0);
     assert!(next.workers["l-3"].images.cached.is_empty());
 }
 
 /// Replicas by machine after a round.
-fn placed(c: &mut Cluster) -> BTreeMap<String, u32> {
+fn placed(c: &mut ClusterState) -> BTreeMap<String, u32> {
     let mut on = BTreeMap::new();
     for (_, _, worker) in round(c, 100.0) {
         *on.entry(worker).or_default() += 1;
@@ -95,7 +105,7 @@
     for name in ["l1a", "l2a", "l3a"] {
         holds(&mut c, name, "llm", 18.0);
     }
-    c.cfg.spread.risk_s = 60.0;
+    c.config.replica_spread.risk_s = 60.0;
     c.add_job(model(1, 6), 1, 100.0, &RangeSet::default());
     let on = placed(&mut c);
     assert!((3..=4).contains(&in_zone(&on, "a")), "{on:?}");
@@ -103,7 +113,7 @@
     // With no weight on risk the fetch alone counts.
     let mut c = wide(&names);
     holds(&mut c, "l2a", "llm", 18.0);
-    c.cfg.spread.risk_s = 0.0;
+    c.config.replica_spread.risk_s = 0.0;
     c.add_job(model(1, 5), 1, 100.0, &RangeSet::default());
     assert_eq!(placed(&mut c), BTreeMap::from([("l2a".to_string(), 5)]));
 }
@@ -129,14 +139,14 @@
     ) {
         let names = ["l1a", "l2b", "l3a", "l4b", "l5a", "l6b", "l7a", "l8a"];
         let mut c = wide(&names);
-        c.cfg.spread.risk_s = risk;
+        c.config.replica_spread.risk_s = risk;
         for (name, warm) in names.iter().zip(&warm) {
             if *warm { holds(&mut c, name, "llm", 18.0); }
         }
         c.add_job(model(1, replicas), 1, 100.0, &RangeSet::default());
         let (mut on, mut expected) = (BTreeMap::<&str, u32>::new(), Vec::new());
         let mut images = c.workers.clone();
-        let of_type = c.types["large"].clone();
+        let of_type = c.machine_types["large"].clone();
         for n in 0..replicas {
             let cost = |name: &&str| {
                 let w = &images[*name];
@@ -152,7 +162,7 @@
             let best = names.iter().filter(|n| on.get(*n).copied().unwrap_or(0) < 5);
             let best = best.min_by(|a, b| cost(a).total_cmp(&cost(b)).then(a.cmp(b))).unwrap();
             *on.entry(*best).or_default() += 1;
-            images.get_mut(*best).unwrap().images.want(&model(1, 1), &of_type, 100.0);
+            images.get_mut(*best).unwrap().images.request(&model(1, 1), &of_type, 100.0);
             expected.push(((*best).to_string(), n));
         }
         let real: Vec<(String, u32)> = round(&mut c, 100.0).into_iter().map(|p| (p.2, p.1)).collect();
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -8,31 +8,34 @@
     // returned whole zones that were cut off, with all that ran there, since
     // nothing confirmed that those attempts had stopped.
     let mut c = cluster(&[], 100.0);
-    c.inherit("2-7", &left_record(), 100.0, 0.0);
-    let stop = c.workers["sa"].held[0].stop.map(|s| s.reason);
+    c.restore_placements("2-7", &left_record(), 100.0, 0.0);
+    let stop = c.workers["sa"].attempts[0].stop.map(|s| s.reason);
     assert_eq!(stop, Some(StopReason::Cancelled));
-    c.on_list(&[listed(MachineState::Running)], 101.0, 101.0);
-    let end = c.session_end(&c.workers["sa"]);
-    assert!(end < 100.0 + c.cfg.cancel_s, "its session ends in time");
-    c.tick(end - 0.1);
+    c.apply_machine_list(&[listed(MachineState::Running)], 101.0, 101.0);
+    let end = c.lease_expiry(&c.workers["sa"]);
+    assert!(
+        end < 100.0 + c.config.cancel_timeout_s,
+        "its session ends in time"
+    );
+    c.advance_time(end - 0.1);
     assert_eq!(
-        (c.workers["sa"].held.len(), c.workers["sa"].leaving),
+        (c.workers["sa"].attempts.len(), c.workers["sa"].leaving),
         (1, None)
     );
-    c.tick(end + 0.1);
+    c.advance_time(end + 0.1);
     assert_eq!(
-        (c.workers["sa"].held.len(), c.workers["sa"].leaving),
+        (c.workers["sa"].attempts.len(), c.workers["sa"].leaving),
         (0, None)
     );
     // One that is heard of and goes on is returned.
     let mut c = cluster(&[], 100.0);
-    c.inherit("2-7", &left_record(), 100.0, 0.0);
+    c.restore_placements("2-7", &left_record(), 100.0, 0.0);
     for (seq, now) in [110.0, 120.0, 129.0].into_iter().enumerate() {
         let runs = vec![task("req-1/0", 77, TaskState::Running, None)];
         let told = report("sa", 1, seq as u64 + 1, TERM, runs);
-        c.on_report(now, &told, Source::CheckIn);
-        c.answered("sa", &[], now);
-        c.tick(now);
+        c.apply_heartbeat(now, &told, HeartbeatSource::Periodic);
+        c.record_heartbeat_response("sa", &[], now);
+        c.advance_time(now);
     }
     let leaving = c.workers["sa"].leaving.map(|l| l.0);
     assert_eq!(leaving, Some(LeaveReason::Unconfirmed));
@@ -57,14 +60,18 @@
     // taken for such that never came up, and returned with their tasks.
     let mut c = cluster(&[], 100.0);
     let old = listed(MachineState::Booting);
-    let leaving = |c: &Cluster| c.workers["sa"].leaving.map(|l| l.0);
-    c.on_list(std::slice::from_ref(&old), 100.5, 100.5);
-    c.tick(101.0);
+    let leaving = |c: &ClusterState| c.workers["sa"].leaving.map(|l| l.0);
+    c.apply_machine_list(std::slice::from_ref(&old), 100.5, 100.5);
+    c.advance_time(101.0);
     assert_eq!(leaving(&c), None);
-    c.on_list(std::slice::from_ref(&old), 125.0, 125.0);
-    c.tick(125.0);
-    assert_eq!(leaving(&c), Some(LeaveReason::NoBoot));
-    c.on_report(126.0, &report("sa", 1, 1, TERM, vec![]), Source::CheckIn);
+    c.apply_machine_list(std::slice::from_ref(&old), 125.0, 125.0);
+    c.advance_time(125.0);
+    assert_eq!(leaving(&c), Some(LeaveReason::BootTimeout));
+    c.apply_heartbeat(
+        126.0,
+        &report("sa", 1, 1, TERM, vec![]),
+        HeartbeatSource::Periodic,
+    );
     assert_eq!(leaving(&c), None, "it lives after all");
 }
 
@@ -74,16 +81,16 @@
     // never come up, with their tasks, a lease after a take-over.
     let mut c = cluster(&[], 100.0);
     let running = listed(MachineState::Running);
-    c.on_list(&[running], 101.0, 101.0);
-    let leaving = |c: &Cluster| c.workers["sa"].leaving.map(|l| l.0);
+    c.apply_machine_list(&[running], 101.0, 101.0);
+    let leaving = |c: &ClusterState| c.workers["sa"].leaving.map(|l| l.0);
     for now in [125.0, 150.0, 175.0] {
-        c.tick(now);
+        c.advance_time(now);
         assert_eq!(leaving(&c), None, "at {now}");
     }
     // Others are rented meanwhile for what waits.
     c.add_job(spec(1, 2, 1.0), 1, 150.0, &RangeSet::default());
     assert!(!c.rentals(150.0).is_empty());
-    c.tick(182.0);
+    c.advance_time(182.0);
     assert_eq!(leaving(&c), Some(LeaveReason::Silent));
 }
 
@@ -96,15 +103,15 @@
     let first = round(&mut c, 100.0).remove(0).2;
     let (name, attempt) = start_of(&c, &first, 100.0).remove(0);
     let running = task(&name, attempt, TaskState::Running, None);
-    c.on_report(
+    c.apply_heartbeat(
         103.0,
         &report(&first, 1, 5, TERM, vec![running]),
-        Source::CheckIn,
+        HeartbeatSource::Periodic,
     );
     let other = if first == "sa" { "s2b" } else { "sa" };
     let s = spec(1, 1, 1.0);
     let t = &types()[0];
-    let fetch = |c: &Cluster, on: &str, now| {
+    let fetch = |c: &ClusterState, on: &str, now| {
         c.workers[on]
             .images
             .fetch_s(&s.image, s.image_gb, t.fetch_gb_per_s, now)
@@ -112,14 +119,14 @@
     assert_eq!(fetch(&c, &first, 103.0), 0.0);
     assert_eq!(fetch(&c, other, 103.0), 2.5);
     let w = c.workers.get_mut(other).unwrap();
-    w.images.want(&s, t, 103.0);
+    w.images.request(&s, t, 103.0);
     assert_eq!(fetch(&c, other, 104.0), 1.5, "under way is not there");
     // Given up with the last task that waits for it.
     c.workers
         .get_mut(other)
         .unwrap()
         .images
-        .drop_fetch(&s.image, &[]);
+        .cancel_unneeded_fetch(&s.image, &[]);
     assert_eq!(fetch(&c, other, 104.0), 2.5);
 }
 
@@ -127,18 +134,18 @@
 fn machines_known_before_their_types_have_their_room_later() {
     // A node that took over before it had read the catalogue saw no room on
     // any machine, placed nothing, and returned the whole fleet as idle.
-    let mut c = Cluster::new(config(), 100.0, 16, 4096);
+    let mut c = ClusterState::new(config(), 100.0, 16, 4096);
     c.add_job(spec(1, 2, 1.5), 1, 90.0, &RangeSet::default());
-    c.inherit("2-7", &left_record(), 100.0, 0.0);
+    c.restore_placements("2-7", &left_record(), 100.0, 0.0);
     let running = task("req-1/0", 77, TaskState::Running, None);
-    c.on_report(
+    c.apply_heartbeat(
         101.0,
         &report("sa", 1, 4, TERM, vec![running]),
-        Source::CheckIn,
+        HeartbeatSource::Periodic,
     );
     assert!(round(&mut c, 101.0).is_empty());
-    c.set_types(&types());
-    assert_eq!(c.workers["sa"].free.cpus, 2.5);
+    c.set_machine_types(&types());
+    assert_eq!(c.workers["sa"].free_resources.cpus, 2.5);
     assert_eq!(round(&mut c, 101.0).len(), 1);
 }
 
@@ -148,27 +155,31 @@
     // happened to run on returned. Against other machines it was as fast.
     let mut c = cluster(&["l1a", "l2b"], 100.0);
     c.add_job(spec(1, 40, 4.0), 1, 90.0, &RangeSet::default());
-    c.cfg.teams[0].cpus_max = 100.0;
+    c.config.teams[0].max_cpus = 100.0;
     let (mut now, mut seq) = (100.0, 10);
     for turn in 0..2 {
         round(&mut c, now);
         for (machine, takes) in [("l1a", 120.0), ("l2b", 120.0 + 240.0 * f64::from(turn))] {
-            let report_all = |c: &mut Cluster, now: f64, seq: u64, done: bool| {
+            let report_all = |c: &mut ClusterState, now: f64, seq: u64, done: bool| {
                 let tasks = c.workers[machine]
-                    .held
+                    .attempts
                     .iter()
-                    .filter(|h| h.occupies())
+                    .filter(|h| h.occupies_capacity())
                     .map(|h| match done {
                         true => task(
                             &h.task_name(),
-                            h.attempt,
+                            h.number,
                             TaskState::Ended,
                             Some(EndCause::Done),
                         ),
-                        false => task(&h.task_name(), h.attempt, TaskState::Running, None),
+                        false => task(&h.task_name(), h.number, TaskState::Running, None),
                     })
                     .collect();
-                c.on_report(now, &report(machine, 1, seq, TERM, tasks), Source::CheckIn);
+                c.apply_heartbeat(
+                    now,
+                    &report(machine, 1, seq, TERM, tasks),
+                    HeartbeatSource::Periodic,
+                );
             };
             seq += 2;
             report_all(&mut c, now, seq, false);
@@ -177,9 +188,13 @@
         now += 400.0;
         for machine in ["l1a", "l2b"] {
             seq += 2;
-            c.on_report(now, &report(machine, 1, seq, TERM, vec![]), Source::CheckIn);
+            c.apply_heartbeat(
+                now,
+                &report(machine, 1, seq, TERM, vec![]),
+                HeartbeatSource::Periodic,
+            );
         }
-        c.tick(now);
+        c.advance_time(now);
         let slow = |m: &str| matches!(c.workers[m].leaving, Some((LeaveReason::Slow, _)));
         assert!(!slow("l1a"));
         assert_eq!(slow("l2b"), turn == 1, "three times as slow as the other");
@@ -197,17 +212,17 @@
         c.add_job(s, 1, 90.0, &RangeSet::default());
     }
     round(&mut c, 100.0);
-    let tasks: Vec<TaskReport> = start_of(&c, "l1a", 100.0)
+    let tasks: Vec<TaskStatus> = start_of(&c, "l1a", 100.0)
         .into_iter()
         .map(|(name, attempt)| task(&name, attempt, TaskState::Running, None))
         .collect();
     assert_eq!(tasks.len(), 3);
     let mut told = report("l1a", 1, 5, TERM, tasks);
-    c.on_report(101.0, &told, Source::CheckIn);
-    told.seq += 1;
-    told.notice_s = Some(20.0);
-    c.on_report(103.0, &told, Source::CheckIn);
-    c.tick(103.0);
+    c.apply_heartbeat(101.0, &told, HeartbeatSource::Periodic);
+    told.sequence += 1;
+    told.spot_notice_s = Some(20.0);
+    c.apply_heartbeat(103.0, &told, HeartbeatSource::Periodic);
+    c.advance_time(103.0);
     let commands = c.commands("l1a", 103.0);
     assert!(
         matches!(&commands[..], [Command::Stop { task, grace_s, .. }] if task == "req-1/0" && *grace_s >= 2.0),
@@ -229,7 +244,7 @@
             break;
         };
         assert!(!seen.contains(&rental.kind), "{:?} again", rental.kind);
-        c.refused(&rental.kind, 100.0);
+        c.record_no_capacity(&rental.kind, 100.0);
         seen.push(rental.kind);
     }
     // Two types, two zones, spot or not; the cheapest first.
@@ -246,22 +261,26 @@
     let names: Vec<String> = (0..10).map(|n| format!("l{n}a")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut c = cluster(&names, 100.0);
-    c.cfg.teams[0].cpus_max = 200.0;
+    c.config.teams[0].max_cpus = 200.0;
     let (mut now, mut seq) = (100.0, 10);
-    let mut turn = |c: &mut Cluster, until: f64| {
+    let mut turn = |c: &mut ClusterState, until: f64| {
         while now < until {
             now += 1.0;
             seq += 1;
             for name in &names {
                 if c.workers.contains_key(*name) {
-                    c.on_report(now, &report(name, 1, seq, TERM, vec![]), Source::CheckIn);
+                    c.apply_heartbeat(
+                        now,
+                        &report(name, 1, seq, TERM, vec![]),
+                        HeartbeatSource::Periodic,
+                    );
                 }
             }
-            c.balance(now);
+            c.mark_surplus_machines(now);
         }
         now
     };
-    let surplus = |c: &Cluster| c.workers.values().filter(|w| w.surplus).count();
+    let surplus = |c: &ClusterState| c.workers.values().filter(|w| w.surplus).count();
     // 128 of 160 CPUs are wanted, and as many came within a boot not long ago.
     turn(&mut c, 105.0);
     c.add_job(spec(1, 128, 1.0), 1, 105.0, &RangeSet::default());
@@ -285,17 +304,17 @@
     assert_eq!(due, spare);
     // Work that comes back takes them into use again.
     let mut c = cluster(&names, 100.0);
-    c.cfg.teams[0].cpus_max = 200.0;
+    c.config.teams[0].max_cpus = 200.0;
     for w in c.workers.values_mut() {
         w.surplus = true;
     }
     c.add_job(spec(2, 20, 8.0), 1, now, &RangeSet::default());
-    c.balance(100.0 + 60.5);
+    c.mark_surplus_machines(100.0 + 60.5);
     for (n, name) in names.iter().enumerate() {
         let r = report(name, 1, 900 + n as u64, TERM, vec![]);
-        c.on_report(161.0, &r, Source::CheckIn);
+        c.apply_heartbeat(161.0, &r, HeartbeatSource::Periodic);
     }
-    c.balance(161.0);
+    c.mark_surplus_machines(161.0);
     assert_eq!(surplus(&c), 0);
     assert_eq!(round(&mut c, 161.0).len(), 20);
 }
@@ -305,7 +324,7 @@
     // Large tasks waited for minutes beside large machines full of small
     // tasks, with every small machine of the cloud still to be had.
     let mut c = cluster(&["l1a", "s2b"], 100.0);
-    c.cfg.teams[0].cpus_max = 200.0;
+    c.config.teams[0].max_cpus = 200.0;
     c.add_job(spec(1, 20, 1.0), 1, 90.0, &RangeSet::default());
     assert_eq!(round(&mut c, 100.0).len(), 20);
     c.add_job(spec(2, 3, 12.0), 1, 95.0, &RangeSet::default());
@@ -314,13 +333,13 @@
     assert!(c.rentals(100.0).iter().all(|r| r.kind.0 == "large"));
     for zone in ["a", "b"] {
         for spot in [true, false] {
-            c.refused(&("large".into(), zone.into(), spot), 100.0);
+            c.record_no_capacity(&("large".into(), zone.into(), spot), 100.0);
         }
     }
     let rentals = c.rentals(100.0);
     assert!(rentals.iter().all(|r| r.kind.0 == "small"), "{rentals:?}");
     // As many as the small tasks on the large machine need.
-    let there = &c.workers["l1a"].held;
+    let there = &c.workers["l1a"].attempts;
     let misplaced = there.len() as u32;
     let count: u32 = rentals.iter().map(|r| r.count).sum();
     assert_eq!(count, misplaced.div_ceil(4));
@@ -330,7 +349,7 @@
         .get_mut("l1a")
         .unwrap()
         .images
-        .touch("i0", 2.0, 20.0);
+        .mark_used("i0", 2.0, 20.0);
     c.add_job(spec(2, 1, 16.5), 1, 95.0, &RangeSet::default());
     c.add_job(spec(3, 1, 6.0), 1, 95.0, &RangeSet::default());
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
--- a/crates/tallygauge-scheduler/src/tests/minimum_share.rs
+++ b/crates/tallygauge-scheduler/src/tests/minimum_share.rs
@@ -1,29 +1,36 @@
 //! The floor in the mapping.
 
 use super::*;
-use crate::parts::Seat;
+use crate::parts::PriorityClaim;
 
 /// Jobs that come first, as plainly as it can be said: while there is room that
 /// they may use, look at all of them, and start a task of the class that has
 /// used the fewest CPUs; then all others by UPT.
-fn plain_with_floor(c: &Cluster, now: f64) -> Vec<(String, u32, String)> {
+fn plain_with_floor(c: &ClusterState, now: f64) -> Vec<(String, u32, String)> {
     let mut model = Plain::new(c, now);
-    let usable = || c.workers.values().filter(|w| w.usable(now, &c.cfg));
-    let size = |w: &Worker| c.types[&w.machine_type].cpus;
-    let aside = |w: &&Worker| c.floor.aside.contains_key(&w.name);
+    let usable = || {
+        c.workers
+            .values()
+            .filter(|w| w.accepts_work(now, &c.config))
+    };
+    let size = |w: &Worker| c.machine_types[&w.machine_type].cpus;
+    let aside = |w: &&Worker| c.minimum_share.reserved.contains_key(&w.name);
     let held = |id: &str, w: &Worker| {
-        let of = w.held.iter().filter(|h| h.occupies() && h.spec.id == id);
+        let of = w
+            .attempts
+            .iter()
+            .filter(|h| h.occupies_capacity() && h.spec.id == id);
         of.map(|h| h.spec.cpus).sum::<f64>()
     };
-    let mut left = usable().map(size).sum::<f64>() * c.floor.part;
+    let mut left = usable().map(size).sum::<f64>() * c.minimum_share.machine_share;
     left -= usable().filter(aside).map(size).sum::<f64>();
     let mut used: BTreeMap<usize, f64> = BTreeMap::new();
-    for (id, seat) in &c.floor.seats {
+    for (id, seat) in &c.minimum_share.claims {
         left -= usable()
             .filter(|w| !aside(w))
             .map(|w| held(id, w))
             .sum::<f64>();
-        *used.entry(seat.place).or_default() +=
+        *used.entry(seat.group).or_default() +=
             c.workers.values().map(|w| held(id, w)).sum::<f64>();
     }
     let mut without: Vec<String> = Vec::new();
@@ -35,13 +42,13 @@
             .enumerate()
             .filter(|(_, (id, _))| !without.contains(id))
             .filter_map(|(at, (id, index))| {
-                let seat = c.floor.seats.get(id)?;
-                Some((!seat.least, used[&seat.place], seat, *index, at, id))
+                let seat = c.minimum_share.claims.get(id)?;
+                Some((!seat.for_min_share, used[&seat.group], seat, *index, at, id))
             })
             .min_by(|a, b| {
                 a.0.cmp(&b.0)
                     .then(a.1.total_cmp(&b.1))
-                    .then((a.2.place, a.2.order, a.3).cmp(&(b.2.place, b.2.order, b.3)))
+                    .then((a.2.group, a.2.order, a.3).cmp(&(b.2.group, b.2.order, b.3)))
             });
         let Some((_, _, seat, _, at, id)) = best else {
             break;
@@ -51,8 +58,8 @@
             continue;
         };
         let cpus = c.jobs[id].spec.cpus;
-        *used.get_mut(&seat.place).unwrap() += cpus;
-        if !c.floor.aside.contains_key(&name) {
+        *used.get_mut(&seat.group).unwrap() += cpus;
+        if !c.minimum_share.reserved.contains_key(&name) {
             left -= cpus;
         }
         model.start(at, name);
@@ -84,7 +91,7 @@
         let names = fleet(10);
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut c = cluster(&names, 100.0);
-        for team in &mut c.cfg.teams { team.cpus_max = 60.0; }
+        for team in &mut c.config.teams { team.max_cpus = 60.0; }
         for (n, job) in jobs.into_iter().enumerate() {
             let mut spec = spec_of(n, job, 2);
             spec.class = format!("class-{}", n % 3);
@@ -103,28 +110,31 @@
         let ids: Vec<String> = c.jobs.keys().cloned().collect();
         for (order, (id, (seated, least))) in (0..).zip(ids.iter().zip(seats)) {
             if seated {
-                let place = c.jobs[id].places[0];
-                c.floor.seats.insert(id.clone(), Seat { place, least, order });
+                let place = c.jobs[id].group_ids[0];
+                c.minimum_share.claims.insert(id.clone(), PriorityClaim { group: place, for_min_share: least, order });
             }
         }
-        let place = c.jobs[&ids[0]].places[0];
+        let place = c.jobs[&ids[0]].group_ids[0];
         for (name, (kept, large)) in names.iter().zip(aside) {
             if kept {
                 let least = if large { 3.0 } else { 1.5 };
-                c.floor.aside.insert((*name).to_string(), crate::parts::Aside { place, least });
+                c.minimum_share.reserved.insert((*name).to_string(), crate::parts::Reservation { group: place, min_task_cpus: least });
             }
         }
-        c.floor.part = part;
+        c.minimum_share.machine_share = part;
         let expected = plain_with_floor(&c, 101.0);
         prop_assert_eq!(round_without_stops(&mut c, 101.0), expected);
     }
 }
 
-fn round_without_stops(c: &mut Cluster, now: f64) -> Vec<(String, u32, String)> {
-    c.plan(now, false);
+fn round_without_stops(c: &mut ClusterState, now: f64) -> Vec<(String, u32, String)> {
+    c.run_round(now, false);
     let planned = c.workers.values().flat_map(|w| {
-        let planned = w.held.iter().filter(|h| h.phase == Phase::Planned);
-        planned.map(|h| (h.attempt, (h.spec.id.clone(), h.index, w.name.clone())))
+        let planned = w
+            .attempts
+            .iter()
+            .filter(|h| h.phase == AttemptPhase::Planned);
+        planned.map(|h| (h.number, (h.spec.id.clone(), h.index, w.name.clone())))
     });
     let mut out: Vec<_> = planned.collect();
     out.sort();
--- a/crates/tallygauge-scheduler/src/tests/mod.rs
+++ b/crates/tallygauge-scheduler/src/tests/mod.rs
@@ -21,7 +21,7 @@
 use tallygauge_protocol::{
     cloud::{Machine, MachineState, MachineType},
     users::{JobSpec, Priority, Shape},
-    workers::{Command, EndCause, Report, TaskReport, TaskState},
+    workers::{Command, EndCause, Heartbeat, TaskState, TaskStatus},
 };
 
 const TERM: u64 = 3;
@@ -29,33 +29,33 @@
 fn config() -> Config {
     let team = |name: &str, cpus: f64| TeamConfig {
         name: name.into(),
-        cpus,
-        cpus_max: cpus * 3.0,
-        gpus: 0.0,
-        gpus_max: 0.0,
+        guaranteed_cpus: cpus,
+        max_cpus: cpus * 3.0,
+        guaranteed_gpus: 0.0,
+        max_gpus: 0.0,
     };
     Config {
         teams: vec![team("red", 8.0), team("blue", 6.0)],
-        report_s: 2.0,
+        heartbeat_interval_s: 2.0,
         lease_s: 20.0,
-        cancel_s: 40.0,
+        cancel_timeout_s: 40.0,
         fence_s: 17.0,
         list_lag_s: 4.0,
-        drift: 0.0005,
-        floor_s: 5.0,
-        worth: [1.0, 2.0, 8.0, 16.0],
-        late_worth: 0.1,
+        clock_drift: 0.0005,
+        min_remaining_s: 5.0,
+        utility: [1.0, 2.0, 8.0, 16.0],
+        late_utility: 0.1,
         idle_boots: 1.5,
         horizon_boots: 1.0,
-        class_due_s: HashMap::new(),
-        aims: HashMap::new(),
-        floor: FloorConfig {
+        class_deadline_s: HashMap::new(),
+        objectives: HashMap::new(),
+        minimum_share: MinimumShareConfig {
             share: 0.65,
-            begin_within_s: 240.0,
+            start_within_s: 240.0,
         },
-        spread: Spread { risk_s: 30.0 },
-        tasks_per_worker: 50,
-        most_direct: 100,
+        replica_spread: ReplicaSpread { risk_s: 30.0 },
+        max_tasks_per_worker: 50,
+        max_direct_messages: 100,
         term: TERM,
     }
 }
@@ -89,73 +89,81 @@
         memory_gb: 1.0,
         image: "i0".into(),
         image_gb: 2.0,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
         spot: true,
         expected_s: 40.0,
         checkpoint_every_s: 10.0,
-        save_s: 2.0,
+        checkpoint_s: 2.0,
         deadline_s: None,
     }
 }
 
-fn report(machine: &str, session: u64, seq: u64, token: u64, tasks: Vec<TaskReport>) -> Report {
+fn report(machine: &str, session: u64, seq: u64, token: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
     let large = machine.starts_with('l');
-    Report {
+    Heartbeat {
         machine: machine.into(),
         endpoint: format!("{machine}:1"),
         machine_type: if large { "large" } else { "small" }.into(),
         zone: if machine.ends_with('b') { "b" } else { "a" }.into(),
         spot: machine.contains('s'),
-        session,
-        seq,
+        incarnation: session,
+        sequence: seq,
         token,
-        notice_s: None,
+        spot_notice_s: None,
         tasks,
     }
 }
 
-fn task(name: &str, attempt: u64, state: TaskState, cause: Option<EndCause>) -> TaskReport {
-    TaskReport {
+fn task(name: &str, attempt: u64, state: TaskState, cause: Option<EndCause>) -> TaskStatus {
+    TaskStatus {
         task: name.into(),
         attempt,
         state,
         cause,
-        kept: None,
+        checkpointed: None,
     }
 }
 
-fn cluster(machines: &[&str], now: f64) -> Cluster {
-    let mut c = Cluster::new(config(), now, 16, 4096);
-    c.set_types(&types());
+fn cluster(machines: &[&str], now: f64) -> ClusterState {
+    let mut c = ClusterState::new(config(), now, 16, 4096);
+    c.set_machine_types(&types());
     for m in machines {
         assert_eq!(
-            c.on_report(now, &report(m, 1, 1, TERM, vec![]), Source::CheckIn),
-            Verdict::Taken
+            c.apply_heartbeat(
+                now,
+                &report(m, 1, 1, TERM, vec![]),
+                HeartbeatSource::Periodic
+            ),
+            HeartbeatOutcome::Applied
         );
     }
     c
 }
 
 /// Plans, and makes all of it durable. Returns placements in order.
-fn round(c: &mut Cluster, now: f64) -> Vec<(String, u32, String)> {
-    c.plan(now, true);
+fn round(c: &mut ClusterState, now: f64) -> Vec<(String, u32, String)> {
+    c.run_round(now, true);
     let mut out = Vec::new();
     for w in c.workers.values() {
-        for h in w.held.iter().filter(|h| h.phase == Phase::Planned) {
-            out.push((h.attempt, (h.spec.id.clone(), h.index, w.name.clone())));
+        for h in w
+            .attempts
+            .iter()
+            .filter(|h| h.phase == AttemptPhase::Planned)
+        {
+            out.push((h.number, (h.spec.id.clone(), h.index, w.name.clone())));
         }
     }
     out.sort();
-    for batch in c.batches(4096, 60, 0.0) {
-        c.written(&batch, now);
+    for batch in c.take_placement_batches(4096, 60, 0.0) {
+        c.record_batch_committed(&batch, now);
     }
     out.into_iter().map(|o| o.1).collect()
 }
 
-fn start_of(c: &Cluster, worker: &str, now: f64) -> Vec<(String, u64)> {
+fn start_of(c: &ClusterState, worker: &str, now: f64) -> Vec<(String, u64)> {
     c.commands(worker, now)
         .into_iter()
         .filter_map(|command| match command {
@@ -166,22 +174,22 @@
 }
 
 /// What an earlier leader left: the first task of `req-1` on worker `sa`.
-fn left_record() -> BatchRecord {
-    BatchRecord {
-        placed: 0,
-        base: 77,
-        jobs: vec![JobRecord {
+fn left_record() -> PlacementBatchRecord {
+    PlacementBatchRecord {
+        placed_at: 0,
+        first_attempt: 77,
+        jobs: vec![PlacedJobRecord {
             id: "req-1".into(),
             team: "red".into(),
-            room: (1.5, 0.0, 1.0),
+            resources: (1.5, 0.0, 1.0),
         }],
-        workers: vec![WorkerRecord {
+        workers: vec![PlacedWorkerRecord {
             name: "sa".into(),
             endpoint: "sa:1".into(),
             machine_type: "small".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
+            incarnation: 1,
             tasks: vec![(0, 0, 0, 0)],
         }],
     }
--- a/crates/tallygauge-scheduler/src/tests/placement_batches.rs
+++ b/crates/tallygauge-scheduler/src/tests/placement_batches.rs
@@ -8,18 +8,18 @@
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
     let mut next = config();
     next.term += 1;
-    let first_of_next = Cluster::new(next, 100.0, 16, 4096).next_attempt;
-    c.next_attempt = first_of_next - 4;
-    c.plan(100.0, true);
-    assert!(!c.out_of_attempts());
+    let first_of_next = ClusterState::new(next, 100.0, 16, 4096).last_attempt;
+    c.last_attempt = first_of_next - 4;
+    c.run_round(100.0, true);
+    assert!(!c.attempts_exhausted());
     assert!(
         c.workers["sa"]
-            .held
+            .attempts
             .iter()
-            .all(|h| h.attempt < first_of_next)
+            .all(|h| h.number < first_of_next)
     );
-    c.attempt();
-    assert!(c.out_of_attempts());
+    c.next_attempt();
+    assert!(c.attempts_exhausted());
 }
 
 #[test]
@@ -29,12 +29,12 @@
     let names = fleet(30);
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut c = cluster(&names, 100.0);
-    c.cfg.teams[0].cpus_max = 500.0;
+    c.config.teams[0].max_cpus = 500.0;
     for n in 0..12 {
         c.add_job(spec(n, 10, 1.0), 5, 90.0, &RangeSet::default());
     }
-    assert_eq!(c.plan(100.0, false).0, 120);
-    let batches = c.batches(1500, 4, 1000.0);
+    assert_eq!(c.run_round(100.0, false).0, 120);
+    let batches = c.take_placement_batches(1500, 4, 1000.0);
     assert!(batches.len() > 3);
     let mut next = cluster(&[], 200.0);
     for n in 0..11 {
@@ -43,17 +43,17 @@
     for batch in &batches {
         assert!(serde_json::to_string(&batch.record).unwrap().len() <= 1500);
         assert!(batch.jobs.len() <= 4 && batch.jobs.iter().all(|j| j.1 == 5));
-        c.written(batch, 100.0);
-        next.inherit(&batch.name, &batch.record, 200.0, 1100.0);
+        c.record_batch_committed(batch, 100.0);
+        next.restore_placements(&batch.name, &batch.record, 200.0, 1100.0);
     }
-    let held = |c: &Cluster| {
+    let held = |c: &ClusterState| {
         let mut out: Vec<(String, String, u64)> = c
             .workers
             .values()
             .flat_map(|w| {
-                w.held
+                w.attempts
                     .iter()
-                    .map(|h| (w.name.clone(), h.task_name(), h.attempt))
+                    .map(|h| (w.name.clone(), h.task_name(), h.number))
             })
             .collect();
         out.sort();
@@ -62,8 +62,8 @@
     assert_eq!(held(&c).len(), 120);
     assert_eq!(held(&c), held(&next));
     // The job that is over counts as well, until its tasks are surely gone.
-    assert!((next.ledgers[0].cpus - 120.0).abs() < 1e-6);
-    assert_eq!(next.batches.len(), batches.len());
+    assert!((next.quota_usage[0].cpus - 120.0).abs() < 1e-6);
+    assert_eq!(next.live_attempts_by_batch.len(), batches.len());
 }
 
 #[test]
@@ -74,24 +74,28 @@
     let mut c = cluster(&["sa", "s2b"], 100.0);
     c.add_job(spec(1, 1, 3.0), 1, 90.0, &RangeSet::default());
     c.add_job(spec(2, 1, 3.0), 1, 90.0, &RangeSet::default());
-    c.plan(100.0, false);
-    let batch = c.batches(4096, 60, 0.0).remove(0);
+    c.run_round(100.0, false);
+    let batch = c.take_placement_batches(4096, 60, 0.0).remove(0);
     assert_eq!(batch.record.workers.len(), 2);
     let first = &batch.record.workers[0];
     let id = batch.record.jobs[first.tasks[0].0].id.clone();
     c.remove_job(&id, 100.1);
-    c.written(&batch, 100.2);
-    let held: usize = c.workers.values().map(|w| w.held.len()).sum();
+    c.record_batch_committed(&batch, 100.2);
+    let held: usize = c.workers.values().map(|w| w.attempts.len()).sum();
     assert_eq!(held, 1);
-    assert_eq!(c.batches.get(&batch.name), Some(&1));
-    assert!(c.garbage.is_empty(), "its record is still needed");
+    assert_eq!(c.live_attempts_by_batch.get(&batch.name), Some(&1));
+    assert!(c.obsolete_batches.is_empty(), "its record is still needed");
     // With the last attempt it goes.
     let other = if id == "req-1" { "req-2" } else { "req-1" };
     c.remove_job(other, 100.3);
     for name in ["sa", "s2b"] {
-        c.on_report(140.0, &report(name, 2, 1, TERM, vec![]), Source::CheckIn);
+        c.apply_heartbeat(
+            140.0,
+            &report(name, 2, 1, TERM, vec![]),
+            HeartbeatSource::Periodic,
+        );
     }
-    assert!(c.garbage.contains(&batch.name));
+    assert!(c.obsolete_batches.contains(&batch.name));
 }
 
 #[test]
@@ -101,21 +105,24 @@
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 1, 1.0), 1, 90.0, &RangeSet::default());
     let found = task("req-1/0", 77, TaskState::Running, None);
-    c.on_report(
+    c.apply_heartbeat(
         101.0,
         &report("sa", 1, 5, TERM, vec![found]),
-        Source::CheckIn,
+        HeartbeatSource::Periodic,
     );
-    assert_eq!(c.plan(101.0, true), (0, 0), "it is not placed again");
-    let batch = c.batches(4096, 60, 0.0).remove(0);
-    assert_eq!((batch.record.base, batch.jobs.len()), (77, 1));
-    assert!(c.batches(4096, 60, 0.0).is_empty(), "once");
+    assert_eq!(c.run_round(101.0, true), (0, 0), "it is not placed again");
+    let batch = c.take_placement_batches(4096, 60, 0.0).remove(0);
+    assert_eq!((batch.record.first_attempt, batch.jobs.len()), (77, 1));
+    assert!(c.take_placement_batches(4096, 60, 0.0).is_empty(), "once");
     // Refused, it stays on the machine and is written later.
-    c.unwritten(&batch, 101.5);
-    assert_eq!(c.workers["sa"].held.len(), 1);
-    let again = c.batches(4096, 60, 0.0).remove(0);
-    c.written(&again, 102.0);
-    assert_eq!(c.batches.get(&again.name), Some(&1));
-    assert_eq!(c.workers["sa"].held[0].phase, Phase::On(TaskState::Running));
-    assert!(c.batches(4096, 60, 0.0).is_empty());
+    c.record_batch_rejected(&batch, 101.5);
+    assert_eq!(c.workers["sa"].attempts.len(), 1);
+    let again = c.take_placement_batches(4096, 60, 0.0).remove(0);
+    c.record_batch_committed(&again, 102.0);
+    assert_eq!(c.live_attempts_by_batch.get(&again.name), Some(&1));
+    assert_eq!(
+        c.workers["sa"].attempts[0].phase,
+        AttemptPhase::Observed(TaskState::Running)
+    );
+    assert!(c.take_placement_batches(4096, 60, 0.0).is_empty());
 }
--- a/crates/tallygauge-scheduler/src/tests/plain_model.rs
+++ b/crates/tallygauge-scheduler/src/tests/plain_model.rs
@@ -4,7 +4,7 @@
 
 /// The algorithm as the paper words it: look at every waiting task on every
 /// machine, map the best pair, and look at everything again.
-pub(super) fn plain(c: &Cluster, now: f64) -> Vec<(String, u32, String)> {
+pub(super) fn plain(c: &ClusterState, now: f64) -> Vec<(String, u32, String)> {
     let mut model = Plain::new(c, now);
     model.by_upt();
     model.out
@@ -12,9 +12,9 @@
 
 /// What the plain model keeps while it maps.
 pub(super) struct Plain<'a> {
-    pub(super) c: &'a Cluster,
+    pub(super) c: &'a ClusterState,
     pub(super) now: f64,
-    pub(super) free: BTreeMap<String, Room>,
+    pub(super) free: BTreeMap<String, Resources>,
     pub(super) images: HashMap<String, Worker>,
     /// CPUs by team.
     pub(super) used: Vec<f64>,
@@ -27,27 +27,30 @@
 }
 
 impl<'a> Plain<'a> {
-    pub(super) fn new(c: &'a Cluster, now: f64) -> Self {
-        let usable = c.workers.values().filter(|w| w.usable(now, &c.cfg));
+    pub(super) fn new(c: &'a ClusterState, now: f64) -> Self {
+        let usable = c
+            .workers
+            .values()
+            .filter(|w| w.accepts_work(now, &c.config));
         let team = |t: &TeamConfig| {
-            let held = c.workers.values().flat_map(|w| &w.held);
-            held.filter(|h| h.occupies() && h.spec.team == t.name)
+            let held = c.workers.values().flat_map(|w| &w.attempts);
+            held.filter(|h| h.occupies_capacity() && h.spec.team == t.name)
                 .map(|h| h.spec.cpus)
                 .sum()
         };
         let waiting = c.jobs.values().flat_map(|j| {
-            let tasks = j.waiting.iter().map(|i| (j.spec.id.clone(), i));
+            let tasks = j.pending.iter().map(|i| (j.spec.id.clone(), i));
             tasks.collect::<Vec<_>>()
         });
         Self {
             c,
             now,
-            free: usable.map(|w| (w.name.clone(), w.free)).collect(),
+            free: usable.map(|w| (w.name.clone(), w.free_resources)).collect(),
             images: c.workers.clone().into_iter().collect(),
-            used: c.cfg.teams.iter().map(team).collect(),
+            used: c.config.teams.iter().map(team).collect(),
             waiting: waiting.collect(),
             largest: types().iter().map(|t| t.cpus).fold(0.0, f64::max),
-            contended: c.contended(&c.groups(now).0),
+            contended: c.contended(&c.pending_groups(now).0),
             begins: false,
             out: Vec::new(),
         }
@@ -56,36 +59,39 @@
     /// The best machine for a task of the job, and its UPT there.
     pub(super) fn spot(&self, id: &str) -> Option<(f64, String)> {
         let (c, job) = (self.c, &self.c.jobs[id]);
-        if self.used[job.team] + job.spec.cpus > c.cfg.teams[job.team].cpus_max + 1e-9 {
+        if self.used[job.team] + job.spec.cpus > c.config.teams[job.team].max_cpus + 1e-9 {
             return None;
         }
-        let group = Group { job, resume: None };
-        let first = c.floor.seats.contains_key(id);
+        let group = Group {
+            job,
+            resumable: None,
+        };
+        let first = c.minimum_share.claims.contains_key(id);
         let mut spot: Option<(f64, f64, String)> = None;
         for (name, room) in &self.free {
             let w = &self.images[name];
-            let aside = c.floor.aside.get(name);
+            let aside = c.minimum_share.reserved.get(name);
             if room.cpus + 1e-9 < job.spec.cpus
                 || room.memory_gb + 1e-9 < job.spec.memory_gb
-                || !job.allows(&w.machine_type, &w.zone, w.spot, &job.zones)
-                || aside.is_some_and(|a| !(first || self.begins) || job.spec.cpus < a.least)
-                || c.begins
-                    .aside
+                || !job.allows(&w.machine_type, &w.zone, w.spot, &job.attempts_by_zone)
+                || aside.is_some_and(|a| !(first || self.begins) || job.spec.cpus < a.min_task_cpus)
+                || c.start_deadlines
+                    .reserved
                     .get(name)
                     .is_some_and(|least| !self.begins || job.spec.cpus < *least)
             {
                 continue;
             }
-            let time = c.time_on(&group, w, &w.images, self.now);
-            let of_type = &c.types[&w.machine_type];
-            let spared = if c.least_type(job) < self.contended {
+            let time = c.completion_time_on(&group, w, &w.images, self.now);
+            let of_type = &c.machine_types[&w.machine_type];
+            let spared = if c.smallest_fitting_cpus(job) < self.contended {
                 self.contended
             } else {
                 f64::MAX
             };
             let score = time + c.packing(w, of_type, room.cpus, self.largest, spared);
             if spot.as_ref().is_none_or(|s| score < s.0) {
-                let upt = c.order_worth(job, self.now + time * 0.5) / time;
+                let upt = c.ordering_utility(job, self.now + time * 0.5) / time;
                 spot = Some((score, upt, name.clone()));
             }
         }
@@ -102,12 +108,12 @@
         let w = self.images.get_mut(&name).unwrap();
         let t = types();
         let t = t.iter().find(|t| t.name == w.machine_type).unwrap();
-        w.images.want(&job.spec, t, self.now);
+        w.images.request(&job.spec, t, self.now);
         self.out.push((id, index, name));
     }
 
     pub(super) fn by_upt(&mut self) {
-        let within = self.c.within_guarantee();
+        let within = self.c.jobs_within_guarantee();
         loop {
             let mut best: Option<(bool, f64, f64, usize, String)> = None;
             for (at, (id, _)) in self.waiting.iter().enumerate() {
@@ -185,8 +191,8 @@
             c.add_job(spec_of(n, job, 1), 1, 10.0 * n as f64, &RangeSet::default());
         }
         let expected = plain(&c, 100.0);
-        c.plan(100.0, false);
-        let mut real: Vec<(u64, (String, u32, String))> = c.workers.values().flat_map(|w| w.held.iter().map(|h| (h.attempt, (h.spec.id.clone(), h.index, w.name.clone())))).collect();
+        c.run_round(100.0, false);
+        let mut real: Vec<(u64, (String, u32, String))> = c.workers.values().flat_map(|w| w.attempts.iter().map(|h| (h.number, (h.spec.id.clone(), h.index, w.name.clone())))).collect();
         real.sort();
         prop_assert_eq!(real.into_iter().map(|r| r.1).collect::<Vec<_>>(), expected);
     }
@@ -201,9 +207,9 @@
             now += 1.0;
             seq += 1;
             let name = names[at];
-            let mut tasks: Vec<TaskReport> = c.workers[name].held.iter().filter(|h| h.phase != Phase::Planned).map(|h| match h.phase {
-                Phase::Ended(cause) => task(&h.task_name(), h.attempt, TaskState::Ended, Some(cause)),
-                _ => task(&h.task_name(), h.attempt, TaskState::Running, None),
+            let mut tasks: Vec<TaskStatus> = c.workers[name].attempts.iter().filter(|h| h.phase != AttemptPhase::Planned).map(|h| match h.phase {
+                AttemptPhase::Ended(cause) => task(&h.task_name(), h.number, TaskState::Ended, Some(cause)),
+                _ => task(&h.task_name(), h.number, TaskState::Running, None),
             }).collect();
             match what {
                 0 => { round(&mut c, now); }
@@ -211,32 +217,32 @@
                 2 => if let Some(t) = tasks.first_mut() { (t.state, t.cause) = (TaskState::Ended, Some(EndCause::Done)); },
                 3 => if let Some(t) = tasks.first_mut() { (t.state, t.cause) = (TaskState::Ended, Some(EndCause::Error)); },
                 4 => { tasks.pop(); }
-                _ => c.tick(now),
+                _ => c.advance_time(now),
             }
             if what == 1 { tasks.clear(); }
-            c.on_report(now, &report(name, session[at], seq, TERM, tasks), Source::CheckIn);
+            c.apply_heartbeat(now, &report(name, session[at], seq, TERM, tasks), HeartbeatSource::Periodic);
             for w in c.workers.values() {
                 let full = if w.machine_type == "large" { 16.0 } else { 4.0 };
-                let held: f64 = w.held.iter().filter(|h| h.occupies()).map(|h| h.spec.cpus).sum();
-                prop_assert!((full - held - w.free.cpus).abs() < 1e-6);
-                prop_assert!(w.free.cpus > -1e-6, "{} is overfull", w.name);
+                let held: f64 = w.attempts.iter().filter(|h| h.occupies_capacity()).map(|h| h.spec.cpus).sum();
+                prop_assert!((full - held - w.free_resources.cpus).abs() < 1e-6);
+                prop_assert!(w.free_resources.cpus > -1e-6, "{} is overfull", w.name);
             }
             // A batch is kept while an attempt in it is held, and no longer.
-            for (batch, count) in &c.batches {
-                let held = c.workers.values().flat_map(|w| &w.held).filter(|h| h.occupies() && h.batch.as_ref() == Some(batch)).count();
+            for (batch, count) in &c.live_attempts_by_batch {
+                let held = c.workers.values().flat_map(|w| &w.attempts).filter(|h| h.occupies_capacity() && h.batch.as_ref() == Some(batch)).count();
                 prop_assert_eq!(*count as usize, held);
-                prop_assert!(!c.garbage.contains(batch));
+                prop_assert!(!c.obsolete_batches.contains(batch));
             }
-            let red: f64 = c.workers.values().flat_map(|w| &w.held).filter(|h| h.occupies()).map(|h| h.spec.cpus).sum();
-            prop_assert!((c.ledgers[0].cpus - red).abs() < 1e-6 && red <= 24.0 + 1e-6);
+            let red: f64 = c.workers.values().flat_map(|w| &w.attempts).filter(|h| h.occupies_capacity()).map(|h| h.spec.cpus).sum();
+            prop_assert!((c.quota_usage[0].cpus - red).abs() < 1e-6 && red <= 24.0 + 1e-6);
             for j in c.jobs.values() {
                 // Every task is done, held, or waits; none is lost or twice.
-                let waits = j.waiting.len() + j.resumes.len() as u32;
-                prop_assert_eq!(j.finished.len() + j.holds.len() as u32 + waits, j.spec.tasks);
+                let waits = j.pending.len() + j.resumable.len() as u32;
+                prop_assert_eq!(j.completed.len() + j.attempts_by_task.len() as u32 + waits, j.spec.tasks);
                 // The index of where a job's attempts are is that of a search.
                 for w in c.workers.values() {
-                    let there = w.held.iter().filter(|h| h.spec.id == j.spec.id).count() as u32;
-                    prop_assert_eq!(j.on.get(&w.name).copied().unwrap_or(0), there);
+                    let there = w.attempts.iter().filter(|h| h.spec.id == j.spec.id).count() as u32;
+                    prop_assert_eq!(j.attempts_by_worker.get(&w.name).copied().unwrap_or(0), there);
                 }
             }
         }
@@ -260,14 +266,14 @@
         let names = fleet(40);
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut c = cluster(&names, 100.0);
-        for team in &mut c.cfg.teams { team.cpus_max = 120.0; }
+        for team in &mut c.config.teams { team.max_cpus = 120.0; }
         for (n, job) in jobs.into_iter().enumerate() {
             c.add_job(spec_of(n, job, 2), 1, 3.0 * n as f64, &RangeSet::default());
         }
         let expected = plain(&c, 100.0);
         prop_assert!(expected.len() > 50);
-        c.plan(100.0, false);
-        let mut real: Vec<(u64, (String, u32, String))> = c.workers.values().flat_map(|w| w.held.iter().map(|h| (h.attempt, (h.spec.id.clone(), h.index, w.name.clone())))).collect();
+        c.run_round(100.0, false);
+        let mut real: Vec<(u64, (String, u32, String))> = c.workers.values().flat_map(|w| w.attempts.iter().map(|h| (h.number, (h.spec.id.clone(), h.index, w.name.clone())))).collect();
         real.sort();
         prop_assert_eq!(real.into_iter().map(|r| r.1).collect::<Vec<_>>(), expected);
     }
--- a/crates/tallygauge-scheduler/src/tests/preemption.rs
+++ b/crates/tallygauge-scheduler/src/tests/preemption.rs
@@ -18,8 +18,8 @@
             .collect();
         report("sa", 1, seq, TERM, tasks)
     };
-    c.on_report(101.0, &run(5), Source::CheckIn);
-    for h in &mut c.workers.get_mut("sa").unwrap().held {
+    c.apply_heartbeat(101.0, &run(5), HeartbeatSource::Periodic);
+    for h in &mut c.workers.get_mut("sa").unwrap().attempts {
         h.running_since = Some(if h.index == 0 { 66.0 } else { 99.0 });
     }
     let mut high = spec(2, 1, 2.0);
@@ -38,7 +38,7 @@
     round(&mut c, 101.5);
     assert_eq!(
         c.workers["sa"]
-            .held
+            .attempts
             .iter()
             .filter(|h| h.stop.is_some())
             .count(),
@@ -47,16 +47,17 @@
     let mut ended = run(6);
     for t in &mut ended.tasks {
         if t.task == "req-1/1" {
-            (t.state, t.cause, t.kept) = (TaskState::Ended, Some(EndCause::Halted), Some(true));
+            (t.state, t.cause, t.checkpointed) =
+                (TaskState::Ended, Some(EndCause::Halted), Some(true));
         }
     }
-    c.on_report(103.0, &ended, Source::CheckIn);
+    c.apply_heartbeat(103.0, &ended, HeartbeatSource::Periodic);
     assert_eq!(
         round(&mut c, 103.0),
         vec![("req-2".to_string(), 0, "sa".to_string())]
     );
     assert!(
-        c.jobs["req-1"].resumes[&1].saved_s > 3.0,
+        c.jobs["req-1"].resumable[&1].checkpointed_s > 3.0,
         "its progress is kept"
     );
 }
@@ -66,7 +67,7 @@
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 1, 2.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
-    let held = &mut c.workers.get_mut("sa").unwrap().held[0];
+    let held = &mut c.workers.get_mut("sa").unwrap().attempts[0];
     held.running_since = Some(100.0);
     let held = held.clone();
     let almost = c.upt_running(&held, 138.0);
@@ -112,10 +113,10 @@
     // Room was made anew for every task that waited, whether its team's limit
     // left room for it or not.
     let mut c = cluster(&["l1a", "l2b"], 100.0);
-    c.cfg.teams[1].cpus_max = 4.0;
+    c.config.teams[1].max_cpus = 4.0;
     let mut low = spec(1, 16, 2.0);
     low.priority = Priority::Low;
-    c.cfg.teams[0].cpus_max = 100.0;
+    c.config.teams[0].max_cpus = 100.0;
     c.add_job(low, 1, 90.0, &RangeSet::default());
     assert_eq!(round(&mut c, 100.0).len(), 16);
     for (seq, m) in ["l1a", "l2b"].into_iter().enumerate() {
@@ -124,18 +125,18 @@
             .iter()
             .map(|h| task(&h.0, h.1, TaskState::Running, None))
             .collect();
-        c.on_report(
+        c.apply_heartbeat(
             101.0,
             &report(m, 1, 5 + seq as u64, TERM, running),
-            Source::CheckIn,
+            HeartbeatSource::Periodic,
         );
     }
     let mut high = spec(2, 30, 1.0);
     (high.priority, high.team) = (Priority::High, "blue".into());
     c.add_job(high, 1, 101.0, &RangeSet::default());
     round(&mut c, 102.0);
-    let stops = |c: &Cluster| {
-        let held = c.workers.values().flat_map(|w| &w.held);
+    let stops = |c: &ClusterState| {
+        let held = c.workers.values().flat_map(|w| &w.attempts);
         held.filter(|h| h.stop.is_some()).count()
     };
     assert_eq!(stops(&c), 2, "four CPUs may be used, two tasks hold them");
--- a/crates/tallygauge-scheduler/src/tests/reachability.rs
+++ b/crates/tallygauge-scheduler/src/tests/reachability.rs
@@ -1,7 +1,7 @@
 //! Machines that are deaf, copies that come late, workers that begin again.
 
 use super::*;
-use tallygauge_health::Hearing;
+use tallygauge_health::Reachability;
 
 /// A worker as it is, whatever of it reaches the picture.
 struct Real {
@@ -11,7 +11,7 @@
     /// When the last report that was answered, and whose answer arrived, was
     /// sent.
     renewed: f64,
-    tasks: Vec<TaskReport>,
+    tasks: Vec<TaskStatus>,
 }
 
 impl Real {
@@ -33,7 +33,7 @@
         }
     }
 
-    fn report(&mut self, name: &str) -> Report {
+    fn report(&mut self, name: &str) -> Heartbeat {
         self.seq += 1;
         report(name, self.session, self.seq, self.token, self.tasks.clone())
     }
@@ -59,15 +59,16 @@
 }
 
 /// One report of a worker, answered; what of the answer arrives is up to `deaf`.
-fn turn(c: &mut Cluster, real: &mut Real, name: &str, deaf: bool, now: f64) {
+fn turn(c: &mut ClusterState, real: &mut Real, name: &str, deaf: bool, now: f64) {
     real.live(now);
     let told = real.report(name);
-    c.tick(now);
-    if c.on_report(now, &told, Source::CheckIn) == Verdict::Dead {
+    c.advance_time(now);
+    if c.apply_heartbeat(now, &told, HeartbeatSource::Periodic) == HeartbeatOutcome::DeadIncarnation
+    {
         return;
     }
     let commands = c.commands(name, now);
-    c.answered(name, &commands, now);
+    c.record_heartbeat_response(name, &commands, now);
     if !deaf {
         real.token = TERM;
         real.renewed = now;
@@ -76,14 +77,14 @@
 }
 
 /// Sends direct messages; those to a deaf machine are given up.
-fn ask(c: &mut Cluster, real: &mut Real, deaf: bool, now: f64) -> usize {
-    let messages = c.direct_messages(now, 1.0);
+fn ask(c: &mut ClusterState, real: &mut Real, deaf: bool, now: f64) -> usize {
+    let messages = c.take_direct_messages(now, 1.0);
     for message in &messages {
-        c.direct_done(message, !deaf, false, now);
+        c.record_direct_message_result(message, !deaf, false, now);
         if !deaf {
             real.obey(&message.commands);
             let told = real.report(&message.worker);
-            c.on_direct(now, message, &told);
+            c.apply_direct_reply(now, message, &told);
         }
     }
     messages.len()
@@ -113,16 +114,16 @@
     }
     assert_eq!(placed, 3, "once, before it could be known");
     assert!(last < 110.0);
-    let lease = c.cfg.lease_s;
+    let lease = c.config.lease_s;
     let left_at = left_at.expect("it stays deaf and is returned");
     assert!(left_at < 102.0 + lease * 6.0, "{left_at}");
     assert_eq!(
         c.workers["sa"].leaving.map(|l| l.0),
-        Some(LeaveReason::Deaf)
+        Some(LeaveReason::Unreachable)
     );
     // Its sessions ended, and what it was thought to hold is back.
     assert_eq!(c.jobs["req-1"].unfinished(), 3);
-    assert!(c.jobs["req-1"].holds.is_empty());
+    assert!(c.jobs["req-1"].attempts_by_task.is_empty());
     assert!(c.returns(400.0).iter().any(|r| r.0 == "sa"));
 }
 
@@ -138,11 +139,14 @@
         ask(&mut c, &mut real, true, now);
         round(&mut c, now);
     }
-    assert!(matches!(c.workers["sa"].hearing, Hearing::Deaf { .. }));
+    assert!(matches!(
+        c.workers["sa"].reachability,
+        Reachability::Unreachable { .. }
+    ));
     assert!(c.workers["sa"].leaving.is_some());
     // It is asked again and again, but not with each of its reports.
     let mut asked = 0;
-    while now < 260.0 && c.workers["sa"].hearing.in_question() {
+    while now < 260.0 && c.workers["sa"].reachability.needs_probe() {
         now += 2.0;
         turn(&mut c, &mut real, "sa", false, now);
         asked += ask(&mut c, &mut real, false, now);
@@ -168,16 +172,16 @@
             102.0 + f64::from(step) * 2.0,
         );
     }
-    let held: Vec<Report> = (0..4).map(|_| real.report("sa")).collect();
+    let held: Vec<Heartbeat> = (0..4).map(|_| real.report("sa")).collect();
     for (n, told) in (0..).zip(&held) {
         let now = 180.0 + f64::from(n) * 0.01;
-        c.on_report(now, told, Source::CheckIn);
-        c.answered("sa", &[], now);
+        c.apply_heartbeat(now, told, HeartbeatSource::Periodic);
+        c.record_heartbeat_response("sa", &[], now);
     }
     real.session = 3;
-    c.on_report(180.1, &real.report("sa"), Source::CheckIn);
-    assert!(!c.workers["sa"].hearing.in_question());
-    assert!(c.workers["sa"].usable(180.1, &c.cfg));
+    c.apply_heartbeat(180.1, &real.report("sa"), HeartbeatSource::Periodic);
+    assert!(!c.workers["sa"].reachability.needs_probe());
+    assert!(c.workers["sa"].accepts_work(180.1, &c.config));
 }
 
 // Deaf machines are not counted on: what waits is rented for elsewhere.
@@ -186,7 +190,7 @@
     let mut c = cluster(&["l1a"], 100.0);
     c.add_job(spec(1, 3, 4.0), 1, 90.0, &RangeSet::default());
     assert!(c.rentals(100.0).is_empty());
-    c.workers.get_mut("l1a").unwrap().hearing = Hearing::Deaf { since: 99.0 };
+    c.workers.get_mut("l1a").unwrap().reachability = Reachability::Unreachable { since: 99.0 };
     assert!(!c.rentals(100.0).is_empty());
 }
 
@@ -209,7 +213,10 @@
         ask(&mut c, &mut real, false, now);
         round(&mut c, now);
         assert!(
-            !matches!(c.workers["sa"].hearing, Hearing::Deaf { .. }),
+            !matches!(
+                c.workers["sa"].reachability,
+                Reachability::Unreachable { .. }
+            ),
             "{step}"
         );
     }
@@ -237,7 +244,10 @@
             gone = Some(now);
         }
     }
-    assert!(gone.unwrap() - cancelled < c.cfg.cancel_s, "{gone:?}");
+    assert!(
+        gone.unwrap() - cancelled < c.config.cancel_timeout_s,
+        "{gone:?}"
+    );
 }
 
 // A dead machine whose reports come again and again, as copies, was answered
@@ -253,40 +263,51 @@
         turn(&mut c, &mut real, "sa", false, now);
         kept.push(report("sa", 1, real.seq, TERM, real.tasks.clone()));
     }
-    assert_eq!(c.jobs["req-1"].holds.len(), 1);
+    assert_eq!(c.jobs["req-1"].attempts_by_task.len(), 1);
     // It dies. Copies come every second.
     let (mut now, mut free_at) = (106.0, None);
     while now < 200.0 {
         now += 1.0;
         let copy = &kept[now as usize % kept.len()];
-        let before = c.workers.get("sa").map(|w| (w.answered_at, w.heard_at));
-        let verdict = c.on_report(now, copy, Source::CheckIn);
+        let before = c
+            .workers
+            .get("sa")
+            .map(|w| (w.lease_renewed_at, w.last_heartbeat_at));
+        let verdict = c.apply_heartbeat(now, copy, HeartbeatSource::Periodic);
         assert!(
-            matches!(verdict, Verdict::Stale | Verdict::Dead),
+            matches!(
+                verdict,
+                HeartbeatOutcome::Stale | HeartbeatOutcome::DeadIncarnation
+            ),
             "{verdict:?}"
         );
         assert_eq!(
-            c.workers.get("sa").map(|w| (w.answered_at, w.heard_at)),
+            c.workers
+                .get("sa")
+                .map(|w| (w.lease_renewed_at, w.last_heartbeat_at)),
             before
         );
-        for message in c.direct_messages(now, 1.0) {
+        for message in c.take_direct_messages(now, 1.0) {
             assert!(message.commands.is_empty(), "no orders");
-            c.direct_done(&message, false, false, now);
+            c.record_direct_message_result(&message, false, false, now);
         }
-        c.tick(now);
-        if free_at.is_none() && c.jobs["req-1"].holds.is_empty() {
+        c.advance_time(now);
+        if free_at.is_none() && c.jobs["req-1"].attempts_by_task.is_empty() {
             free_at = Some(now);
         }
     }
-    let over = 106.0 + c.cfg.stretched(c.cfg.lease_s);
+    let over = 106.0 + c.config.with_clock_drift(c.config.lease_s);
     assert!(
         free_at.is_some_and(|at| at > over && at < over + 1.5),
         "{free_at:?}"
     );
     // Gone from the list, it makes no room that nobody has, for several leases.
-    c.gone("sa", 200.0);
+    c.deregister_machine("sa", 200.0);
     for late in [201.0, 240.0, 290.0] {
-        assert_eq!(c.on_report(late, &kept[2], Source::CheckIn), Verdict::Dead);
+        assert_eq!(
+            c.apply_heartbeat(late, &kept[2], HeartbeatSource::Periodic),
+            HeartbeatOutcome::DeadIncarnation
+        );
         assert!(!c.workers.contains_key("sa"));
     }
 }
@@ -308,50 +329,60 @@
     }
     let there = real.tasks.len();
     assert!(there > 0);
-    let newest = c.workers["sa"].order.newest;
+    let newest = c.workers["sa"].message_order.newest;
     // Back within a fraction of a second, with nothing of what it had.
     real = Real::new(now);
     (real.seq, real.token) = (0, 0);
     let told = real.report("sa");
     now += 0.3;
-    assert_eq!(c.on_report(now, &told, Source::CheckIn), Verdict::Stale);
     assert_eq!(
-        c.jobs["req-1"].holds.len(),
-        there.max(c.jobs["req-1"].holds.len())
+        c.apply_heartbeat(now, &told, HeartbeatSource::Periodic),
+        HeartbeatOutcome::Stale
+    );
+    assert_eq!(
+        c.jobs["req-1"].attempts_by_task.len(),
+        there.max(c.jobs["req-1"].attempts_by_task.len())
     );
     // Asked, it answers with its own low number, and with our token by then.
-    let messages = c.direct_messages(now, 1.0);
+    let messages = c.take_direct_messages(now, 1.0);
     let message = messages.iter().find(|m| m.worker == "sa").expect("asked");
-    assert!(message.question && message.commands.is_empty());
-    assert_eq!(message.before, newest);
-    c.direct_done(message, true, false, now);
+    assert!(message.is_probe && message.commands.is_empty());
+    assert_eq!(message.sent_after, newest);
+    c.record_direct_message_result(message, true, false, now);
     real.token = TERM;
     let word = real.report("sa");
-    assert_eq!(c.on_direct(now, message, &word), Verdict::Dead);
-    let on = c.workers["sa"].held.iter().filter(|h| h.occupies()).count();
+    assert_eq!(
+        c.apply_direct_reply(now, message, &word),
+        HeartbeatOutcome::DeadIncarnation
+    );
+    let on = c.workers["sa"]
+        .attempts
+        .iter()
+        .filter(|h| h.occupies_capacity())
+        .count();
     assert_eq!(on, 0, "its tasks wait again at once");
-    assert!(!c.workers["sa"].usable(now, &c.cfg));
+    assert!(!c.workers["sa"].accepts_work(now, &c.config));
     // Copies from its former life, of all numbers, change nothing.
     let copy = report(
         "sa",
         1,
-        newest.seq + 1,
+        newest.sequence + 1,
         TERM,
         vec![task("req-1/0", 77, TaskState::Running, None)],
     );
     assert_eq!(
-        c.on_report(now + 0.1, &copy, Source::CheckIn),
-        Verdict::Dead
+        c.apply_heartbeat(now + 0.1, &copy, HeartbeatSource::Periodic),
+        HeartbeatOutcome::DeadIncarnation
     );
-    assert!(c.workers["sa"].held.is_empty());
+    assert!(c.workers["sa"].attempts.is_empty());
     // Not answered, it goes on with the next session a lease later.
     let since = now;
-    while !c.workers["sa"].usable(now, &c.cfg) {
+    while !c.workers["sa"].accepts_work(now, &c.config) {
         now += 1.0;
         turn(&mut c, &mut real, "sa", false, now);
         ask(&mut c, &mut real, false, now);
     }
-    assert!(now - since < c.cfg.lease_s + 4.0, "{}", now - since);
+    assert!(now - since < c.config.lease_s + 4.0, "{}", now - since);
 }
 
 // A start in a direct message that was never answered may still reach the new
@@ -361,31 +392,35 @@
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
-    let message = c.direct_messages(100.0, 1.0).remove(0);
-    assert_eq!(message.starts.len(), 2);
-    c.direct_done(&message, false, false, 103.0);
+    let message = c.take_direct_messages(100.0, 1.0).remove(0);
+    assert_eq!(message.started_attempts.len(), 2);
+    c.record_direct_message_result(&message, false, false, 103.0);
     let question = loop {
-        c.on_report(104.0, &report("sa", 1, 0, 0, vec![]), Source::CheckIn);
-        let mut due = c.direct_messages(104.0, 1.0);
+        c.apply_heartbeat(
+            104.0,
+            &report("sa", 1, 0, 0, vec![]),
+            HeartbeatSource::Periodic,
+        );
+        let mut due = c.take_direct_messages(104.0, 1.0);
         if let Some(message) = due.pop() {
             break message;
         }
     };
-    c.direct_done(&question, true, false, 104.1);
-    c.on_direct(104.1, &question, &report("sa", 1, 1, TERM, vec![]));
+    c.record_direct_message_result(&question, true, false, 104.1);
+    c.apply_direct_reply(104.1, &question, &report("sa", 1, 1, TERM, vec![]));
     assert_eq!(
-        c.jobs["req-1"].holds.len(),
+        c.jobs["req-1"].attempts_by_task.len(),
         2,
         "held until the session is over"
     );
     // Given up at 103, it may arrive for a lease, and run for another.
-    let lease = c.cfg.stretched(c.cfg.lease_s);
+    let lease = c.config.with_clock_drift(c.config.lease_s);
     for now in [104.1 + lease + 0.1, 103.0 + 2.0 * lease - 0.1] {
-        c.tick(now);
-        assert_eq!(c.jobs["req-1"].holds.len(), 2, "at {now}");
+        c.advance_time(now);
+        assert_eq!(c.jobs["req-1"].attempts_by_task.len(), 2, "at {now}");
     }
-    c.tick(103.0 + 2.0 * lease + 0.1);
-    assert_eq!(c.jobs["req-1"].waiting.len(), 2);
+    c.advance_time(103.0 + 2.0 * lease + 0.1);
+    assert_eq!(c.jobs["req-1"].pending.len(), 2);
 }
 
 // Without a question: a worker's token never falls while it lives.
@@ -393,13 +428,21 @@
 fn a_token_that_falls_shows_that_a_worker_has_begun_again() {
     let mut c = cluster(&["sa"], 100.0);
     assert_eq!(
-        c.on_report(102.0, &report("sa", 1, 9, 0, vec![]), Source::CheckIn),
-        Verdict::Dead
+        c.apply_heartbeat(
+            102.0,
+            &report("sa", 1, 9, 0, vec![]),
+            HeartbeatSource::Periodic
+        ),
+        HeartbeatOutcome::DeadIncarnation
     );
-    assert!(!c.workers["sa"].usable(102.0, &c.cfg));
+    assert!(!c.workers["sa"].accepts_work(102.0, &c.config));
     assert_eq!(
-        c.on_report(123.0, &report("sa", 2, 1, TERM, vec![]), Source::CheckIn),
-        Verdict::Taken
+        c.apply_heartbeat(
+            123.0,
+            &report("sa", 2, 1, TERM, vec![]),
+            HeartbeatSource::Periodic
+        ),
+        HeartbeatOutcome::Applied
     );
-    assert!(c.workers["sa"].usable(123.0, &c.cfg));
+    assert!(c.workers["sa"].accepts_work(123.0, &c.config));
 }
--- a/crates/tallygauge-scheduler/src/tests/recovery.rs
+++ b/crates/tallygauge-scheduler/src/tests/recovery.rs
@@ -36,17 +36,20 @@
 }
 
 /// Loads the records in the order in which a new leader does.
-fn recover() -> Cluster {
+fn recover() -> ClusterState {
     let mut cluster = cluster(&[], NOW);
     cluster.set_time_of_day(NOW, TIME_OF_DAY);
-    assert!(cluster.load_floor(kept("s/floor")));
-    assert_eq!(cluster.believe(&kept("s/images/0")), 0);
-    cluster.load_calendar(kept("s/calendar"));
-    cluster.set_ledger(kept("s/ledger"));
+    assert!(cluster.restore_service_counts(kept("s/floor")));
+    assert_eq!(cluster.restore_image_locations(&kept("s/images/0")), 0);
+    cluster.restore_deadline_tracker(kept("s/calendar"));
+    cluster.set_priority_rules(kept("s/ledger"));
     let mut done: HashMap<String, RangeSet> = HashMap::new();
     for (page, version, record) in rows("f/") {
         let page = page.parse().unwrap();
-        for ((id, _), ranges) in cluster.pages.load(page, version, value(&record)) {
+        for ((id, _), ranges) in cluster
+            .completion_pages
+            .restore(page, version, value(&record))
+        {
             done.entry(id).or_default().extend(&ranges, u32::MAX);
         }
     }
@@ -55,12 +58,14 @@
         let finished = done.get(id).cloned().unwrap_or_default();
         let ago = TIME_OF_DAY - accepted_at;
         cluster.add_job(value(&record["spec"]), version, NOW - ago, &finished);
-        cluster.accepted(id, accepted_at);
+        cluster.set_accepted_time_of_day(id, accepted_at);
     }
     let jobs = &cluster.jobs;
-    cluster.pages.retain(|id| jobs.contains_key(id));
+    cluster
+        .completion_pages
+        .retain_jobs(|id| jobs.contains_key(id));
     for (name, _, record) in rows("p/") {
-        cluster.inherit(name, &value(&record), NOW, TIME_OF_DAY);
+        cluster.restore_placements(name, &value(&record), NOW, TIME_OF_DAY);
     }
     cluster
 }
@@ -75,21 +80,21 @@
         .map(|(id, job)| (id.as_str(), job.version, job.accepted_at))
         .collect();
     assert_eq!(jobs, [("req-1", 21, 90.0), ("req-2", 22, 91.0)]);
-    assert_eq!(cluster.counts("req-1"), Some((2, 3)));
-    assert_eq!(cluster.counts("req-2"), Some((0, 1)));
-    let waiting = |id: &str| cluster.jobs[id].waiting.iter().collect::<Vec<u32>>();
+    assert_eq!(cluster.task_counts("req-1"), Some((2, 3)));
+    assert_eq!(cluster.task_counts("req-2"), Some((0, 1)));
+    let waiting = |id: &str| cluster.jobs[id].pending.iter().collect::<Vec<u32>>();
     assert_eq!((waiting("req-1"), waiting("req-2")), (vec![5], vec![1]));
 
     let mut held: Vec<(String, &str, u64, u64, f64, bool)> = Vec::new();
     for worker in cluster.workers.values() {
-        held.extend(worker.held.iter().map(|h| {
+        held.extend(worker.attempts.iter().map(|h| {
             let stopped = h.stop.is_some();
             (
                 h.task_name(),
                 &*worker.name,
-                h.attempt,
-                h.session,
-                h.saved_s,
+                h.number,
+                h.incarnation,
+                h.checkpointed_s,
                 stopped,
             )
         }));
@@ -105,16 +110,19 @@
             ("req-2/0".into(), "la", 536_870_920, 2, 0.0, false),
         ]
     );
-    assert!(cluster.next_attempt > held[4].2, "attempts never repeat");
+    assert!(cluster.last_attempt > held[4].2, "attempts never repeat");
 
-    let used: Vec<f64> = cluster.ledgers.iter().map(|l| l.cpus).collect();
+    let used: Vec<f64> = cluster.quota_usage.iter().map(|l| l.cpus).collect();
     assert_eq!(used, [4.5, 3.0]);
 
-    assert_eq!(cluster.ledger().in_force().map(|e| e.number), Some(1));
     assert_eq!(
-        serde_json::to_value(cluster.calendar()).unwrap()["m"][0],
+        cluster.priority_rules().current().map(|e| e.number),
+        Some(1)
+    );
+    assert_eq!(
+        serde_json::to_value(cluster.deadline_tracker()).unwrap()["m"][0],
         "night@1"
     );
-    let floor = serde_json::to_value(cluster.floor_record(4096)).unwrap();
+    let floor = serde_json::to_value(cluster.service_counts_record(4096)).unwrap();
     assert_eq!(floor["t"][0][1], serde_json::json!([5, 1, 2, 1]));
 }
--- a/crates/tallygauge-scheduler/src/tests/start_deadline.rs
+++ b/crates/tallygauge-scheduler/src/tests/start_deadline.rs
@@ -8,17 +8,20 @@
 /// Jobs that are to begin, as plainly as it can be said: one after the other in
 /// the order of their acceptance, each with one task on the best spot that it
 /// may use; then all others by UPT, without what is kept for those.
-fn plain_with_begins(c: &Cluster, now: f64) -> Vec<(String, u32, String)> {
+fn plain_with_begins(c: &ClusterState, now: f64) -> Vec<(String, u32, String)> {
     let mut model = Plain::new(c, now);
-    let mut turns: Vec<(&String, &crate::parts::Turn)> = c.begins.jobs.iter().collect();
-    turns.retain(|t| t.1.wants && c.jobs[t.0].holds.len() <= t.1.held);
+    let mut turns: Vec<(&String, &crate::parts::StartClaim)> =
+        c.start_deadlines.claims.iter().collect();
+    turns.retain(|t| {
+        t.1.needs_first_start && c.jobs[t.0].attempts_by_task.len() <= t.1.attempts_when_found
+    });
     turns.sort_by_key(|t| t.1.order);
     for (id, _) in turns {
         let job = &c.jobs[id];
         let Some(at) = model.waiting.iter().position(|w| w.0 == *id) else {
             continue;
         };
-        let most = c.cfg.teams[job.team].cpus_max;
+        let most = c.config.teams[job.team].max_cpus;
         if model.used[job.team] + job.spec.cpus > most + 1e-9 {
             model.used[job.team] += job.spec.cpus;
             continue;
@@ -31,14 +34,21 @@
         }
     }
     // Then their other tasks, on a tenth of the machines.
-    let usable = c.workers.values().filter(|w| w.usable(now, &c.cfg));
-    let mut left = usable.map(|w| c.types[&w.machine_type].cpus).sum::<f64>() * 0.1;
-    let mut near: Vec<(&String, &crate::parts::Turn)> = c.begins.jobs.iter().collect();
+    let usable = c
+        .workers
+        .values()
+        .filter(|w| w.accepts_work(now, &c.config));
+    let mut left = usable
+        .map(|w| c.machine_types[&w.machine_type].cpus)
+        .sum::<f64>()
+        * 0.1;
+    let mut near: Vec<(&String, &crate::parts::StartClaim)> =
+        c.start_deadlines.claims.iter().collect();
     for (id, _) in &near {
-        left -= c.jobs[*id].holds.len() as f64 * c.jobs[*id].spec.cpus;
+        left -= c.jobs[*id].attempts_by_task.len() as f64 * c.jobs[*id].spec.cpus;
     }
     near.sort_by_key(|t| t.1.order);
-    for (id, _) in near.into_iter().filter(|t| t.1.late) {
+    for (id, _) in near.into_iter().filter(|t| t.1.near_deadline) {
         while left > 0.0
             && let Some(at) = model.waiting.iter().position(|w| w.0 == *id)
             && let Some((_, name)) = model.spot(id)
@@ -60,7 +70,7 @@
         let names = fleet(6);
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut c = cluster(&names, 200.0);
-        for team in &mut c.cfg.teams { team.cpus_max = 24.0; }
+        for team in &mut c.config.teams { team.max_cpus = 24.0; }
         let (first, later) = jobs.split_at(jobs.len() / 2);
         for (n, (job, at)) in first.iter().enumerate() {
             c.add_job(spec_of(n, *job, 2), 1, *at, &RangeSet::default());
@@ -69,13 +79,13 @@
         for (n, (job, at)) in later.iter().enumerate() {
             c.add_job(spec_of(20 + n, *job, 2), 1, *at, &RangeSet::default());
         }
-        c.elect(201.0);
-        c.floor.seats.clear();
-        c.floor.aside.clear();
-        c.call_to_begin(201.0);
+        c.select_underserved(201.0);
+        c.minimum_share.claims.clear();
+        c.minimum_share.reserved.clear();
+        c.find_overdue_starts(201.0);
         let expected = plain_with_begins(&c, 201.0);
-        c.plan(201.0, false);
-        let mut real: Vec<(u64, (String, u32, String))> = c.workers.values().flat_map(|w| w.held.iter().filter(|h| h.phase == Phase::Planned).map(|h| (h.attempt, (h.spec.id.clone(), h.index, w.name.clone())))).collect();
+        c.run_round(201.0, false);
+        let mut real: Vec<(u64, (String, u32, String))> = c.workers.values().flat_map(|w| w.attempts.iter().filter(|h| h.phase == AttemptPhase::Planned).map(|h| (h.number, (h.spec.id.clone(), h.index, w.name.clone())))).collect();
         real.sort();
         prop_assert_eq!(real.into_iter().map(|r| r.1).collect::<Vec<_>>(), expected);
     }
@@ -86,9 +96,9 @@
 fn begun_at(bound: f64, team_cpus: f64) -> Option<f64> {
     let names = ["l1a", "l2b", "l3a"];
     let mut c = cluster(&names, 0.0);
-    c.cfg.floor.begin_within_s = bound;
-    for team in &mut c.cfg.teams {
-        (team.cpus, team.cpus_max) = (1.0, team_cpus);
+    c.config.minimum_share.start_within_s = bound;
+    for team in &mut c.config.teams {
+        (team.guaranteed_cpus, team.max_cpus) = (1.0, team_cpus);
     }
     let mut large = spec(1, 4, 12.0);
     (large.priority, large.expected_s) = (Priority::Low, 60.0);
@@ -109,17 +119,17 @@
         }
         seq += 1;
         for name in names {
-            let tasks: Vec<TaskReport> = c.workers[name]
-                .held
+            let tasks: Vec<TaskStatus> = c.workers[name]
+                .attempts
                 .iter()
-                .filter(|h| h.phase != Phase::Planned)
+                .filter(|h| h.phase != AttemptPhase::Planned)
                 .map(|h| {
-                    let over = running.get(&h.attempt).is_some_and(|end| *end <= now);
-                    let (state, cause) = match over || matches!(h.phase, Phase::Ended(_)) {
+                    let over = running.get(&h.number).is_some_and(|end| *end <= now);
+                    let (state, cause) = match over || matches!(h.phase, AttemptPhase::Ended(_)) {
                         true => (TaskState::Ended, Some(EndCause::Done)),
                         false => (TaskState::Running, None),
                     };
-                    task(&h.task_name(), h.attempt, state, cause)
+                    task(&h.task_name(), h.number, state, cause)
                 })
                 .collect();
             for t in &tasks {
@@ -129,10 +139,14 @@
                 };
                 running.entry(t.attempt).or_insert(now + run);
             }
-            c.on_report(now, &report(name, 1, seq, TERM, tasks), Source::CheckIn);
+            c.apply_heartbeat(
+                now,
+                &report(name, 1, seq, TERM, tasks),
+                HeartbeatSource::Periodic,
+            );
         }
-        if let Some(flush) = c.flush(9, 60_000) {
-            c.flushed(&flush, 1);
+        if let Some(flush) = c.next_flush(9, 60_000) {
+            c.record_flushed(&flush, 1);
         }
         let over: Vec<String> = c
             .completions(99, &BTreeSet::new())
@@ -146,25 +160,25 @@
             .iter()
             .flat_map(|n| {
                 c.workers[*n]
-                    .held
+                    .attempts
                     .iter()
-                    .filter(|h| h.may_clear())
-                    .map(|h| (n.to_string(), h.attempt))
+                    .filter(|h| h.can_forget())
+                    .map(|h| (n.to_string(), h.number))
             })
             .collect();
         for (name, attempt) in clears {
-            c.take_off(&name, |h| h.attempt == attempt);
+            c.remove_attempts(&name, |h| h.number == attempt);
         }
-        c.cfg.floor.share = 1e-9;
-        c.elect(now);
-        c.call_to_begin(now);
+        c.config.minimum_share.share = 1e-9;
+        c.select_underserved(now);
+        c.find_overdue_starts(now);
         round(&mut c, now);
         let job = &c.jobs["req-1"];
         if job.started {
             // It must go on: nobody stops it for what is better.
-            let held = c.workers.values().flat_map(|w| &w.held);
-            let ours = |h: &&Held| h.spec.id == "req-1" && h.ran_s(now) >= 30.0;
-            if let Some(h) = held.filter(|h| h.occupies()).find(ours) {
+            let held = c.workers.values().flat_map(|w| &w.attempts);
+            let ours = |h: &&Attempt| h.spec.id == "req-1" && h.run_time_s(now) >= 30.0;
+            if let Some(h) = held.filter(|h| h.occupies_capacity()).find(ours) {
                 return h.running_since;
             }
         }
@@ -196,48 +210,55 @@
 fn who_is_not_near_the_bound_does_not_come_first() {
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 9, 1.0), 1, 100.0, &RangeSet::first(8));
-    c.jobs.get_mut("req-1").unwrap().finished = RangeSet::default();
+    c.jobs.get_mut("req-1").unwrap().completed = RangeSet::default();
     c.add_job(spec(2, 1, 1.0), 1, -200.0, &RangeSet::first(1));
     // Many others, older than it.
     for n in 3..9 {
         c.add_job(spec(n, 1, 1.0), 1, 40.0, &RangeSet::default());
     }
-    c.call_to_begin(180.0);
-    assert!(c.begins.jobs.is_empty() && c.begins.aside.is_empty());
-    c.call_to_begin(221.0);
-    assert_eq!(c.begins.jobs.keys().collect::<Vec<_>>(), ["req-1"]);
+    c.find_overdue_starts(180.0);
+    assert!(c.start_deadlines.claims.is_empty() && c.start_deadlines.reserved.is_empty());
+    c.find_overdue_starts(221.0);
+    assert_eq!(
+        c.start_deadlines.claims.keys().collect::<Vec<_>>(),
+        ["req-1"]
+    );
     // One start is enough, and no second one goes out before it is seen.
-    c.on_report(221.0, &report("sa", 1, 2, TERM, vec![]), Source::CheckIn);
-    c.jobs.get_mut("req-1").unwrap().waiting = RangeSet::first(1);
-    assert_eq!(c.turn_to_begin("req-1"), Some(0));
+    c.apply_heartbeat(
+        221.0,
+        &report("sa", 1, 2, TERM, vec![]),
+        HeartbeatSource::Periodic,
+    );
+    c.jobs.get_mut("req-1").unwrap().pending = RangeSet::first(1);
+    assert_eq!(c.start_claim_order("req-1"), Some(0));
     round(&mut c, 221.0);
-    assert_eq!(c.turn_to_begin("req-1"), None);
-    c.call_to_begin(222.0);
+    assert_eq!(c.start_claim_order("req-1"), None);
+    c.find_overdue_starts(222.0);
     assert!(
-        c.begins.jobs.contains_key("req-1"),
+        c.start_deadlines.claims.contains_key("req-1"),
         "not for 30 s yet: protected"
     );
-    assert_eq!(c.turn_to_begin("req-1"), None);
+    assert_eq!(c.start_claim_order("req-1"), None);
     // When hardly anything is left, the others come as well, unless somebody is
     // behind.
-    c.call_to_begin(245.0);
+    c.find_overdue_starts(245.0);
     assert_eq!(
-        c.begins
-            .jobs
+        c.start_deadlines
+            .claims
             .values()
-            .filter(|t| t.wants && !t.large)
+            .filter(|t| t.needs_first_start && !t.large)
             .count(),
         6
     );
-    assert!(c.begins.aside.is_empty());
-    let seat = crate::parts::Seat {
-        place: 0,
-        least: true,
+    assert!(c.start_deadlines.reserved.is_empty());
+    let seat = crate::parts::PriorityClaim {
+        group: 0,
+        for_min_share: true,
         order: 0,
     };
-    c.floor.seats.insert("req-1".into(), seat);
-    c.call_to_begin(246.0);
-    assert!(c.begins.jobs.values().all(|t| t.large));
+    c.minimum_share.claims.insert("req-1".into(), seat);
+    c.find_overdue_starts(246.0);
+    assert!(c.start_deadlines.claims.values().all(|t| t.large));
 }
 
 // On a drawn day with more work than machines, jobs that were not large had no task
@@ -249,26 +270,30 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut c = cluster(&names, 100.0);
     for (n, name) in names.iter().enumerate() {
-        c.on_report(
+        c.apply_heartbeat(
             245.0,
             &report(name, 1, 2 + n as u64, TERM, vec![]),
-            Source::CheckIn,
+            HeartbeatSource::Periodic,
         );
     }
     for n in 1..30 {
         c.add_job(spec(n, 1, 1.0), 1, 30.0, &RangeSet::default());
     }
-    let seat = crate::parts::Seat {
-        place: 0,
-        least: true,
+    let seat = crate::parts::PriorityClaim {
+        group: 0,
+        for_min_share: true,
         order: 0,
     };
-    c.floor.seats.insert("req-1".into(), seat);
-    c.call_to_begin(245.0);
-    let others = c.begins.jobs.values().filter(|t| t.wants && !t.large);
+    c.minimum_share.claims.insert("req-1".into(), seat);
+    c.find_overdue_starts(245.0);
+    let others = c
+        .start_deadlines
+        .claims
+        .values()
+        .filter(|t| t.needs_first_start && !t.large);
     let cpus: f64 = names
         .iter()
-        .map(|n| c.types[&c.workers[*n].machine_type].cpus)
+        .map(|n| c.machine_types[&c.workers[*n].machine_type].cpus)
         .sum();
     assert_eq!(others.count(), (cpus * 0.05) as usize);
     assert!(cpus * 0.05 >= 1.0, "{cpus}");
--- a/crates/tallygauge-scheduler/tests/floor.rs
+++ b/crates/tallygauge-scheduler/tests/floor.rs
@@ -7,7 +7,7 @@
 use day::{BULK, CPUS, Class, Day, FIX, Facts, RUSH, STEP, Setup, draw, spec};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use tallygauge_scheduler::Kind;
+use tallygauge_scheduler::GroupKind;
 
 const SHARE: f64 = 0.65;
 
@@ -159,14 +159,14 @@
         }).collect();
         jobs.sort_by(|a, b| a.at.total_cmp(&b.at));
         let mut day = Day::new(&setup);
-        let mut without: BTreeMap<(Kind, String), (u64, f64)> = BTreeMap::new();
+        let mut without: BTreeMap<(GroupKind, String), (u64, f64)> = BTreeMap::new();
         let (mut worst, mut behind) = (0.0f64, 0);
         // The largest come after the least part of all: no bound is said for them.
-        day.play(jobs, |day, _| for s in day.c.standings().into_iter().filter(|s| s.key.kind != Kind::Largest) {
+        day.play(jobs, |day, _| for s in day.c.group_statuses().into_iter().filter(|s| s.key.kind != GroupKind::Largest) {
             let key = (s.key.kind, s.key.name.to_string());
-            let entry = without.entry(key).or_insert((s.tally.done, 0.0));
-            if entry.0 != s.tally.done || s.demand.need == 0 || s.demand.unfit >= s.open {
-                *entry = (s.tally.done, 0.0);
+            let entry = without.entry(key).or_insert((s.counts.done, 0.0));
+            if entry.0 != s.counts.done || s.shortfall.to_target_share == 0 || s.shortfall.unfit >= s.open {
+                *entry = (s.counts.done, 0.0);
             } else {
                 entry.1 += STEP;
                 behind += 1;
--- a/crates/tallygauge-sim/examples/load.rs
+++ b/crates/tallygauge-sim/examples/load.rs
@@ -21,8 +21,8 @@
     },
     time::{Duration, Instant},
 };
-use tallygauge_sim::World;
-use tallygauge_store::http::{Answer, Http};
+use tallygauge_sim::Simulation;
+use tallygauge_store::http::{HttpClient, HttpResult};
 use tokio::{net::TcpListener, sync::Notify};
 use warp::{Filter, http::Method};
 
@@ -67,7 +67,7 @@
 fn serve<F, R>(listener: TcpListener, answer: F)
 where
     F: Fn(Method, String, Vec<u8>) -> R + Clone + Send + Sync + 'static,
-    R: Future<Output = Answer> + Send,
+    R: Future<Output = HttpResult> + Send,
 {
     let query = warp::query::raw().or(warp::any().map(String::new)).unify();
     let routes = warp::method()
@@ -91,7 +91,7 @@
     body.copy_to_bytes(body.remaining()).to_vec()
 }
 
-fn reply(answer: Answer) -> Reply {
+fn reply(answer: HttpResult) -> Reply {
     let (code, body) = answer.expect("a stand-in answers");
     let builder = warp::http::Response::builder().status(code);
     builder.body(body).expect("a reply")
@@ -103,18 +103,18 @@
     (listener, addr)
 }
 
-fn client() -> Http {
-    Http::new(Duration::from_secs(1), Duration::from_secs(60), 1 << 20)
+fn client() -> HttpClient {
+    HttpClient::new(Duration::from_secs(1), Duration::from_secs(60), 1 << 20)
 }
 
 /// One worker, for ever: takes direct messages and reports, soon after a change
 /// and else at the interval.
-async fn work(world: Arc<World>, counts: Arc<Counts>, name: String, url: String, every: f64) {
+async fn work(world: Arc<Simulation>, counts: Arc<Counts>, name: String, url: String, every: f64) {
     let http = client();
     let (listener, addr) = listen().await;
     let told = Arc::new(Notify::new());
     let endpoint = (name.clone(), addr);
-    world.inner.lock().unwrap().endpoints.extend([endpoint]);
+    world.state.lock().unwrap().endpoints.extend([endpoint]);
     let (w, c, n, t) = (world.clone(), counts.clone(), name.clone(), told.clone());
     serve(listener, move |_, _, body| {
         let (world, name) = (w.clone(), n.clone());
@@ -125,7 +125,7 @@
     loop {
         let sent = world.now();
         // A machine that was returned is gone.
-        let Some(report) = world.inner.lock().unwrap().next_report(&name) else {
+        let Some(report) = world.state.lock().unwrap().next_report(&name) else {
             return;
         };
         let timeout = Duration::from_secs(4);
@@ -135,9 +135,9 @@
         match answer {
             Ok((code, body)) if code == 200 => {
                 counts.reports.fetch_add(1, Relaxed);
-                let answer: tallygauge_protocol::workers::ReportAnswer =
+                let answer: tallygauge_protocol::workers::HeartbeatResponse =
                     serde_json::from_slice(&body).expect("an answer");
-                world.inner.lock().unwrap().answered(sent, &name, &answer);
+                world.state.lock().unwrap().answered(sent, &name, &answer);
                 if !answer.commands.is_empty() {
                     wait = 0.5;
                 }
@@ -230,7 +230,7 @@
     }
 }
 
-async fn submit(world: &World, base: &str, number: u32, tasks: u32, cpus: f64, run_s: f64) {
+async fn submit(world: &Simulation, base: &str, number: u32, tasks: u32, cpus: f64, run_s: f64) {
     let (_, body) = world.job(number, tasks, cpus, run_s);
     let body: Value = serde_json::from_slice(&body).expect("a job");
     let url = format!("{base}/work");
@@ -264,9 +264,9 @@
     let cpus = f64::from(machines) * 8.0;
     let each = 8.0 / f64::from(arguments.tasks);
     let counts = Arc::new(Counts::default());
-    let world = World::new();
+    let world = Simulation::new();
     {
-        let mut inner = world.inner.lock().unwrap();
+        let mut inner = world.state.lock().unwrap();
         inner.team_cpus = cpus;
         inner.furnish(machines);
     }
@@ -315,7 +315,7 @@
         program
     };
     let base = format!("http://{users}");
-    let names = world.inner.lock().unwrap().names();
+    let names = world.state.lock().unwrap().names();
     for name in names {
         let (world, counts, url) = (world.clone(), counts.clone(), format!("{base}/checkin"));
         tokio::spawn(work(world, counts, name, url, arguments.report));
@@ -324,7 +324,7 @@
     tokio::spawn(async move {
         loop {
             let now = w.now();
-            w.inner.lock().unwrap().advance(now);
+            w.state.lock().unwrap().advance(now);
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     });
@@ -339,7 +339,7 @@
     let program = start();
     tokio::time::sleep(Duration::from_secs(1)).await;
     submit(&world, &base, 1, all, each, settle.as_secs_f64() * 2.0).await;
-    let started = || world.inner.lock().unwrap().starts.len();
+    let started = || world.state.lock().unwrap().starts.len();
     until("all started", || started() >= all as usize).await;
     let name = format!("start, machines are met, {all} tasks start");
     phase.print(&name, &program, &counts);
@@ -362,6 +362,6 @@
 
     drop(program);
     let _ = std::fs::remove_file(&path);
-    let broken = world.inner.lock().unwrap().broken.clone();
+    let broken = world.state.lock().unwrap().violations.clone();
     assert!(broken.is_empty(), "{broken:?}");
 }
--- a/crates/tallygauge-sim/src/cloud.rs
+++ b/crates/tallygauge-sim/src/cloud.rs
@@ -1,14 +1,14 @@
 //! The cloud's stand-in.
 
-use crate::{World, ok};
+use crate::{Simulation, ok};
 use serde_json::{Value, json};
 use warp::http::{Method, StatusCode};
 
-impl World {
+impl Simulation {
     /// Answers in the cloud's stead.
     pub fn cloud(&self, method: &Method, path: &str, body: &[u8]) -> (StatusCode, bytes::Bytes) {
         let now = self.now();
-        let mut inner = self.inner.lock().unwrap();
+        let mut inner = self.state.lock().unwrap();
         if path == "/catalog" {
             return ok(
                 json!({"builds": [{"name": "c8", "cores": 8, "gpus": 0, "memGb": 32,
@@ -39,12 +39,15 @@
         }
         let booking = request["booking"].as_str().unwrap().to_string();
         let asked = request.to_string();
-        let first = inner.booked.entry(booking.clone()).or_insert(asked.clone());
+        let first = inner
+            .rental_requests
+            .entry(booking.clone())
+            .or_insert(asked.clone());
         if *first != asked {
             let text = format!("{now:.1}: booking {booking} repeats");
-            inner.broken.push(text);
+            inner.violations.push(text);
         }
-        if !inner.bookings.contains_key(&booking) {
+        if !inner.rentals.contains_key(&booking) {
             let mut names = Vec::new();
             for _ in 0..request["howMany"].as_u64().unwrap() {
                 let name = format!("host-{:06}", inner.next_machine);
@@ -53,8 +56,8 @@
                 inner.machines.insert(name.clone(), (now, zone));
                 names.push(name);
             }
-            inner.bookings.insert(booking.clone(), names);
+            inner.rentals.insert(booking.clone(), names);
         }
-        ok(json!({"benches": inner.bookings[&booking]}))
+        ok(json!({"benches": inner.rentals[&booking]}))
     }
 }
