--- a/crates/tallygauge/src/cloud.rs
+++ b/crates/tallygauge/src/cloud.rs
@@ -1,6 +1,6 @@
 //! Dealings with the cloud: catalogue, machine list, rentals and returns.
 
-use crate::controller::Node;
+use crate::controller::Controller;
 use serde::{Serialize, de::DeserializeOwned};
 use std::{
     collections::BTreeMap,
@@ -11,14 +11,15 @@
     time::Duration,
 };
 use tallygauge_protocol::cloud::{
-    Catalogue, MACHINE_PAGE, MAX_RETURN, MachinePage, MachineType, Machines, RentRequest,
+    Catalogue, MAX_MACHINES_PER_PAGE, MAX_MACHINES_PER_RETURN, MachineNames, MachinePage,
+    MachineType, RentRequest,
 };
 use tallygauge_scheduler::LeaveReason;
-use tallygauge_store::{first_time, http::NoAnswer};
+use tallygauge_store::{http::RequestError, is_first_occurrence};
 use tokio::time::Instant;
 use warp::http::{Method, StatusCode};
 
-enum Trouble {
+enum CloudError {
     /// Surely not done: the cloud said so, or was not reached.
     Refused,
     /// Said that it has none.
@@ -28,48 +29,48 @@
 }
 
 async fn call<B: Serialize, T: DeserializeOwned>(
-    node: &Node,
+    node: &Controller,
     method: Method,
     path: &str,
     body: Option<&B>,
-) -> Result<T, Trouble> {
+) -> Result<T, CloudError> {
     let url = format!("http://{}{path}", node.settings.services.cloud);
     let timeout = Duration::from_secs(4);
     match node.http.call(method, &url, body, timeout).await {
         Ok((StatusCode::OK, bytes)) => serde_json::from_slice(&bytes).map_err(|error| {
-            if first_time(&format!("cloud: {error}")) {
+            if is_first_occurrence(&format!("cloud: {error}")) {
                 tracing::warn!(%error, path, "malformed answer from the cloud, taken as none");
             }
-            Trouble::Unknown
+            CloudError::Unknown
         }),
         Ok((StatusCode::SERVICE_UNAVAILABLE, bytes))
             if bytes.windows(11).any(|w| w == b"no capacity") =>
         {
-            Err(Trouble::NoCapacity)
+            Err(CloudError::NoCapacity)
         }
         Ok((status, _)) => {
             tracing::debug!(status = status.as_u16(), path, "the cloud refuses");
-            Err(Trouble::Refused)
+            Err(CloudError::Refused)
         }
-        Err(NoAnswer::NotSent) => Err(Trouble::Refused),
-        Err(NoAnswer::Lost) => Err(Trouble::Unknown),
+        Err(RequestError::NotSent) => Err(CloudError::Refused),
+        Err(RequestError::NoResponse) => Err(CloudError::Unknown),
     }
 }
 
 /// Reads the catalogue; every node needs it to judge submissions.
-pub async fn read_catalogue(node: &Node) -> bool {
+pub async fn refresh_catalogue(node: &Controller) -> bool {
     match call::<(), Catalogue>(node, Method::GET, "/catalog", None).await {
         Ok(catalogue) if !catalogue.types.is_empty() => {
             let types: Arc<Vec<MachineType>> = Arc::new(catalogue.types);
             *node.lock(&node.catalogue) = Some(types.clone());
-            node.with_cluster(|c| c.set_types(&types));
+            node.with_cluster(|c| c.set_machine_types(&types));
             true
         }
         _ => false,
     }
 }
 
-async fn read_list(node: &Node) -> bool {
+async fn refresh_machine_list(node: &Controller) -> bool {
     let asked = node.now();
     let mut machines = Vec::new();
     loop {
@@ -77,12 +78,12 @@
             .last()
             .map(|m: &tallygauge_protocol::cloud::Machine| format!("since={}&", m.name))
             .unwrap_or_default();
-        let path = format!("/machines?{since}page={MACHINE_PAGE}");
+        let path = format!("/machines?{since}page={MAX_MACHINES_PER_PAGE}");
         match call::<(), MachinePage>(node, Method::GET, &path, None).await {
             Ok(page) => {
                 let empty = page.machines.is_empty();
                 machines.extend(page.machines);
-                if !page.more || empty {
+                if !page.has_more || empty {
                     break;
                 }
             }
@@ -91,29 +92,29 @@
     }
     let now = node.now();
     let gone = node
-        .with_cluster(|c| c.on_list(&machines, asked, now))
+        .with_cluster(|c| c.apply_machine_list(&machines, asked, now))
         .unwrap_or_default();
     for name in gone {
         tracing::info!(machine = name, "machine is gone");
-        node.wake.notify_one();
+        node.wake_scheduler.notify_one();
     }
     true
 }
 
 /// A rental that was not answered yet. It is repeated under its name, which
 /// rents nothing twice.
-struct Pending {
+struct PendingRental {
     request: RentRequest,
     tries: u32,
 }
 
 /// Deals out the requests that the cloud allows among the loops of a leader.
-struct Pace {
+struct RateLimiter {
     gap: Duration,
     next: Mutex<Instant>,
 }
 
-impl Pace {
+impl RateLimiter {
     fn new(requests_per_s: f64) -> Self {
         Self {
             gap: Duration::from_secs_f64(1.0 / requests_per_s),
@@ -122,7 +123,7 @@
     }
 
     /// Waits for the next turn.
-    async fn turn(&self) {
+    async fn acquire(&self) {
         let at = {
             let mut next = self.next.lock().expect("pace lock");
             let at = (*next).max(Instant::now() + self.gap);
@@ -135,8 +136,8 @@
 
 /// Deals with the cloud while this node leads: lists, returns and rentals, none of
 /// which waits for another's answer.
-pub async fn run(node: &Arc<Node>, term: u64) {
-    let pace = Pace::new(node.settings.deployment.cloud.rps);
+pub async fn run(node: &Arc<Controller>, term: u64) {
+    let pace = RateLimiter::new(node.settings.deployment.cloud.rps);
     let listed = AtomicBool::new(false);
     tokio::join!(
         follow_lists(node, &pace, &listed),
@@ -146,28 +147,28 @@
 }
 
 /// Seconds between two readings of the machine list.
-fn list_every_s(node: &Node) -> f64 {
+fn list_every_s(node: &Controller) -> f64 {
     let limits = &node.settings.deployment.cloud;
     (limits.list_lag_s * 0.5).max(4.0 / limits.rps)
 }
 
 /// Reads the catalogue and the machine list now and then. Notes in `listed` that
 /// the list was read.
-async fn follow_lists(node: &Node, pace: &Pace, listed: &AtomicBool) {
+async fn follow_lists(node: &Controller, pace: &RateLimiter, listed: &AtomicBool) {
     let list_every = list_every_s(node);
     let catalogue_every = node.settings.deployment.cloud.list_lag_s * 8.0;
     let (mut listed_at, mut catalogued) = (f64::NEG_INFINITY, f64::NEG_INFINITY);
     loop {
         if node.now() - catalogued > catalogue_every {
-            pace.turn().await;
-            if read_catalogue(node).await {
+            pace.acquire().await;
+            if refresh_catalogue(node).await {
                 catalogued = node.now();
             }
         }
         if node.now() - listed_at > list_every {
             let asked = node.now();
-            pace.turn().await;
-            if read_list(node).await {
+            pace.acquire().await;
+            if refresh_machine_list(node).await {
                 listed_at = asked;
                 listed.store(true, Ordering::Relaxed);
                 node.wake_cloud.notify_one();
@@ -178,18 +179,18 @@
 }
 
 /// Rebalances and returns machines that are not wanted.
-async fn return_machines(node: &Node, pace: &Pace) {
-    let balance_every = node.settings.deployment.workers.report_s * 0.5;
+async fn return_machines(node: &Controller, pace: &RateLimiter) {
+    let balance_every = node.settings.deployment.workers.heartbeat_interval_s * 0.5;
     let pause = Duration::from_secs_f64((list_every_s(node) * 0.25).min(balance_every));
     let mut balanced = f64::NEG_INFINITY;
     loop {
         let now = node.now();
         if now - balanced > balance_every {
             balanced = now;
-            node.with_cluster(|c| c.balance(now));
+            node.with_cluster(|c| c.mark_surplus_machines(now));
         }
-        if give_back(node).await {
-            pace.turn().await;
+        if return_idle_machines(node).await {
+            pace.acquire().await;
         } else {
             tokio::time::sleep(pause).await;
         }
@@ -198,15 +199,15 @@
 
 /// Rents machines, one booking at a time: the next is worked out from what the last
 /// one brought.
-async fn rent_machines(node: &Node, pace: &Pace, listed: &AtomicBool, term: u64) {
+async fn rent_machines(node: &Controller, pace: &RateLimiter, listed: &AtomicBool, term: u64) {
     let limits = &node.settings.deployment.cloud;
     let wait = Duration::from_secs_f64(list_every_s(node) * 0.5);
     let began = node.now();
-    let mut pending: Option<Pending> = None;
+    let mut pending: Option<PendingRental> = None;
     let mut booked = 0u64;
     loop {
         let _ = tokio::time::timeout(wait, node.wake_cloud.notified()).await;
-        pace.turn().await;
+        pace.acquire().await;
         if pending.is_none() && listed.load(Ordering::Relaxed) {
             // What the leader before asked for last may not be listed yet.
             let settled = term == 1 || node.now() - began > limits.list_lag_s;
@@ -216,9 +217,9 @@
                 .unwrap_or_default();
             pending = wanted.into_iter().next().map(|rental| {
                 booked += 1;
-                Pending {
+                PendingRental {
                     request: RentRequest {
-                        booking: format!("{}-{term}-{booked}", node.settings.node_name),
+                        request_id: format!("{}-{term}-{booked}", node.settings.node_name),
                         machine_type: rental.kind.0,
                         zone: rental.kind.1,
                         spot: rental.kind.2,
@@ -241,20 +242,20 @@
     }
 }
 
-async fn rent(node: &Node, mut pending: Pending) -> Option<Pending> {
+async fn rent(node: &Controller, mut pending: PendingRental) -> Option<PendingRental> {
     let request = &pending.request;
     let kind = (
         request.machine_type.clone(),
         request.zone.clone(),
         request.spot,
     );
-    let answer: Result<Machines, Trouble> =
+    let answer: Result<MachineNames, CloudError> =
         call(node, Method::POST, "/machines", Some(request)).await;
     let now = node.now();
     match answer {
         Ok(machines) => {
             tracing::info!(
-                booking = request.booking,
+                booking = request.request_id,
                 machine_type = kind.0,
                 zone = kind.1,
                 spot = kind.2,
@@ -265,27 +266,27 @@
             let partly = machines.names.len() < request.count as usize;
             node.with_cluster(|c| {
                 for name in &machines.names {
-                    c.know(name, &kind.0, &kind.1, kind.2, "", now);
+                    c.register_machine(name, &kind.0, &kind.1, kind.2, "", now);
                 }
                 if partly {
-                    c.refused(&kind, now);
+                    c.record_no_capacity(&kind, now);
                 } else {
-                    c.granted(&kind);
+                    c.record_rented(&kind);
                 }
             });
             None
         }
-        Err(Trouble::NoCapacity) => {
+        Err(CloudError::NoCapacity) => {
             tracing::debug!(
                 machine_type = kind.0,
                 zone = kind.1,
                 spot = kind.2,
                 "no capacity"
             );
-            node.with_cluster(|c| c.refused(&kind, now));
+            node.with_cluster(|c| c.record_no_capacity(&kind, now));
             None
         }
-        Err(Trouble::Refused | Trouble::Unknown) => {
+        Err(CloudError::Refused | CloudError::Unknown) => {
             pending.tries += 1;
             Some(pending)
         }
@@ -297,15 +298,15 @@
 /// request may be carried out late. While another node may lead, and use these
 /// machines, only those go that can't confirm that cancelled work stopped.
 /// Says whether more may be asked for at once: the last request was answered.
-async fn give_back(node: &Node) -> bool {
+async fn return_idle_machines(node: &Controller) -> bool {
     if !node.may_command() {
         return false;
     }
-    let (now, sure) = (node.now(), node.surely_leads());
+    let (now, sure) = (node.now(), node.holds_unexpired_lease());
     let Some(due) = node.with_cluster(|c| {
         let mut due = c.returns(now);
         due.retain(|d| sure || d.1 == LeaveReason::Unconfirmed);
-        due.truncate(MAX_RETURN);
+        due.truncate(MAX_MACHINES_PER_RETURN);
         let names: Vec<String> = due.iter().map(|d| d.0.clone()).collect();
         c.return_sent(&names);
         due
@@ -316,7 +317,7 @@
         return false;
     }
     let reasons: BTreeMap<&str, LeaveReason> = due.iter().map(|d| (d.0.as_str(), d.1)).collect();
-    let request = Machines {
+    let request = MachineNames {
         names: due.iter().map(|d| d.0.clone()).collect(),
     };
     let url = format!("http://{}/machines/return", node.settings.services.cloud);
@@ -330,12 +331,12 @@
     }
     node.with_cluster(|c| {
         for name in &request.names {
-            c.gone(name, now);
+            c.deregister_machine(name, now);
         }
     });
     for (machine, reason) in reasons {
         tracing::info!(machine, ?reason, "returned");
     }
-    node.wake.notify_one();
+    node.wake_scheduler.notify_one();
     true
 }
--- a/crates/tallygauge/src/connection_limits.rs
+++ b/crates/tallygauge/src/connection_limits.rs
@@ -5,7 +5,7 @@
 //! Direct messages come second, since what they carry reaches the worker with
 //! its next call as well. Users come last, where other nodes can serve them.
 
-use tallygauge_store::Open;
+use tallygauge_store::ConnectionCount;
 
 /// Part of the limit that is kept for connections to the state service, the
 /// cloud and the peers, and for those that are being closed.
@@ -20,20 +20,20 @@
 const SHORT: f64 = 1.0 / 8.0;
 
 /// Counts of open connections.
-pub struct Sockets {
+pub struct ConnectionLimits {
     limit: f64,
     /// Those of workers, users and health checks.
-    pub callers: Open,
-    ours: Vec<Open>,
+    pub callers: ConnectionCount,
+    ours: Vec<ConnectionCount>,
 }
 
-impl Sockets {
+impl ConnectionLimits {
     /// Counts against a limit; `ours` counts those that this process opens.
     #[must_use]
-    pub fn new(limit: u32, ours: Vec<Open>) -> Self {
+    pub fn new(limit: u32, ours: Vec<ConnectionCount>) -> Self {
         Self {
             limit: f64::from(limit),
-            callers: Open::default(),
+            callers: ConnectionCount::default(),
             ours,
         }
     }
@@ -41,7 +41,7 @@
     /// Connections that are open.
     #[must_use]
     pub fn used(&self) -> usize {
-        self.callers.count() + self.ours.iter().map(Open::count).sum::<usize>()
+        self.callers.get() + self.ours.iter().map(ConnectionCount::get).sum::<usize>()
     }
 
     /// Connections that may yet be opened, beyond those kept for what can't be
@@ -57,13 +57,13 @@
 
     /// Whether connections for direct messages should not be kept.
     #[must_use]
-    pub fn few(&self) -> bool {
+    pub fn is_low(&self) -> bool {
         self.below(FEW)
     }
 
     /// Whether users should rather go elsewhere.
     #[must_use]
-    pub fn short(&self) -> bool {
+    pub fn is_critical(&self) -> bool {
         self.below(SHORT)
     }
 }
@@ -74,14 +74,14 @@
 
     #[test]
     fn direct_messages_give_way_before_users_and_both_before_workers() {
-        let ours = Open::default();
-        let sockets = Sockets::new(320, vec![ours.clone()]);
+        let ours = ConnectionCount::default();
+        let sockets = ConnectionLimits::new(320, vec![ours.clone()]);
         let mut held = Vec::new();
         let mut turns = Vec::new();
         for n in 1..=400 {
             let which = if n % 3 == 0 { &ours } else { &sockets.callers };
-            held.push(which.enter());
-            let now = (sockets.few(), sockets.short(), sockets.free() == 0);
+            held.push(which.acquire());
+            let now = (sockets.is_low(), sockets.is_critical(), sockets.free() == 0);
             if turns.last().is_none_or(|(_, before)| *before != now) {
                 turns.push((n, now));
             }
@@ -96,6 +96,6 @@
             ]
         );
         held.truncate(10);
-        assert_eq!((sockets.used(), sockets.few()), (10, false));
+        assert_eq!((sockets.used(), sockets.is_low()), (10, false));
     }
 }
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -1,8 +1,8 @@
 //! What the parts of a controller share.
 
 use crate::{
-    connection_limits::Sockets, operator_settings::Tuning, relay::Relay, settings::Settings,
-    wall_clock::WallClock,
+    connection_limits::ConnectionLimits, operator_settings::OperatorSettings, relay::Relay,
+    settings::Settings, wall_clock::WallClock,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::{
@@ -10,9 +10,9 @@
     sync::{Arc, Mutex, MutexGuard},
     time::Duration,
 };
-use tallygauge_protocol::{cloud::MachineType, state::Guard, users::JobStatus};
-use tallygauge_scheduler::{Cluster, Config, FloorConfig, Spread};
-use tallygauge_store::{Budget, Class, Client, http::Http};
+use tallygauge_protocol::{cloud::MachineType, state::Condition, users::JobStatus};
+use tallygauge_scheduler::{ClusterState, Config, MinimumShareConfig, ReplicaSpread};
+use tallygauge_store::{RequestBudget, RequestPriority, StoreClient, http::HttpClient};
 use tokio::{
     sync::{Notify, mpsc, oneshot},
     time::Instant,
@@ -28,100 +28,100 @@
 
 /// Part of the report interval that a process may lag behind before it leaves
 /// out what it can.
-const MOST_LAG: f64 = 0.05;
+const MAX_LAG_FRACTION: f64 = 0.05;
 
 /// Part of the report interval between two measurements of the lag.
-const LAG_STEP: f64 = 0.04;
+const LAG_SAMPLE_FRACTION: f64 = 0.04;
 
 /// Part of a worker's lease after which a request to the state service may be
 /// sent once more, however fast others were answered.
-const LEAST_TIMEOUT: f64 = 0.0025;
+const MIN_RETRY_TIMEOUT_FRACTION: f64 = 0.0025;
 
 /// Key of an open job.
 #[must_use]
-pub fn open_key(id: &str) -> String {
+pub fn active_job_key(id: &str) -> String {
     format!("o/{id}")
 }
 
 /// Key of a job that is over.
 #[must_use]
-pub fn over_key(id: &str) -> String {
+pub fn terminal_job_key(id: &str) -> String {
     format!("j/{id}")
 }
 
 /// Key of a page of finished tasks.
 #[must_use]
-pub fn page_key(page: u32) -> String {
+pub fn completion_page_key(page: u32) -> String {
     format!("f/{page}")
 }
 
 /// Key of a batch of placements.
 #[must_use]
-pub fn batch_key(name: &str) -> String {
+pub fn placement_batch_key(name: &str) -> String {
     format!("p/{name}")
 }
 
 /// What a node knows of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Known {
+pub enum CachedJob {
     /// Open, its record having this version when last read.
-    Open(u64),
+    Active(u64),
     /// It was open, and its record is not as it was.
     Stale,
     /// Over; this never changes again.
-    Over(JobStatus, u32),
+    Terminal(JobStatus, u32),
 }
 
 /// Jobs that were asked about, the longest known dropped first.
 pub struct JobCache {
-    known: HashMap<String, Known>,
+    jobs: HashMap<String, CachedJob>,
     order: VecDeque<String>,
-    most: usize,
+    capacity: usize,
 }
 
 impl JobCache {
     fn new(most: usize) -> Self {
         Self {
-            known: HashMap::new(),
+            jobs: HashMap::new(),
             order: VecDeque::new(),
-            most,
+            capacity: most,
         }
     }
 
     /// What is known of a job.
     #[must_use]
-    pub fn get(&self, id: &str) -> Option<Known> {
-        self.known.get(id).copied()
+    pub fn get(&self, id: &str) -> Option<CachedJob> {
+        self.jobs.get(id).copied()
     }
 
     /// Notes what is known. What is over stays over.
-    pub fn put(&mut self, id: &str, what: Known) {
-        match self.known.get_mut(id) {
-            Some(Known::Over(..)) => {}
+    pub fn insert(&mut self, id: &str, what: CachedJob) {
+        match self.jobs.get_mut(id) {
+            Some(CachedJob::Terminal(..)) => {}
             Some(known) => *known = what,
             None => {
-                self.known.insert(id.to_string(), what);
+                self.jobs.insert(id.to_string(), what);
                 self.order.push_back(id.to_string());
-                if self.order.len() > self.most
+                if self.order.len() > self.capacity
                     && let Some(old) = self.order.pop_front()
                 {
-                    self.known.remove(&old);
+                    self.jobs.remove(&old);
                 }
             }
         }
     }
 
     /// Forgets an open job that is not as it was.
-    pub fn forget_open(&mut self, id: &str, version: u64) {
-        if self.known.get(id) == Some(&Known::Open(version)) {
-            self.known.insert(id.to_string(), Known::Stale);
+    pub fn mark_stale(&mut self, id: &str, version: u64) {
+        if self.jobs.get(id) == Some(&CachedJob::Active(version)) {
+            self.jobs.insert(id.to_string(), CachedJob::Stale);
         }
     }
 }
 
 /// Who leads, as far as this node knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Role {
+pub struct LeaderView {
     /// Highest term heard of.
     pub term: u64,
     /// Its holder, if known to be in office.
@@ -129,41 +129,41 @@
 }
 
 /// This node's own leadership.
-pub struct Lead {
+pub struct Leadership {
     /// The term, also the token.
     pub term: u64,
     /// Condition of every write.
-    pub guard: Guard,
+    pub term_condition: Condition,
     /// The picture; `None` while it is being loaded.
-    pub cluster: Option<Cluster>,
+    pub cluster: Option<ClusterState>,
     /// When the term was last known not to have passed on.
-    pub confirmed: f64,
+    pub term_confirmed_at: f64,
     /// Start of the last renewal of the lease that was answered: for its time
     /// to live from then no other node can win a term.
-    pub renewed: f64,
+    pub lease_renewed_at: f64,
     /// Start of the last watch of jobs that was answered and taken up: all that
     /// was cancelled by then is known to the picture.
-    pub watched: f64,
+    pub watch_confirmed_at: f64,
     /// Revision up to which the picture has followed open jobs.
-    pub followed: u64,
+    pub watched_revision: u64,
     /// When a worker last called.
-    pub called: f64,
+    pub last_heartbeat_at: f64,
 }
 
-impl Lead {
+impl Leadership {
     /// Whether workers are neither answered nor commanded: the picture does not
     /// hold all cancellations confirmed by anybody more than `fence` ago, or the
     /// term may have passed on for that long. A leader that has no picture yet
     /// holds none, however lately it has won its term.
     #[must_use]
-    pub fn fenced(&self, now: f64, fence: f64) -> bool {
-        self.cluster.is_none() || now - self.confirmed.min(self.watched) > fence
+    pub fn is_fenced(&self, now: f64, fence: f64) -> bool {
+        self.cluster.is_none() || now - self.term_confirmed_at.min(self.watch_confirmed_at) > fence
     }
 }
 
 /// Task counts of open jobs, for display.
 #[derive(Default)]
-pub struct Counts {
+pub struct TaskCounts {
     /// Counts and when they were read.
     pub known: HashMap<String, (u32, u32, f64)>,
     /// Jobs asked about since the last refresh.
@@ -171,22 +171,22 @@
 }
 
 /// A question whether keys have the given versions.
-pub struct Query {
+pub struct VersionCheck {
     /// What it is for.
-    pub class: Class,
+    pub priority: RequestPriority,
     /// Since when whoever asks has had no answer: the longest come first.
-    pub since: f64,
+    pub unanswered_since: f64,
     /// When it was asked.
-    pub asked: f64,
+    pub requested_at: f64,
     /// Keys and versions.
-    pub guards: Vec<Guard>,
+    pub conditions: Vec<Condition>,
     /// Where the answer goes; `None`: can't know.
-    pub reply: oneshot::Sender<Option<Verdict>>,
+    pub reply: oneshot::Sender<Option<VersionCheckResult>>,
 }
 
 /// What the state service said of a question.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Verdict {
+pub struct VersionCheckResult {
     /// For each key, whether it has the version.
     pub holds: Vec<bool>,
     /// When the state service was asked for it: it is no older than that.
@@ -196,20 +196,20 @@
 /// Jobs whose users have had no answer, for how long, and since when nobody asked
 /// again: bounded, those asked about longest ago are dropped first.
 #[derive(Default)]
-pub struct Unanswered {
+pub struct PendingCallers {
     since: HashMap<String, (f64, f64)>,
 }
 
 /// Jobs that a node knows nothing of, asked about since it last read all open
 /// ones, from which on it reads them again.
-const UNKNOWN_TELL: usize = 8;
+const UNKNOWN_JOBS_BEFORE_REFRESH: usize = 8;
 
 /// Jobs that are remembered as unanswered, at most.
-const MOST_UNANSWERED: usize = 4096;
+const MAX_PENDING_CALLERS: usize = 4096;
 
-impl Unanswered {
+impl PendingCallers {
     /// A job is asked about: since when it has gone without an answer.
-    pub fn asked(&mut self, id: &str, now: f64, memory_s: f64) -> f64 {
+    pub fn record_request(&mut self, id: &str, now: f64, memory_s: f64) -> f64 {
         if let Some(entry) = self.since.get_mut(id) {
             // Who did not ask again was answered elsewhere.
             if now - entry.1 > memory_s {
@@ -218,17 +218,17 @@
             entry.1 = now;
             return entry.0;
         }
-        if self.since.len() >= MOST_UNANSWERED {
+        if self.since.len() >= MAX_PENDING_CALLERS {
             self.since.retain(|_, e| now - e.1 <= memory_s);
         }
-        if self.since.len() < MOST_UNANSWERED {
+        if self.since.len() < MAX_PENDING_CALLERS {
             self.since.insert(id.to_string(), (now, now));
         }
         now
     }
 
     /// It was answered.
-    pub fn answered(&mut self, id: &str) {
+    pub fn record_response(&mut self, id: &str) {
         self.since.remove(id);
     }
 
@@ -243,19 +243,19 @@
 }
 
 /// One controller.
-pub struct Node {
+pub struct Controller {
     /// Platform's settings.
     pub settings: Settings,
     /// Operators' settings.
-    pub tuning: Tuning,
+    pub operator_settings: OperatorSettings,
     /// State service.
-    pub state: Client,
+    pub store: StoreClient,
     /// For cloud and workers.
-    pub http: Http,
+    pub http: HttpClient,
     /// Connections against the limit.
-    pub sockets: Sockets,
+    pub connection_limits: ConnectionLimits,
     /// Start of the process's clock.
-    pub began: Instant,
+    pub started_at: Instant,
     /// Source of the time of day.
     pub wall_clock: Arc<dyn WallClock>,
     /// Machine types, once known.
@@ -263,113 +263,122 @@
     /// Jobs.
     pub jobs: Mutex<JobCache>,
     /// Who leads.
-    pub role: Mutex<Role>,
+    pub leader_view: Mutex<LeaderView>,
     /// Own leadership.
-    pub lead: Mutex<Option<Lead>>,
+    pub leadership: Mutex<Option<Leadership>>,
     /// Task counts.
-    pub counts: Mutex<Counts>,
+    pub task_counts: Mutex<TaskCounts>,
     /// Questions for the state service.
-    pub queries: mpsc::Sender<Query>,
+    pub version_checks: mpsc::Sender<VersionCheck>,
     /// Something changed that a round should look at.
-    pub wake: Notify,
+    pub wake_scheduler: Notify,
     /// Tasks ended: progress should be made durable.
-    pub wake_finish: Notify,
+    pub wake_completions: Notify,
     /// The cloud should be looked at.
     pub wake_cloud: Notify,
     /// The term is lost.
     pub deposed: Notify,
     /// The role changed.
-    pub role_changed: Notify,
+    pub leader_changed: Notify,
     /// When a worker last called on this node while it did not lead.
-    pub called_at: Mutex<f64>,
+    pub follower_heartbeat_at: Mutex<f64>,
     /// Does not stand for the lead before this time.
-    pub abstains_until: Mutex<f64>,
+    pub candidacy_suspended_until: Mutex<f64>,
     /// The state service has been reached.
-    pub reached: Mutex<bool>,
+    pub store_reached: Mutex<bool>,
     /// How users' requests are passed on to other nodes.
     pub relay: Mutex<Option<Arc<dyn Relay>>>,
     /// Requests are not passed on before this time.
-    pub relay_after: Mutex<f64>,
+    pub relay_backoff_until: Mutex<f64>,
     /// How late ordinary tasks of this process are of late, seconds.
-    pub lag: Mutex<f64>,
+    pub scheduling_delay: Mutex<f64>,
     /// Until when this node, leading and behind with its work, leaves users to
     /// the others.
-    pub leaves_users_until: Mutex<f64>,
+    pub sheds_user_load_until: Mutex<f64>,
     /// Other nodes that answered when last asked, while this node leads.
-    pub peers_up: Mutex<usize>,
+    pub reachable_peers: Mutex<usize>,
     /// Jobs whose users wait for an answer.
-    pub unanswered: Mutex<Unanswered>,
+    pub pending_callers: Mutex<PendingCallers>,
     /// Jobs asked about that this node knows nothing of, since it last read all
     /// that are open.
-    pub unknown: Mutex<usize>,
+    pub unknown_job_requests: Mutex<usize>,
     /// All open jobs should be read.
-    pub wake_prime: Notify,
+    pub wake_job_refresh: Notify,
     /// The longest round since the last summary, seconds.
-    pub longest_round: Mutex<f64>,
+    pub longest_round_s: Mutex<f64>,
     /// Deals out chance, so that nodes don't act in step.
-    pub chance: Mutex<StdRng>,
+    pub random: Mutex<StdRng>,
     /// When another node last answered while the state service did not serve
     /// this one.
-    pub peer_answered: Mutex<f64>,
+    pub peer_reached_at: Mutex<f64>,
 }
 
-impl Node {
+impl Controller {
     /// A node, and the other end of its questions. `state` reaches the state
     /// service, `http` cloud and workers; `wall_clock` tells the time of day.
     #[must_use]
     pub fn new(
         settings: Settings,
-        tuning: Tuning,
-        state: Http,
-        http: Http,
+        tuning: OperatorSettings,
+        state: HttpClient,
+        http: HttpClient,
         wall_clock: Arc<dyn WallClock>,
-    ) -> (Arc<Self>, mpsc::Receiver<Query>) {
-        let limits = &settings.deployment.state;
-        let ours = vec![state.open().clone(), http.open().clone()];
-        let sockets = Sockets::new(settings.deployment.quota.sockets, ours);
+    ) -> (Arc<Self>, mpsc::Receiver<VersionCheck>) {
+        let limits = &settings.deployment.store;
+        let ours = vec![
+            state.connection_count().clone(),
+            http.connection_count().clone(),
+        ];
+        let sockets = ConnectionLimits::new(settings.deployment.resource_limits.connections, ours);
         let timeout = Duration::from_secs_f64(settings.deployment.workers.lease_s / 12.0)
             .clamp(Duration::from_millis(500), Duration::from_secs(2));
         let share = 1.0 / f64::from(settings.deployment.count.max(1));
-        let budget = Arc::new(Budget::new(limits.rps * share, limits.write_rps * share));
-        let floor = Duration::from_secs_f64(settings.deployment.workers.lease_s * LEAST_TIMEOUT);
-        let addr = settings.services.state.to_string();
-        let state = Client::new(state, &addr, budget, floor.min(timeout), timeout);
+        let budget = Arc::new(RequestBudget::new(
+            limits.rps * share,
+            limits.writes_per_s * share,
+        ));
+        let floor = Duration::from_secs_f64(
+            settings.deployment.workers.lease_s * MIN_RETRY_TIMEOUT_FRACTION,
+        );
+        let addr = settings.services.store.to_string();
+        let state = StoreClient::new(state, &addr, budget, floor.min(timeout), timeout);
         // A job known takes about a kilobyte at most; a tenth of the memory.
-        let most = (settings.deployment.quota.memory_mb * 100.0) as usize;
-        let (queries, questions) = mpsc::channel(settings.deployment.quota.sockets as usize);
+        let most = (settings.deployment.resource_limits.memory_mb * 100.0) as usize;
+        let (queries, questions) =
+            mpsc::channel(settings.deployment.resource_limits.connections as usize);
         let node = Self {
             settings,
-            tuning,
-            state,
+            operator_settings: tuning,
+            store: state,
             http,
-            sockets,
-            began: Instant::now(),
+            connection_limits: sockets,
+            started_at: Instant::now(),
             wall_clock,
             catalogue: Mutex::default(),
             jobs: Mutex::new(JobCache::new(most.max(1000))),
-            role: Mutex::default(),
-            lead: Mutex::default(),
-            counts: Mutex::default(),
-            queries,
-            wake: Notify::new(),
+            leader_view: Mutex::default(),
+            leadership: Mutex::default(),
+            task_counts: Mutex::default(),
+            version_checks: queries,
+            wake_scheduler: Notify::new(),
             wake_cloud: Notify::new(),
-            wake_finish: Notify::new(),
+            wake_completions: Notify::new(),
             deposed: Notify::new(),
-            role_changed: Notify::new(),
-            called_at: Mutex::new(f64::NEG_INFINITY),
-            abstains_until: Mutex::new(f64::NEG_INFINITY),
-            reached: Mutex::new(false),
+            leader_changed: Notify::new(),
+            follower_heartbeat_at: Mutex::new(f64::NEG_INFINITY),
+            candidacy_suspended_until: Mutex::new(f64::NEG_INFINITY),
+            store_reached: Mutex::new(false),
             relay: Mutex::default(),
-            relay_after: Mutex::new(f64::NEG_INFINITY),
-            lag: Mutex::new(0.0),
-            leaves_users_until: Mutex::new(f64::NEG_INFINITY),
-            peers_up: Mutex::new(0),
-            unanswered: Mutex::default(),
-            unknown: Mutex::new(0),
-            wake_prime: Notify::new(),
-            longest_round: Mutex::new(0.0),
-            chance: Mutex::new(StdRng::seed_from_u64(rand::random())),
-            peer_answered: Mutex::new(f64::NEG_INFINITY),
+            relay_backoff_until: Mutex::new(f64::NEG_INFINITY),
+            scheduling_delay: Mutex::new(0.0),
+            sheds_user_load_until: Mutex::new(f64::NEG_INFINITY),
+            reachable_peers: Mutex::new(0),
+            pending_callers: Mutex::default(),
+            unknown_job_requests: Mutex::new(0),
+            wake_job_refresh: Notify::new(),
+            longest_round_s: Mutex::new(0.0),
+            random: Mutex::new(StdRng::seed_from_u64(rand::random())),
+            peer_reached_at: Mutex::new(f64::NEG_INFINITY),
         };
         (Arc::new(node), questions)
     }
@@ -378,13 +387,16 @@
     /// times before the process began can be told.
     #[must_use]
     pub fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64() + 1.0
+        self.started_at.elapsed().as_secs_f64() + 1.0
     }
 
     /// What [`Node::now`] was at an instant.
     #[must_use]
-    pub fn at(&self, instant: Instant) -> f64 {
-        instant.saturating_duration_since(self.began).as_secs_f64() + 1.0
+    pub fn instant_to_seconds(&self, instant: Instant) -> f64 {
+        instant
+            .saturating_duration_since(self.started_at)
+            .as_secs_f64()
+            + 1.0
     }
 
     /// Seconds of the time of day: for display and deadlines, never for
@@ -400,7 +412,7 @@
     #[must_use]
     pub fn fence_s(&self) -> f64 {
         let w = &self.settings.deployment.workers;
-        (w.cancel_s - w.lease_s) * 0.85
+        (w.cancel_timeout_s - w.lease_s) * 0.85
     }
 
     /// Whether no other node can lead now: the lease was renewed so lately that
@@ -408,11 +420,12 @@
     /// of it. To be asked right before acting, with no await in between: a
     /// process may have stood still for seconds at any of them.
     #[must_use]
-    pub fn surely_leads(&self) -> bool {
+    pub fn holds_unexpired_lease(&self) -> bool {
         let now = self.now();
-        let ttl = self.term_ttl().as_secs_f64();
-        let lead = self.lock(&self.lead);
-        lead.as_ref().is_some_and(|l| now - l.renewed < ttl * 0.9)
+        let ttl = self.leader_lease_ttl().as_secs_f64();
+        let lead = self.lock(&self.leadership);
+        lead.as_ref()
+            .is_some_and(|l| now - l.lease_renewed_at < ttl * 0.9)
     }
 
     /// Whether this node leads and may answer and command workers. To be asked
@@ -420,47 +433,48 @@
     #[must_use]
     pub fn may_command(&self) -> bool {
         let (now, fence) = (self.now(), self.fence_s());
-        let lead = self.lock(&self.lead);
-        lead.as_ref().is_some_and(|l| !l.fenced(now, fence))
+        let lead = self.lock(&self.leadership);
+        lead.as_ref().is_some_and(|l| !l.is_fenced(now, fence))
     }
 
     /// Part of the work that can be left out which this process has time for:
     /// none when answers are late by a good part of a report interval.
     #[must_use]
-    pub fn spare(&self) -> f64 {
-        let most = self.settings.deployment.workers.report_s * MOST_LAG;
-        (1.0 - *self.lock(&self.lag) / most).clamp(0.0, 1.0)
+    pub fn spare_time_fraction(&self) -> f64 {
+        let most = self.settings.deployment.workers.heartbeat_interval_s * MAX_LAG_FRACTION;
+        (1.0 - *self.lock(&self.scheduling_delay) / most).clamp(0.0, 1.0)
     }
 
     /// Part of the direct messages that this process has time and connections
     /// for.
     #[must_use]
-    pub fn spare_direct(&self) -> f64 {
-        let most = self.most_direct() as f64;
-        self.spare().min(self.sockets.free() as f64 / most)
+    pub fn direct_message_fraction(&self) -> f64 {
+        let most = self.max_direct_messages() as f64;
+        self.spare_time_fraction()
+            .min(self.connection_limits.free() as f64 / most)
     }
 
     /// Direct messages that may be under way at a time.
-    fn most_direct(&self) -> usize {
-        (self.settings.deployment.quota.sockets as usize / 16).max(8)
+    fn max_direct_messages(&self) -> usize {
+        (self.settings.deployment.resource_limits.connections as usize / 16).max(8)
     }
 
     /// Measures for ever how late this process is, in a task that queues like
     /// any worker's request. A node without time or connections to spare leaves
     /// users to the others for a lease, should it lead.
-    pub async fn measure_lag(self: Arc<Self>) {
+    pub async fn measure_scheduling_delay(self: Arc<Self>) {
         let w = &self.settings.deployment.workers;
-        let step = w.report_s * LAG_STEP;
+        let step = w.heartbeat_interval_s * LAG_SAMPLE_FRACTION;
         loop {
             let due = self.now() + step;
             tokio::time::sleep(Duration::from_secs_f64(step)).await;
             let late = self.now() - due;
             {
-                let mut lag = self.lock(&self.lag);
+                let mut lag = self.lock(&self.scheduling_delay);
                 *lag += (late - *lag) * 0.5;
             }
-            if self.spare() == 0.0 || self.sockets.short() {
-                *self.lock(&self.leaves_users_until) = self.now() + w.lease_s;
+            if self.spare_time_fraction() == 0.0 || self.connection_limits.is_critical() {
+                *self.lock(&self.sheds_user_load_until) = self.now() + w.lease_s;
             }
         }
     }
@@ -469,26 +483,26 @@
     /// lagged or been short of connections of late, and at least half of the
     /// others answer.
     #[must_use]
-    pub fn leaves_users(&self) -> bool {
+    pub fn sheds_user_load(&self) -> bool {
         let enough = self.settings.peers.len().div_ceil(2).max(1);
-        self.now() < *self.lock(&self.leaves_users_until)
-            && *self.lock(&self.peers_up) >= enough
-            && self.lock(&self.lead).is_some()
+        self.now() < *self.lock(&self.sheds_user_load_until)
+            && *self.lock(&self.reachable_peers) >= enough
+            && self.lock(&self.leadership).is_some()
     }
 
     /// Seconds after which a user who has not asked again is taken to have been
     /// answered elsewhere.
     #[must_use]
-    pub fn poll_memory_s(&self) -> f64 {
+    pub fn caller_expiry_s(&self) -> f64 {
         self.settings.deployment.workers.lease_s
     }
 
     /// A job is asked about that this node knows nothing of.
-    pub fn note_unknown(&self) {
-        let mut unknown = self.lock(&self.unknown);
+    pub fn record_unknown_job(&self) {
+        let mut unknown = self.lock(&self.unknown_job_requests);
         *unknown += 1;
-        if *unknown == UNKNOWN_TELL {
-            self.wake_prime.notify_one();
+        if *unknown == UNKNOWN_JOBS_BEFORE_REFRESH {
+            self.wake_job_refresh.notify_one();
         }
     }
 
@@ -496,61 +510,61 @@
     /// answers it, so that it can tell users nothing. In an outage of the state
     /// service alone the others do answer.
     #[must_use]
-    pub fn apart(&self) -> bool {
-        let patience = self.term_ttl().as_secs_f64();
+    pub fn is_isolated(&self) -> bool {
+        let patience = self.leader_lease_ttl().as_secs_f64();
         let now = self.now();
-        let failing = self.state.failing_since();
+        let failing = self.store.failing_since();
         let long = failing.is_some_and(|at| at.elapsed().as_secs_f64() > patience);
-        let alone = now - *self.lock(&self.peer_answered) > patience;
+        let alone = now - *self.lock(&self.peer_reached_at) > patience;
         long && alone && !self.settings.peers.is_empty()
     }
 
     /// Time to live of the leader's lease at the state service.
     #[must_use]
-    pub fn term_ttl(&self) -> Duration {
+    pub fn leader_lease_ttl(&self) -> Duration {
         Duration::from_secs_f64(self.settings.deployment.workers.lease_s / 6.0)
     }
 
     /// The scheduler's settings for a term.
     #[must_use]
-    pub fn sched_config(&self, term: u64) -> Config {
+    pub fn scheduler_config(&self, term: u64) -> Config {
         let d = &self.settings.deployment;
-        let t = &self.tuning;
+        let t = &self.operator_settings;
         Config {
             teams: self.settings.teams(),
-            report_s: d.workers.report_s,
+            heartbeat_interval_s: d.workers.heartbeat_interval_s,
             lease_s: d.workers.lease_s,
-            cancel_s: d.workers.cancel_s,
+            cancel_timeout_s: d.workers.cancel_timeout_s,
             fence_s: self.fence_s(),
             list_lag_s: d.cloud.list_lag_s,
-            drift: 0.0005,
-            floor_s: t.remaining_floor,
-            worth: [
-                t.worth.low,
-                t.worth.normal,
-                t.worth.high,
-                t.worth.production,
+            clock_drift: 0.0005,
+            min_remaining_s: t.min_remaining,
+            utility: [
+                t.utility.low,
+                t.utility.normal,
+                t.utility.high,
+                t.utility.production,
             ],
-            late_worth: t.late_worth,
+            late_utility: t.late_utility,
             idle_boots: t.idle_wait,
             horizon_boots: t.rent_horizon,
-            class_due_s: d
+            class_deadline_s: d
                 .objectives
                 .iter()
                 .filter(|o| o.kind == "finished")
                 .filter_map(|o| Some((o.class.clone()?, o.within_s?)))
                 .collect(),
-            aims: self.settings.loosest_aims(),
-            floor: FloorConfig {
-                share: t.floor.share,
-                begin_within_s: t.floor.begin_within,
+            objectives: self.settings.loosest_aims(),
+            minimum_share: MinimumShareConfig {
+                share: t.minimum_share.share,
+                start_within_s: t.minimum_share.start_within,
             },
-            spread: Spread {
-                risk_s: t.weights.replica_risk,
+            replica_spread: ReplicaSpread {
+                risk_s: t.locality.replica_risk,
             },
             // A report must fit a request's body.
-            tasks_per_worker: tallygauge_protocol::BODY_LIMIT / TASK_REPORT_BYTES,
-            most_direct: self.most_direct(),
+            max_tasks_per_worker: tallygauge_protocol::BODY_LIMIT / TASK_REPORT_BYTES,
+            max_direct_messages: self.max_direct_messages(),
             term,
         }
     }
@@ -558,8 +572,8 @@
     /// Tasks whose ends share a part of a page: at worst seven bytes each, so
     /// that a page takes several parts.
     #[must_use]
-    pub fn chunk(&self) -> u32 {
-        ((self.settings.deployment.state.value_kb * 1024.0 / 40.0) as u32).max(16)
+    pub fn tasks_per_chunk(&self) -> u32 {
+        ((self.settings.deployment.store.max_value_kib * 1024.0 / 40.0) as u32).max(16)
     }
 
     /// Locks something for a moment.
@@ -568,8 +582,8 @@
     }
 
     /// Works on the picture, if this node leads and has one.
-    pub fn with_cluster<R>(&self, work: impl FnOnce(&mut Cluster) -> R) -> Option<R> {
-        self.lock(&self.lead)
+    pub fn with_cluster<R>(&self, work: impl FnOnce(&mut ClusterState) -> R) -> Option<R> {
+        self.lock(&self.leadership)
             .as_mut()
             .and_then(|l| l.cluster.as_mut())
             .map(work)
@@ -578,13 +592,13 @@
     /// A random part of a time.
     #[must_use]
     pub fn jitter(&self, most: Duration) -> Duration {
-        most.mul_f64(self.lock(&self.chance).random())
+        most.mul_f64(self.lock(&self.random).random())
     }
 
     /// Takes up word of a term. Own leadership under a lower one ends at once.
-    pub fn hear_of(&self, term: u64, leader: Option<&str>) {
+    pub fn observe_term(&self, term: u64, leader: Option<&str>) {
         {
-            let mut role = self.lock(&self.role);
+            let mut role = self.lock(&self.leader_view);
             if term < role.term || (term == role.term && leader == role.leader.as_deref()) {
                 return;
             }
@@ -593,8 +607,8 @@
             }
             role.term = term;
         }
-        self.role_changed.notify_waiters();
-        let mine = self.lock(&self.lead).as_ref().map(|l| l.term);
+        self.leader_changed.notify_waiters();
+        let mine = self.lock(&self.leadership).as_ref().map(|l| l.term);
         if mine.is_some_and(|m| m < term) {
             self.step_down("a higher term is about");
         }
@@ -602,9 +616,9 @@
 
     /// Gives up own leadership.
     pub fn step_down(&self, cause: &str) {
-        if let Some(lead) = self.lock(&self.lead).take() {
+        if let Some(lead) = self.lock(&self.leadership).take() {
             tracing::info!(term = lead.term, cause, "leads no more");
-            let mut role = self.lock(&self.role);
+            let mut role = self.lock(&self.leader_view);
             if role.leader.as_deref() == Some(self.settings.node_name.as_str()) {
                 role.leader = None;
             }
--- a/crates/tallygauge/src/deadline_settings.rs
+++ b/crates/tallygauge/src/deadline_settings.rs
@@ -3,35 +3,38 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
-use tallygauge_records::{Record, Timing};
-use tallygauge_scheduler::{Cluster, CutoffRule, Days, Declared, HIGHEST, RankRule};
+use tallygauge_records::{Durability, Record};
+use tallygauge_scheduler::{
+    ClusterState, CutoffDays, CutoffRule, DeclaredRules, MAX_RANK, RankRule,
+};
 
 /// The calendar, as operators write it, and as it is on record: while controllers
 /// have different settings files, the later version is in force under each.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct Calendar {
+pub struct CutoffSettings {
     /// Grows with every change: of two files the later one counts.
     #[serde(rename = "@version")]
     pub version: u64,
     /// Cutoffs that are drawn from jobs raise work as declared ones do.
-    pub act_on_drawn: bool,
+    #[serde(rename = "act-on-drawn")]
+    pub act_on_inferred: bool,
     /// Days that are no working days.
     pub holiday: Vec<String>,
     /// Cutoffs.
-    pub cutoff: Vec<Cutoff>,
+    pub cutoff: Vec<CutoffEntry>,
 }
 
-impl Record for Calendar {
+impl Record for CutoffSettings {
     const NAME: &'static str = "cutoffs";
     const VERSION: u32 = 1;
-    const TIMING: Timing = Timing::Ahead;
+    const DURABILITY: Durability = Durability::WriteAhead;
 }
 
 /// A cutoff, as operators write it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Cutoff {
+pub struct CutoffEntry {
     /// Name.
     #[serde(rename = "@name")]
     pub name: String,
@@ -64,7 +67,7 @@
 /// Ranks, as operators write them.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
-pub struct Ranks {
+pub struct RankSettings {
     /// Grows with every change: of two files the later one counts.
     #[serde(rename = "@version")]
     pub version: u64,
@@ -94,10 +97,10 @@
     text.split_whitespace().map(str::to_string).collect()
 }
 
-impl Calendar {
+impl CutoffSettings {
     /// Puts the cutoffs in force in a picture. They must be on record.
-    pub fn put_in_force(&self, cluster: &mut Cluster) {
-        cluster.set_calendar(self.rules().unwrap_or_default(), self.act_on_drawn);
+    pub fn apply_to(&self, cluster: &mut ClusterState) {
+        cluster.set_cutoff_rules(self.rules().unwrap_or_default(), self.act_on_inferred);
     }
 
     /// The cutoffs, checked.
@@ -124,9 +127,9 @@
                 format!("calendar/cutoff '{}': {field} must be {what}", cutoff.name)
             };
             let days = match cutoff.days.as_str() {
-                "daily" => Days::Daily,
-                "weekdays" => Days::Weekdays,
-                "month-end" => Days::MonthEnd {
+                "daily" => CutoffDays::Daily,
+                "weekdays" => CutoffDays::Weekdays,
+                "month-end" => CutoffDays::MonthEnd {
                     before: cutoff.before,
                 },
                 _ => return Err(bad("days", "daily, weekdays or month-end")),
@@ -150,7 +153,7 @@
                 holidays: holidays.clone(),
             };
             let named = |why| format!("calendar/cutoff '{}': {why}", cutoff.name);
-            rule.check().map_err(named)?;
+            rule.validate().map_err(named)?;
             if !names.insert(cutoff.name.clone()) {
                 return Err(bad("name", "its own"));
             }
@@ -160,17 +163,17 @@
     }
 }
 
-impl Ranks {
+impl RankSettings {
     /// The ranks, checked against the calendar's cutoffs.
     ///
     /// # Errors
     /// One line naming the element and what would be right.
-    pub fn declared(&self, calendar: &Calendar) -> Result<Declared, String> {
+    pub fn declared(&self, calendar: &CutoffSettings) -> Result<DeclaredRules, String> {
         let mut rules = Vec::new();
         for entry in &self.rank {
-            if entry.value > HIGHEST {
+            if entry.value > MAX_RANK {
                 return Err(format!(
-                    "ledger/rank value must be 0 to {HIGHEST}, not {}",
+                    "ledger/rank value must be 0 to {MAX_RANK}, not {}",
                     entry.value
                 ));
             }
@@ -191,7 +194,7 @@
         if !rules.is_empty() && self.version == 0 {
             return Err("ledger must have a version above 0, which grows with every change".into());
         }
-        Ok(Declared {
+        Ok(DeclaredRules {
             version: self.version,
             rules,
         })
@@ -200,7 +203,7 @@
 
 #[cfg(test)]
 mod tests {
-    use crate::operator_settings::Tuning;
+    use crate::operator_settings::OperatorSettings;
 
     const SCHOOL: &str = r#"<tallygauge>
       <calendar version="4">
@@ -216,11 +219,11 @@
 
     #[test]
     fn a_calendar_and_ranks_are_read() {
-        let tuning = Tuning::parse(SCHOOL).unwrap();
-        let rules = tuning.calendar.rules().unwrap();
+        let tuning = OperatorSettings::parse(SCHOOL).unwrap();
+        let rules = tuning.cutoffs.rules().unwrap();
         assert_eq!(rules.len(), 2);
-        assert!(rules[0].is_for("exam-rush", "x") && !rules[0].is_for("archive", "x"));
-        let ranks = tuning.ledger.declared(&tuning.calendar).unwrap();
+        assert!(rules[0].applies_to("exam-rush", "x") && !rules[0].applies_to("archive", "x"));
+        let ranks = tuning.ranks.declared(&tuning.cutoffs).unwrap();
         assert_eq!((ranks.version, ranks.rules.len()), (3, 2));
     }
 
@@ -250,7 +253,7 @@
         ] {
             let text = SCHOOL.replacen(from, to, 1);
             assert_ne!(text, SCHOOL);
-            let error = Tuning::parse(&text).expect_err(to);
+            let error = OperatorSettings::parse(&text).expect_err(to);
             assert!(error.contains(word), "{to}: {error}");
         }
     }
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -1,62 +1,64 @@
 //! Records that a leader keeps beside the jobs, at the state service: read once
 //! when a term begins, written now and then, many in one change.
 
-use crate::{controller::Node, deadline_settings::Calendar, scheduling_loop::record_bytes};
+use crate::{
+    controller::Controller, deadline_settings::CutoffSettings, scheduling_loop::record_bytes,
+};
 use serde_json::Value;
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
-use tallygauge_protocol::state::{Guard, Transaction, Write};
-use tallygauge_records::{Found, Parcel, Record, Shelf, name_of, read};
-use tallygauge_scheduler::{Ledger, LedgerChange};
-use tallygauge_store::{Class, Error, Outcome};
+use tallygauge_protocol::state::{Condition, Transaction, Write};
+use tallygauge_records::{Record, StoredRecord, WriteBatch, WriteBehind, decode, record_name};
+use tallygauge_scheduler::{LedgerChange, PriorityRules};
+use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
 /// What the keys of kept records begin with.
 const PREFIX: &str = "s/";
 
 /// Report intervals between two looks at what has changed.
-const LOOK_EVERY: f64 = 2.0;
+const STAGE_INTERVAL: f64 = 2.0;
 
 /// Parts that the beliefs of where images lie may have.
-const IMAGE_PARTS: usize = 4;
+const IMAGE_SHARDS: usize = 4;
 
 /// Records as they were found when the term began, by name, with the versions
 /// of their keys.
 #[derive(Debug, Default, Clone)]
-pub struct Kept {
+pub struct StoredRecords {
     found: BTreeMap<String, (Value, u64)>,
     /// The cutoffs in force.
-    pub calendar: Option<Calendar>,
+    pub calendar: Option<CutoffSettings>,
 }
 
-impl Kept {
+impl StoredRecords {
     /// Takes up one record; what can't be read is said once.
     #[must_use]
-    pub fn take<T: Record>(&self, part: Option<usize>) -> Option<T> {
-        let name = name_of::<T>(part);
-        let found: Found<T> = read(self.found.get(&name).map(|f| f.0.clone()));
-        if let Some(why) = found.complaint() {
+    pub fn decode<T: Record>(&self, part: Option<usize>) -> Option<T> {
+        let name = record_name::<T>(part);
+        let found: StoredRecord<T> = decode(self.found.get(&name).map(|f| f.0.clone()));
+        if let Some(why) = found.problem() {
             tracing::warn!(
                 record = name,
                 why,
                 "a kept record is passed over and rebuilt"
             );
         }
-        found.value()
+        found.into_record()
     }
 
     /// Takes up all parts of a record.
     #[must_use]
-    pub fn parts<T: Record>(&self) -> Vec<T> {
-        (0..IMAGE_PARTS)
-            .filter_map(|part| self.take(Some(part)))
+    pub fn decode_shards<T: Record>(&self) -> Vec<T> {
+        (0..IMAGE_SHARDS)
+            .filter_map(|part| self.decode(Some(part)))
             .collect()
     }
 }
 
 /// Reads what earlier leaders kept. It may be missing: never a reason not to
 /// lead.
-pub async fn load(node: &Node) -> Kept {
-    let mut kept = Kept::default();
-    if let Ok((rows, _)) = node.state.list(Class::Leadership, PREFIX).await {
+pub async fn load(node: &Controller) -> StoredRecords {
+    let mut kept = StoredRecords::default();
+    if let Ok((rows, _)) = node.store.list(RequestPriority::Leadership, PREFIX).await {
         for row in rows {
             if let Some(name) = row.key.strip_prefix(PREFIX) {
                 kept.found
@@ -64,50 +66,50 @@
             }
         }
     }
-    kept.calendar = kept.take(None);
+    kept.calendar = kept.decode(None);
     kept
 }
 
 /// Keeps records at the state service, as long as this node leads. What isn't
 /// written for want of budget is written later.
-pub async fn run(node: &Arc<Node>, term_guard: &Guard, kept: Kept) {
-    let report = node.settings.deployment.workers.report_s;
-    let pause = Duration::from_secs_f64(report * LOOK_EVERY);
+pub async fn run(node: &Arc<Controller>, term_guard: &Condition, kept: StoredRecords) {
+    let report = node.settings.deployment.workers.heartbeat_interval_s;
+    let pause = Duration::from_secs_f64(report * STAGE_INTERVAL);
     let bytes = record_bytes(node);
-    let mut shelf = Shelf::new(bytes);
+    let mut shelf = WriteBehind::new(bytes);
     let mut versions: BTreeMap<String, u64> = kept
         .found
         .iter()
         .map(|(name, f)| (name.clone(), f.1))
         .collect();
     let mut shown = node.now();
-    declare(node, &mut shelf, &kept);
+    stage_declared_settings(node, &mut shelf, &kept);
     // What is ahead is written before anything else, and in force when it is.
-    while let Some(parcel) = shelf.parcel(2, bytes, true) {
+    while let Some(parcel) = shelf.next_batch(2, bytes, true) {
         write(node, term_guard, &mut shelf, &mut versions, &parcel).await;
-        if parcel.items.iter().any(|i| !shelf.is_durable(&i.name)) {
-            tokio::time::sleep(node.term_ttl() / 8).await;
+        if parcel.entries.iter().any(|i| !shelf.is_durable(&i.name)) {
+            tokio::time::sleep(node.leader_lease_ttl() / 8).await;
         }
     }
-    if let Some(ledger) = shelf.wanted::<Ledger>() {
-        node.with_cluster(|c| c.set_ledger(ledger));
+    if let Some(ledger) = shelf.desired::<PriorityRules>() {
+        node.with_cluster(|c| c.set_priority_rules(ledger));
     }
-    if let Some(calendar) = shelf.wanted::<Calendar>() {
-        node.with_cluster(|c| calendar.put_in_force(c));
+    if let Some(calendar) = shelf.desired::<CutoffSettings>() {
+        node.with_cluster(|c| calendar.apply_to(c));
     }
-    node.wake.notify_one();
+    node.wake_scheduler.notify_one();
     loop {
         tokio::time::sleep(pause).await;
-        collect(node, &mut shelf, bytes);
-        let most = node.settings.deployment.state.txn_ops / 2;
-        if let Some(parcel) = shelf.parcel(most, bytes, false) {
+        stage_current(node, &mut shelf, bytes);
+        let most = node.settings.deployment.store.max_writes_per_transaction / 2;
+        if let Some(parcel) = shelf.next_batch(most, bytes, false) {
             write(node, term_guard, &mut shelf, &mut versions, &parcel).await;
         }
         let now = node.now();
-        if now - shown > report * LOOK_EVERY * 8.0 {
+        if now - shown > report * STAGE_INTERVAL * 8.0 {
             shown = now;
             let records: Vec<String> = shelf
-                .shown(now)
+                .status(now)
                 .iter()
                 .map(|s| match s.age_s {
                     Some(age_s) => format!("{}:{}B/{age_s:.0}s", s.name, s.bytes),
@@ -121,12 +123,12 @@
 
 /// Puts the cutoffs and ranks that this node's settings declare on the shelf, if
 /// they are newer than those in force.
-fn declare(node: &Node, shelf: &mut Shelf, kept: &Kept) {
-    let calendar = &node.tuning.calendar;
+fn stage_declared_settings(node: &Controller, shelf: &mut WriteBehind, kept: &StoredRecords) {
+    let calendar = &node.operator_settings.cutoffs;
     let before = kept.calendar.as_ref();
     let in_force = before.map_or(0, |c| c.version);
     if calendar.version > in_force {
-        let put = shelf.put(None, calendar, node.time_of_day());
+        let put = shelf.stage(None, calendar, node.time_of_day());
         tracing::info!(version = calendar.version, ?put, "cutoffs are declared");
     } else if calendar.version == in_force && before.is_some_and(|c| c != calendar) {
         let version = in_force;
@@ -135,45 +137,55 @@
             "other cutoffs of this version are in force: raise the version"
         );
     }
-    let declared = node.tuning.ledger.declared(&node.tuning.calendar);
+    let declared = node
+        .operator_settings
+        .ranks
+        .declared(&node.operator_settings.cutoffs);
     let at = node.time_of_day();
     let change = declared.ok().and_then(|d| {
-        let change = node.with_cluster(|c| c.ledger().declare(&d, at))?;
+        let change = node.with_cluster(|c| c.priority_rules().declare(&d, at))?;
         Some((d.version, change))
     });
     match change {
-        Some((version, LedgerChange::Next(ledger))) => {
-            if let Err(why) = shelf.put(None, &ledger, at) {
+        Some((version, LedgerChange::New(ledger))) => {
+            if let Err(why) = shelf.stage(None, &ledger, at) {
                 tracing::warn!(why, "the ranks can't be kept and are not in force");
             } else {
                 tracing::info!(version, "ranks are declared");
             }
         }
-        Some((version, LedgerChange::Differs)) => {
+        Some((version, LedgerChange::VersionConflict)) => {
             tracing::warn!(
                 version,
                 "other ranks of this version are in force: raise the version"
             );
         }
-        Some((_, LedgerChange::Nothing)) | None => {}
+        Some((_, LedgerChange::Unchanged)) | None => {}
     }
 }
 
 /// Puts the records on the shelf as they should be now.
-fn collect(node: &Node, shelf: &mut Shelf, bytes: usize) {
+fn stage_current(node: &Controller, shelf: &mut WriteBehind, bytes: usize) {
     let at = node.time_of_day();
     // What the keeper adds to a record.
     let room = bytes.saturating_sub(64);
-    let least_s = node.tuning.weights.remember_from;
+    let least_s = node.operator_settings.locality.remember_from;
     let Some((floor, images, calendar)) = node.with_cluster(|c| {
-        let images = c.beliefs(least_s, room, IMAGE_PARTS);
-        (c.floor_record(room), images, c.calendar().clone())
+        let images = c.image_locations(least_s, room, IMAGE_SHARDS);
+        (
+            c.service_counts_record(room),
+            images,
+            c.deadline_tracker().clone(),
+        )
     }) else {
         return;
     };
-    let mut complaints = vec![shelf.put(None, &floor, at), shelf.put(None, &calendar, at)];
+    let mut complaints = vec![
+        shelf.stage(None, &floor, at),
+        shelf.stage(None, &calendar, at),
+    ];
     for (part, record) in images.iter().enumerate() {
-        complaints.push(shelf.put(Some(part), record, at));
+        complaints.push(shelf.stage(Some(part), record, at));
     }
     for why in complaints.into_iter().filter_map(Result::err) {
         tracing::warn!(why, "a record can't be kept");
@@ -183,19 +195,19 @@
 /// Writes a parcel in one change, on condition of the term and of each record
 /// being as it was last written: a late write must not land on a newer one.
 async fn write(
-    node: &Node,
-    term_guard: &Guard,
-    shelf: &mut Shelf,
+    node: &Controller,
+    term_guard: &Condition,
+    shelf: &mut WriteBehind,
     versions: &mut BTreeMap<String, u64>,
-    parcel: &Parcel,
+    parcel: &WriteBatch,
 ) {
     let mut txn = Transaction {
-        guards: vec![term_guard.clone()],
+        conditions: vec![term_guard.clone()],
         writes: Vec::new(),
     };
-    for item in &parcel.items {
+    for item in &parcel.entries {
         let key = format!("{PREFIX}{}", item.name);
-        txn.guards.push(Guard {
+        txn.conditions.push(Condition {
             key: key.clone(),
             version: versions.get(&item.name).copied().unwrap_or(0),
         });
@@ -205,23 +217,27 @@
             lease: None,
         });
     }
-    match node.state.transact(Class::Upkeep, &txn).await {
-        Ok(Outcome::Made(revision)) => {
-            for item in &parcel.items {
+    match node
+        .store
+        .transact(RequestPriority::Maintenance, &txn)
+        .await
+    {
+        Ok(TransactionOutcome::Committed(revision)) => {
+            for item in &parcel.entries {
                 versions.insert(item.name.clone(), revision);
             }
-            shelf.written(parcel, node.now());
+            shelf.mark_written(parcel, node.now());
         }
         // An unanswered write may have been made: what is there is read again.
-        Ok(Outcome::Conflict(_)) | Err(Error::Unknown) => {
-            if let Ok((rows, _)) = node.state.list(Class::Upkeep, PREFIX).await {
+        Ok(TransactionOutcome::Conflict(_)) | Err(StoreError::Unknown) => {
+            if let Ok((rows, _)) = node.store.list(RequestPriority::Maintenance, PREFIX).await {
                 *versions = rows
                     .into_iter()
                     .filter_map(|r| Some((r.key.strip_prefix(PREFIX)?.to_string(), r.version)))
                     .collect();
             }
         }
-        Ok(Outcome::NoLease) | Err(Error::Refused) => {}
+        Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::Refused) => {}
     }
 }
 
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -26,25 +26,28 @@
 pub mod wall_clock;
 pub mod worker_api;
 
-use controller::Node;
+use controller::Controller;
 use std::{sync::Arc, time::Duration};
-use tallygauge_store::http::Http;
+use tallygauge_store::http::HttpClient;
 use tokio::sync::mpsc;
 use wall_clock::SystemClock;
 
 /// The parts that run without being asked: leadership, questions, catalogue.
-pub async fn background(node: Arc<Node>, questions: mpsc::Receiver<controller::Query>) {
+pub async fn background(
+    node: Arc<Controller>,
+    questions: mpsc::Receiver<controller::VersionCheck>,
+) {
     let pause = Duration::from_secs_f64(2.0 / node.settings.deployment.cloud.rps);
     let catalogue = async {
-        while !cloud::read_catalogue(&node).await {
+        while !cloud::refresh_catalogue(&node).await {
             tokio::time::sleep(pause + node.jitter(pause)).await;
         }
     };
     tokio::join!(
         catalogue,
         leader::run(node.clone()),
-        user_api::answer_queries(node.clone(), questions),
-        user_api::prime(node.clone()),
+        user_api::serve_version_checks(node.clone(), questions),
+        user_api::refresh_active_jobs(node.clone()),
     );
 }
 
@@ -54,25 +57,25 @@
 /// When an address can't be taken.
 pub async fn run(
     settings: settings::Settings,
-    tuning: operator_settings::Tuning,
+    tuning: operator_settings::OperatorSettings,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let connect = Duration::from_secs(1);
-    let limit = (settings.deployment.quota.memory_mb * 1024.0 * 1024.0 / 8.0) as usize;
+    let limit = (settings.deployment.resource_limits.memory_mb * 1024.0 * 1024.0 / 8.0) as usize;
     // Sockets are scarce: a machine that went must not hold one for long.
     let idle = Duration::from_secs_f64(settings.deployment.workers.lease_s);
-    let http = Http::new(connect, idle, limit);
-    let (state, connections) = Http::driven(connect, idle, limit);
-    let (node, questions) = Node::new(settings, tuning, state, http, Arc::new(SystemClock));
+    let http = HttpClient::new(connect, idle, limit);
+    let (state, connections) = HttpClient::with_driver(connect, idle, limit);
+    let (node, questions) = Controller::new(settings, tuning, state, http, Arc::new(SystemClock));
     tracing::info!(node = node.settings.node_name, "starts");
     tokio::spawn(server::serve(node.clone()));
     tokio::spawn(peers::run(node.clone()));
-    tokio::spawn(node.clone().measure_lag());
+    tokio::spawn(node.clone().measure_scheduling_delay());
     let peers = tokio::spawn(peers::serve(node.clone()));
     // What is not spawned does not queue behind hundreds of workers' requests:
     // the runtime looks at it first. A lease that waits its turn is lost.
     tokio::select! {
         () = background(node, questions) => Ok(()),
-        () = connections.drive() => Ok(()),
+        () = connections.run() => Ok(()),
         served = peers => Ok(served??),
     }
 }
--- a/crates/tallygauge/src/main.rs
+++ b/crates/tallygauge/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::Parser;
 use std::{path::PathBuf, process::ExitCode};
-use tallygauge::{operator_settings::Tuning, settings::Settings};
+use tallygauge::{operator_settings::OperatorSettings, settings::Settings};
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::{Layer, filter::Targets, layer::SubscriberExt, util::SubscriberInitExt};
 
@@ -21,11 +21,11 @@
     check: bool,
 }
 
-fn load(arguments: &Arguments) -> Result<(Settings, Tuning), String> {
+fn load(arguments: &Arguments) -> Result<(Settings, OperatorSettings), String> {
     let settings = Settings::load(&arguments.config)?;
     let tuning = match &arguments.settings {
-        Some(path) => Tuning::load(path)?,
-        None => Tuning::default(),
+        Some(path) => OperatorSettings::load(path)?,
+        None => OperatorSettings::default(),
     };
     Ok((settings, tuning))
 }
--- a/crates/tallygauge/src/operator_settings.rs
+++ b/crates/tallygauge/src/operator_settings.rs
@@ -1,41 +1,49 @@
 //! The operators' own settings (XML): the open values of the design.
 
-use crate::deadline_settings::{Calendar, Ranks};
+use crate::deadline_settings::{CutoffSettings, RankSettings};
 use serde::Deserialize;
 use std::path::Path;
 
 /// What operators may set; everything has a default.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
-pub struct Tuning {
+pub struct OperatorSettings {
     /// Longest time between two rounds, seconds; events bring them earlier.
     pub round_interval: f64,
     /// Least time between two rounds, as a part of the report interval.
-    pub round_gap: f64,
+    #[serde(rename = "round-gap")]
+    pub min_round_interval: f64,
     /// Floor of the remaining time, seconds.
-    pub remaining_floor: f64,
+    #[serde(rename = "remaining-floor")]
+    pub min_remaining: f64,
     /// Worth of each priority.
-    pub worth: Worth,
+    #[serde(rename = "worth")]
+    pub utility: UtilitySettings,
     /// Part of its worth that a job keeps after its deadline.
-    pub late_worth: f64,
+    #[serde(rename = "late-worth")]
+    pub late_utility: f64,
     /// Idle time before a machine is returned, in boot times of its type.
     pub idle_wait: f64,
     /// Boot times that waiting work is spread over when machines are rented.
     pub rent_horizon: f64,
     /// The floor under what each class and each team gets.
-    pub floor: Floor,
+    #[serde(rename = "floor")]
+    pub minimum_share: MinimumShareSettings,
     /// Where models' weights and other images lie, and where replicas go.
-    pub weights: Weights,
+    #[serde(rename = "weights")]
+    pub locality: LocalitySettings,
     /// Cutoffs.
-    pub calendar: Calendar,
+    #[serde(rename = "calendar")]
+    pub cutoffs: CutoffSettings,
     /// Ranks among what is equally urgent.
-    pub ledger: Ranks,
+    #[serde(rename = "ledger")]
+    pub ranks: RankSettings,
 }
 
 /// Where models' weights and other images lie, and where replicas go.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
-pub struct Weights {
+pub struct LocalitySettings {
     /// Seconds of fetch that a replica is worth which one failure would take
     /// along with others.
     pub replica_risk: f64,
@@ -44,7 +52,7 @@
     pub remember_from: f64,
 }
 
-impl Default for Weights {
+impl Default for LocalitySettings {
     fn default() -> Self {
         Self {
             replica_risk: 60.0,
@@ -56,19 +64,20 @@
 /// The floor under what each class of jobs and each team gets.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
-pub struct Floor {
+pub struct MinimumShareSettings {
     /// Part of the jobs that are done or overdue which is to be done; 0: no
     /// floor.
     pub share: f64,
     /// Seconds after its acceptance by which every job has begun; 0: no bound.
-    pub begin_within: f64,
+    #[serde(rename = "begin-within")]
+    pub start_within: f64,
 }
 
-impl Default for Floor {
+impl Default for MinimumShareSettings {
     fn default() -> Self {
         Self {
             share: 0.65,
-            begin_within: 240.0,
+            start_within: 240.0,
         }
     }
 }
@@ -76,7 +85,7 @@
 /// Worth of each priority.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
-pub struct Worth {
+pub struct UtilitySettings {
     /// Low.
     pub low: f64,
     /// Normal.
@@ -87,7 +96,7 @@
     pub production: f64,
 }
 
-impl Default for Worth {
+impl Default for UtilitySettings {
     fn default() -> Self {
         Self {
             low: 1.0,
@@ -98,25 +107,25 @@
     }
 }
 
-impl Default for Tuning {
+impl Default for OperatorSettings {
     fn default() -> Self {
         Self {
             round_interval: 10.0,
-            round_gap: 0.05,
-            remaining_floor: 5.0,
-            worth: Worth::default(),
-            late_worth: 0.1,
+            min_round_interval: 0.05,
+            min_remaining: 5.0,
+            utility: UtilitySettings::default(),
+            late_utility: 0.1,
             idle_wait: 1.5,
             rent_horizon: 1.0,
-            floor: Floor::default(),
-            weights: Weights::default(),
-            calendar: Calendar::default(),
-            ledger: Ranks::default(),
+            minimum_share: MinimumShareSettings::default(),
+            locality: LocalitySettings::default(),
+            cutoffs: CutoffSettings::default(),
+            ranks: RankSettings::default(),
         }
     }
 }
 
-impl Tuning {
+impl OperatorSettings {
     /// Reads and checks the file.
     ///
     /// # Errors
@@ -136,12 +145,12 @@
             quick_xml::de::from_str(text).map_err(|e| e.to_string().replace('\n', " "))?;
         for (name, value) in [
             ("round-interval", tuning.round_interval),
-            ("round-gap", tuning.round_gap),
-            ("remaining-floor", tuning.remaining_floor),
-            ("worth/low", tuning.worth.low),
-            ("worth/normal", tuning.worth.normal),
-            ("worth/high", tuning.worth.high),
-            ("worth/production", tuning.worth.production),
+            ("round-gap", tuning.min_round_interval),
+            ("remaining-floor", tuning.min_remaining),
+            ("worth/low", tuning.utility.low),
+            ("worth/normal", tuning.utility.normal),
+            ("worth/high", tuning.utility.high),
+            ("worth/production", tuning.utility.production),
             ("idle-wait", tuning.idle_wait),
             ("rent-horizon", tuning.rent_horizon),
         ] {
@@ -149,30 +158,30 @@
                 return Err(format!("{name} must be above 0, not {value}"));
             }
         }
-        if !(0.0..=1.0).contains(&tuning.late_worth) {
+        if !(0.0..=1.0).contains(&tuning.late_utility) {
             return Err("late-worth must be 0 to 1".into());
         }
-        let share = tuning.floor.share;
+        let share = tuning.minimum_share.share;
         if !(0.0..=1.0).contains(&share) {
             return Err(format!("floor/share must be 0 to 1, not {share}"));
         }
-        let within = tuning.floor.begin_within;
+        let within = tuning.minimum_share.start_within;
         if !within.is_finite() || within < 0.0 {
             return Err(format!(
                 "floor/begin-within must be 0 or more, not {within}"
             ));
         }
         for (name, value) in [
-            ("weights/replica-risk", tuning.weights.replica_risk),
-            ("weights/remember-from", tuning.weights.remember_from),
+            ("weights/replica-risk", tuning.locality.replica_risk),
+            ("weights/remember-from", tuning.locality.remember_from),
         ] {
             if !value.is_finite() || value < 0.0 {
                 return Err(format!("{name} must be 0 or more, not {value}"));
             }
         }
-        tuning.calendar.rules()?;
-        tuning.ledger.declared(&tuning.calendar)?;
-        let w = &tuning.worth;
+        tuning.cutoffs.rules()?;
+        tuning.ranks.declared(&tuning.cutoffs)?;
+        let w = &tuning.utility;
         if w.low > w.normal || w.normal > w.high || w.high > w.production {
             return Err("worth must not fall from low to production".into());
         }
@@ -186,15 +195,18 @@
 
     #[test]
     fn defaults_and_errors() {
-        let some = Tuning::parse(
+        let some = OperatorSettings::parse(
             "<tallygauge><worth><high>9</high></worth><idle-wait>2.5</idle-wait></tallygauge>",
         )
         .unwrap();
         assert_eq!(
-            (some.worth.high, some.worth.low, some.idle_wait),
+            (some.utility.high, some.utility.low, some.idle_wait),
             (9.0, 1.0, 2.5)
         );
-        assert_eq!(Tuning::parse("<tallygauge/>").unwrap(), Tuning::default());
+        assert_eq!(
+            OperatorSettings::parse("<tallygauge/>").unwrap(),
+            OperatorSettings::default()
+        );
         for bad in [
             "<tallygauge><idel-wait>2</idel-wait></tallygauge>",
             "<tallygauge><idle-wait>long</idle-wait></tallygauge>",
@@ -205,7 +217,7 @@
             "<tallygauge><weights><replica-risk>-1</replica-risk></weights></tallygauge>",
             "<tallygauge><worth><high>1</high></worth></tallygauge>",
         ] {
-            assert!(Tuning::parse(bad).is_err(), "{bad} was taken");
+            assert!(OperatorSettings::parse(bad).is_err(), "{bad} was taken");
         }
     }
 }
--- a/crates/tallygauge/src/peers.rs
+++ b/crates/tallygauge/src/peers.rs
@@ -1,9 +1,9 @@
 //! Controller to controller: gRPC on `back`. Hints and display only.
 
 use crate::{
-    controller::Node,
+    controller::Controller,
     leader,
-    user_api::{self, Passing, Relay, Reply},
+    user_api::{self, Relay, RelayFuture, Reply},
     worker_api,
 };
 use futures_util::future::join_all;
@@ -23,11 +23,11 @@
 };
 use warp::http::Method;
 
-struct Service(Arc<Node>);
+struct Service(Arc<Controller>);
 
 /// The other nodes, as takers of users' requests.
 struct Peers {
-    node: Weak<Node>,
+    node: Weak<Controller>,
     clients: Vec<(String, PeerClient<Channel>)>,
     /// Bounds the requests that are under way.
     turns: Semaphore,
@@ -37,11 +37,11 @@
 const RELAY_TRIES: usize = 2;
 
 impl Relay for Peers {
-    fn pass<'a>(&'a self, method: &'a Method, path: &'a str, body: &'a [u8]) -> Passing<'a> {
+    fn relay<'a>(&'a self, method: &'a Method, path: &'a str, body: &'a [u8]) -> RelayFuture<'a> {
         Box::pin(async move {
             let _turn = self.turns.try_acquire().ok()?;
             let leader = self.node.upgrade()?;
-            let leader = leader.lock(&leader.role).leader.clone();
+            let leader = leader.lock(&leader.leader_view).leader.clone();
             // The leader is served by the state service, or soon another leads.
             let (first, others): (Vec<_>, Vec<_>) = self
                 .clients
@@ -72,7 +72,7 @@
             .map_err(|_| Status::invalid_argument("no such method"))?;
         match user_api::local(&self.0, &method, &asked.path, &asked.body).await {
             None => Err(Status::invalid_argument("no request of users")),
-            Some(Reply::Later(why, _)) => Err(Status::unavailable(why)),
+            Some(Reply::RetryLater(why, _)) => Err(Status::unavailable(why)),
             Some(reply) => Ok(Response::new(RelayReply {
                 status: u32::from(reply.status()),
                 body: reply.body(),
@@ -86,12 +86,12 @@
     ) -> Result<Response<Announcement>, Status> {
         let told = request.into_inner();
         let leader = (!told.leader.is_empty()).then_some(told.leader.as_str());
-        self.0.hear_of(told.term, leader);
-        let role = self.0.lock(&self.0.role).clone();
+        self.0.observe_term(told.term, leader);
+        let role = self.0.lock(&self.0.leader_view).clone();
         Ok(Response::new(Announcement {
             term: role.term,
             leader: role.leader.unwrap_or_default(),
-            workers_call: worker_api::called_of_late(&self.0),
+            workers_call: worker_api::has_recent_heartbeats(&self.0),
         }))
     }
 
@@ -105,7 +105,7 @@
             .with_cluster(|c| {
                 ids.into_iter()
                     .filter_map(|id| {
-                        let (done, running) = c.counts(&id)?;
+                        let (done, running) = c.task_counts(&id)?;
                         Some(JobProgress { id, done, running })
                     })
                     .collect()
@@ -119,8 +119,8 @@
 ///
 /// # Errors
 /// When the address can't be taken.
-pub async fn serve(node: Arc<Node>) -> Result<(), tonic::transport::Error> {
-    let addr = node.settings.back;
+pub async fn serve(node: Arc<Controller>) -> Result<(), tonic::transport::Error> {
+    let addr = node.settings.peer_listen;
     Server::builder()
         .http2_keepalive_interval(Some(Duration::from_secs(20)))
         .add_service(PeerServer::new(Service(node)))
@@ -138,8 +138,9 @@
 
 /// Tells the peers who leads whenever that changes, and reads task counts from
 /// the leader while users ask for them.
-pub async fn run(node: Arc<Node>) {
-    let timeout = Duration::from_secs_f64(node.settings.deployment.workers.report_s / 2.0);
+pub async fn run(node: Arc<Controller>) {
+    let timeout =
+        Duration::from_secs_f64(node.settings.deployment.workers.heartbeat_interval_s / 2.0);
     let clients: Vec<(String, PeerClient<Channel>)> = node
         .settings
         .peers
@@ -149,13 +150,13 @@
     let peers = Peers {
         node: Arc::downgrade(&node),
         clients: clients.clone(),
-        turns: Semaphore::new(node.settings.deployment.quota.sockets as usize / 16),
+        turns: Semaphore::new(node.settings.deployment.resource_limits.connections as usize / 16),
     };
     *node.lock(&node.relay) = Some(Arc::new(peers));
     let mut told = 0;
     loop {
-        let _ = tokio::time::timeout(Duration::from_secs(1), node.role_changed.notified()).await;
-        let role = node.lock(&node.role).clone();
+        let _ = tokio::time::timeout(Duration::from_secs(1), node.leader_changed.notified()).await;
+        let role = node.lock(&node.leader_view).clone();
         let mine = role.leader.as_deref() == Some(node.settings.node_name.as_str());
         let announcement = Announcement {
             term: role.term,
@@ -172,42 +173,42 @@
                     if let Ok(answer) = client.announce(announcement).await {
                         let answer = answer.into_inner();
                         let leader = (!answer.leader.is_empty()).then_some(answer.leader.as_str());
-                        node.hear_of(answer.term, leader);
+                        node.observe_term(answer.term, leader);
                     }
                 });
             }
         }
-        if mine && worker_api::none_call(&node) {
+        if mine && worker_api::lacks_heartbeats(&node) {
             for (_, client) in &clients {
                 let answer = client.clone().announce(announcement.clone()).await;
                 if answer.is_ok_and(|a| a.into_inner().workers_call) {
-                    leader::give_way(&node);
+                    leader::yield_leadership(&node);
                     break;
                 }
             }
         }
         // Old answers do not count when it lags the next time.
         let mut up = 0;
-        if mine && node.now() < *node.lock(&node.leaves_users_until) {
-            up = answering(&clients, &announcement).await;
+        if mine && node.now() < *node.lock(&node.sheds_user_load_until) {
+            up = count_reachable(&clients, &announcement).await;
         }
-        *node.lock(&node.peers_up) = up;
+        *node.lock(&node.reachable_peers) = up;
         // A node that the state service does not serve finds out if it is apart.
-        let served = node.state.failing_since().is_none();
-        if served || answering(&clients, &announcement).await > 0 {
-            *node.lock(&node.peer_answered) = node.now();
+        let served = node.store.failing_since().is_none();
+        if served || count_reachable(&clients, &announcement).await > 0 {
+            *node.lock(&node.peer_reached_at) = node.now();
         }
         if !mine {
             let leader = clients.iter().find(|c| Some(&c.0) == role.leader.as_ref());
             if let Some((_, client)) = leader {
-                refresh(&node, client.clone()).await;
+                refresh_task_counts(&node, client.clone()).await;
             }
         }
     }
 }
 
 /// How many of the other nodes answer.
-async fn answering(clients: &[(String, PeerClient<Channel>)], word: &Announcement) -> usize {
+async fn count_reachable(clients: &[(String, PeerClient<Channel>)], word: &Announcement) -> usize {
     let asked = clients.iter().map(|(_, client)| {
         let (mut client, word) = (client.clone(), word.clone());
         async move { client.announce(word).await.is_ok() }
@@ -215,9 +216,9 @@
     join_all(asked).await.into_iter().filter(|up| *up).count()
 }
 
-async fn refresh(node: &Node, mut client: PeerClient<Channel>) {
+async fn refresh_task_counts(node: &Controller, mut client: PeerClient<Channel>) {
     let ids: Vec<String> = {
-        let mut counts = node.lock(&node.counts);
+        let mut counts = node.lock(&node.task_counts);
         std::mem::take(&mut counts.asked).into_iter().collect()
     };
     if ids.is_empty() {
@@ -225,7 +226,7 @@
     }
     if let Ok(reply) = client.progress(ProgressRequest { ids }).await {
         let now = node.now();
-        let mut counts = node.lock(&node.counts);
+        let mut counts = node.lock(&node.task_counts);
         for job in reply.into_inner().jobs {
             counts.known.insert(job.id, (job.done, job.running, now));
         }
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -1,7 +1,7 @@
 //! Durable placements: batches whose transactions are under way at the same time.
 
 use crate::{
-    controller::{Node, TERM_KEY, batch_key, open_key},
+    controller::{Controller, TERM_KEY, active_job_key, placement_batch_key},
     worker_api,
 };
 use futures_util::{
@@ -9,77 +9,77 @@
     stream::{FuturesUnordered, StreamExt},
 };
 use std::{collections::VecDeque, sync::Arc, time::Duration};
-use tallygauge_protocol::state::{Guard, Transaction, Write};
-use tallygauge_scheduler::Batch;
-use tallygauge_store::{Class, Outcome};
+use tallygauge_protocol::state::{Condition, Transaction, Write};
+use tallygauge_scheduler::PlacementBatch;
+use tallygauge_store::{RequestPriority, TransactionOutcome};
 
 /// Part of the leader's writes of a second that may be placements under way.
-const WRITES_UNDER_WAY: f64 = 0.125;
+const IN_FLIGHT_WRITE_SHARE: f64 = 0.125;
 
 /// Batches under way, however few writes there are.
-const LEAST_UNDER_WAY: usize = 3;
+const MIN_IN_FLIGHT: usize = 3;
 
 /// Batches that a leader is making durable. One in doubt holds its own tasks,
 /// capacity and quota, and nothing else: rounds go on over the rest.
-pub struct Placements<'a> {
-    node: &'a Arc<Node>,
-    term_guard: &'a Guard,
+pub struct PlacementWriter<'a> {
+    node: &'a Arc<Controller>,
+    term_guard: &'a Condition,
     /// Planned and not sent yet, for want of a turn.
-    waiting: VecDeque<Batch>,
-    under_way: FuturesUnordered<BoxFuture<'a, ()>>,
-    most_under_way: usize,
+    waiting: VecDeque<PlacementBatch>,
+    in_flight: FuturesUnordered<BoxFuture<'a, ()>>,
+    max_in_flight: usize,
 }
 
-impl<'a> Placements<'a> {
+impl<'a> PlacementWriter<'a> {
     /// None under way.
     #[must_use]
-    pub fn new(node: &'a Arc<Node>, term_guard: &'a Guard) -> Self {
-        let writes = node.settings.deployment.state.write_rps;
+    pub fn new(node: &'a Arc<Controller>, term_guard: &'a Condition) -> Self {
+        let writes = node.settings.deployment.store.writes_per_s;
         Self {
             node,
             term_guard,
             waiting: VecDeque::new(),
-            under_way: FuturesUnordered::new(),
-            most_under_way: ((writes * WRITES_UNDER_WAY) as usize).max(LEAST_UNDER_WAY),
+            in_flight: FuturesUnordered::new(),
+            max_in_flight: ((writes * IN_FLIGHT_WRITE_SHARE) as usize).max(MIN_IN_FLIGHT),
         }
     }
 
     /// Whether another round may plan: what it plans could be sent at once.
     #[must_use]
-    pub fn has_turn(&self) -> bool {
-        self.waiting.is_empty() && self.under_way.len() < self.most_under_way
+    pub fn has_capacity(&self) -> bool {
+        self.waiting.is_empty() && self.in_flight.len() < self.max_in_flight
     }
 
     /// Takes batches over; they are sent in order, as turns come.
-    pub fn push(&mut self, batches: Vec<Batch>) {
+    pub fn push(&mut self, batches: Vec<PlacementBatch>) {
         self.waiting.extend(batches);
         self.send();
     }
 
     fn send(&mut self) {
-        while self.under_way.len() < self.most_under_way
+        while self.in_flight.len() < self.max_in_flight
             && let Some(batch) = self.waiting.pop_front()
         {
             let (node, term_guard) = (self.node, self.term_guard);
-            self.under_way
-                .push(Box::pin(place(node, term_guard, batch)));
+            self.in_flight
+                .push(Box::pin(commit_batch(node, term_guard, batch)));
         }
     }
 
     /// Works on what is under way for as long as something else takes. A turn
     /// that comes free where there was none brings a round.
-    pub async fn drive(&mut self, work: impl Future<Output = ()>) {
+    pub async fn run_until(&mut self, work: impl Future<Output = ()>) {
         tokio::pin!(work);
         loop {
-            let had_turn = self.has_turn();
+            let had_turn = self.has_capacity();
             tokio::select! {
                 // A fixed order of polling, so that simulations repeat themselves.
                 biased;
                 () = &mut work => return,
-                Some(()) = self.under_way.next(), if !self.under_way.is_empty() => {
+                Some(()) = self.in_flight.next(), if !self.in_flight.is_empty() => {
                     self.send();
-                    if !had_turn && self.has_turn() {
-                        self.node.wake.notify_one();
+                    if !had_turn && self.has_capacity() {
+                        self.node.wake_scheduler.notify_one();
                     }
                 }
             }
@@ -90,21 +90,21 @@
 /// The transaction that makes a batch durable. Conditioned on the term, on the
 /// batch's name being new, and on the records of the jobs, so that nothing starts
 /// after a cancellation.
-fn transaction(term_guard: &Guard, batch: &Batch) -> Transaction {
-    let key = batch_key(&batch.name);
+fn transaction(term_guard: &Condition, batch: &PlacementBatch) -> Transaction {
+    let key = placement_batch_key(&batch.name);
     let mut guards = vec![
         term_guard.clone(),
-        Guard {
+        Condition {
             key: key.clone(),
             version: 0,
         },
     ];
-    guards.extend(batch.jobs.iter().map(|(id, version)| Guard {
-        key: open_key(id),
+    guards.extend(batch.jobs.iter().map(|(id, version)| Condition {
+        key: active_job_key(id),
         version: *version,
     }));
     Transaction {
-        guards,
+        conditions: guards,
         writes: vec![Write::Set {
             key,
             value: serde_json::to_value(&batch.record).unwrap_or_default(),
@@ -118,18 +118,21 @@
 /// Unanswered, the same transaction is sent until it is answered: it can be
 /// made once at most, and a refusal on its conditions is final, since neither
 /// a removed job nor a term comes back.
-async fn place(node: &Arc<Node>, term_guard: &Guard, batch: Batch) {
+async fn commit_batch(node: &Arc<Controller>, term_guard: &Condition, batch: PlacementBatch) {
     let txn = transaction(term_guard, &batch);
-    let settled = node.state.settle(Class::Placement, &txn, None).await;
+    let settled = node
+        .store
+        .commit_with_retries(RequestPriority::Placement, &txn, None)
+        .await;
     let made = match settled.outcome {
-        Ok(Outcome::Made(_)) => {
-            if let Some(lead) = node.lock(&node.lead).as_mut() {
-                let asked = node.at(settled.sent);
-                lead.confirmed = lead.confirmed.max(asked);
+        Ok(TransactionOutcome::Committed(_)) => {
+            if let Some(lead) = node.lock(&node.leadership).as_mut() {
+                let asked = node.instant_to_seconds(settled.sent_at);
+                lead.term_confirmed_at = lead.term_confirmed_at.max(asked);
             }
             true
         }
-        Ok(Outcome::Conflict(failed)) => {
+        Ok(TransactionOutcome::Conflict(failed)) => {
             if failed.iter().any(|k| k == TERM_KEY) {
                 node.step_down("a write found another term");
                 return;
@@ -138,7 +141,7 @@
             // The jobs are over; the watch will say how.
             node.with_cluster(|c| {
                 for (id, _) in &batch.jobs {
-                    if failed.contains(&open_key(id)) {
+                    if failed.contains(&active_job_key(id)) {
                         c.remove_job(id, now);
                     }
                 }
@@ -146,29 +149,29 @@
             // Made by an earlier copy, it is there now; else it never will be.
             settled.in_doubt && exists(node, &batch).await
         }
-        Ok(Outcome::NoLease) | Err(_) => false,
+        Ok(TransactionOutcome::LeaseExpired) | Err(_) => false,
     };
     let now = node.now();
     node.with_cluster(|c| {
         if made {
-            c.written(&batch, now);
+            c.record_batch_committed(&batch, now);
         } else {
-            c.unwritten(&batch, now);
+            c.record_batch_rejected(&batch, now);
         }
     });
     tracing::debug!(batch = &*batch.name, made, "placements");
     if !made {
-        node.wake.notify_one();
+        node.wake_scheduler.notify_one();
     }
-    worker_api::dispatch(node);
+    worker_api::send_direct_messages(node);
 }
 
 /// Whether a batch is on record.
-async fn exists(node: &Node, batch: &Batch) -> bool {
-    let key = batch_key(&batch.name);
-    let pause: Duration = node.term_ttl() / 8;
+async fn exists(node: &Controller, batch: &PlacementBatch) -> bool {
+    let key = placement_batch_key(&batch.name);
+    let pause: Duration = node.leader_lease_ttl() / 8;
     loop {
-        if let Ok(row) = node.state.get(Class::Placement, &key).await {
+        if let Ok(row) = node.store.get(RequestPriority::Placement, &key).await {
             return row.is_some();
         }
         tokio::time::sleep(pause).await;
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -1,18 +1,20 @@
 //! Durable progress: the ends of whole jobs, and pages of finished tasks.
 
 use crate::{
-    controller::{Known, Node, TERM_KEY, open_key, over_key, page_key},
+    controller::{
+        CachedJob, Controller, TERM_KEY, active_job_key, completion_page_key, terminal_job_key,
+    },
     scheduling_loop::VALUE_BYTES,
-    user_api::OverRecord,
+    user_api::TerminalJobRecord,
 };
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 use tallygauge_protocol::{
-    state::{Guard, Transaction, Write},
+    state::{Condition, Transaction, Write},
     users::JobStatus,
 };
 use tallygauge_scheduler::{Completion, Flush, PageWrite};
-use tallygauge_store::{Class, Error, Outcome};
+use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
 /// Report intervals between two looks at what has ended, at most.
 const FLUSH_EVERY: f64 = 0.4;
@@ -25,16 +27,16 @@
 
 /// Makes the ends of jobs durable, as long as this node leads. A transaction in
 /// doubt keeps only its own jobs waiting.
-pub async fn complete_jobs(node: &Node, term_guard: &Guard) {
-    let report = node.settings.deployment.workers.report_s;
+pub async fn complete_jobs(node: &Controller, term_guard: &Condition) {
+    let report = node.settings.deployment.workers.heartbeat_interval_s;
     let pause = Duration::from_secs_f64(report * PAUSE);
     let between = Duration::from_secs_f64(report * FLUSH_EVERY);
-    let most = node.settings.deployment.state.txn_ops / 2;
+    let most = node.settings.deployment.store.max_writes_per_transaction / 2;
     let mut under_way = FuturesUnordered::new();
     let mut sent: BTreeSet<String> = BTreeSet::new();
     loop {
         let wait = async {
-            let _ = tokio::time::timeout(between, node.wake_finish.notified()).await;
+            let _ = tokio::time::timeout(between, node.wake_completions.notified()).await;
             tokio::time::sleep(pause).await;
         };
         tokio::pin!(wait);
@@ -65,16 +67,18 @@
 
 /// Makes finished tasks of other jobs durable now and then, as long as this node
 /// leads. One flush at a time: a page is guarded on its version.
-pub async fn flush_pages(node: &Arc<Node>, term_guard: &Guard) {
-    let report = node.settings.deployment.workers.report_s;
+pub async fn flush_pages(node: &Arc<Controller>, term_guard: &Condition) {
+    let report = node.settings.deployment.workers.heartbeat_interval_s;
     let between = Duration::from_secs_f64(report * FLUSH_EVERY);
-    let ops = node.settings.deployment.state.txn_ops;
+    let ops = node.settings.deployment.store.max_writes_per_transaction;
     loop {
         tokio::time::sleep(between).await;
-        reread(node).await;
-        let due = node.with_cluster(|c| c.flush(ops, VALUE_BYTES)).flatten();
+        resolve_pages_in_doubt(node).await;
+        let due = node
+            .with_cluster(|c| c.next_flush(ops, VALUE_BYTES))
+            .flatten();
         if let Some(due) = due {
-            progress(node, term_guard, &due).await;
+            commit_pages(node, term_guard, &due).await;
         }
     }
 }
@@ -82,52 +86,61 @@
 /// Calls jobs done. Conditioned on their records, as a cancellation is, so that
 /// only one of them comes true; for the same reason a copy of it does no harm. Returns
 /// the jobs that it was about.
-async fn complete(node: &Node, term_guard: &Guard, due: Vec<Completion>) -> Vec<Completion> {
+async fn complete(
+    node: &Controller,
+    term_guard: &Condition,
+    due: Vec<Completion>,
+) -> Vec<Completion> {
     let mut txn = Transaction {
-        guards: vec![term_guard.clone()],
+        conditions: vec![term_guard.clone()],
         writes: Vec::new(),
     };
     for job in &due {
-        let over = OverRecord {
+        let over = TerminalJobRecord {
             status: JobStatus::Done,
             done: job.tasks,
         };
-        let key = open_key(&job.job);
-        txn.guards.push(Guard {
+        let key = active_job_key(&job.job);
+        txn.conditions.push(Condition {
             key: key.clone(),
             version: job.version,
         });
         txn.writes.push(Write::Remove { key });
         txn.writes.push(Write::Set {
-            key: over_key(&job.job),
+            key: terminal_job_key(&job.job),
             value: serde_json::to_value(&over).unwrap_or_default(),
             lease: None,
         });
     }
-    let settled = node.state.settle(Class::Users, &txn, None).await;
+    let settled = node
+        .store
+        .commit_with_retries(RequestPriority::Users, &txn, None)
+        .await;
     let now = node.now();
     match settled.outcome {
-        Ok(Outcome::Made(_)) => {
+        Ok(TransactionOutcome::Committed(_)) => {
             for job in &due {
                 node.with_cluster(|c| c.remove_job(&job.job, now));
-                let known = Known::Over(JobStatus::Done, job.tasks);
-                node.lock(&node.jobs).put(&job.job, known);
+                let known = CachedJob::Terminal(JobStatus::Done, job.tasks);
+                node.lock(&node.jobs).insert(&job.job, known);
                 tracing::debug!(job = job.job, "done");
             }
-            node.wake.notify_one();
+            node.wake_scheduler.notify_one();
         }
-        Ok(Outcome::Conflict(failed)) => {
+        Ok(TransactionOutcome::Conflict(failed)) => {
             if failed.iter().any(|k| k == TERM_KEY) {
                 node.step_down("a write found another term");
                 return due;
             }
             // Cancelled first, or an unanswered try was made after all.
-            let over = due.iter().filter(|j| failed.contains(&open_key(&j.job)));
+            let over = due
+                .iter()
+                .filter(|j| failed.contains(&active_job_key(&j.job)));
             for job in over {
                 node.with_cluster(|c| c.remove_job(&job.job, now));
             }
         }
-        Ok(Outcome::NoLease) | Err(_) => {}
+        Ok(TransactionOutcome::LeaseExpired) | Err(_) => {}
     }
     due
 }
@@ -136,8 +149,8 @@
 /// must not land after a newer one.
 pub(crate) fn page_writes(txn: &mut Transaction, pages: &[PageWrite]) {
     for page in pages {
-        let key = page_key(page.page);
-        txn.guards.push(Guard {
+        let key = completion_page_key(page.page);
+        txn.conditions.push(Condition {
             key: key.clone(),
             version: page.version,
         });
@@ -153,38 +166,51 @@
     }
 }
 
-async fn progress(node: &Node, term_guard: &Guard, flush: &Flush) {
+async fn commit_pages(node: &Controller, term_guard: &Condition, flush: &Flush) {
     if flush.pages.writes.is_empty() {
         return;
     }
     let mut txn = Transaction {
-        guards: vec![term_guard.clone()],
+        conditions: vec![term_guard.clone()],
         writes: Vec::new(),
     };
     page_writes(&mut txn, &flush.pages.writes);
-    let settled = node.state.settle(Class::Progress, &txn, None).await;
+    let settled = node
+        .store
+        .commit_with_retries(RequestPriority::Progress, &txn, None)
+        .await;
     let outcome = settled.outcome;
-    if let Ok(Outcome::Conflict(failed)) = &outcome
+    if let Ok(TransactionOutcome::Conflict(failed)) = &outcome
         && failed.iter().any(|k| k == TERM_KEY)
     {
         node.step_down("a write found another term");
         return;
     }
     node.with_cluster(|c| match outcome {
-        Ok(Outcome::Made(revision)) => c.flushed(flush, revision),
-        Ok(Outcome::Conflict(_)) | Err(Error::Unknown) => c.pages.failed(&flush.pages, true),
-        Ok(Outcome::NoLease) | Err(Error::Refused) => c.pages.failed(&flush.pages, false),
+        Ok(TransactionOutcome::Committed(revision)) => c.record_flushed(flush, revision),
+        Ok(TransactionOutcome::Conflict(_)) | Err(StoreError::Unknown) => {
+            c.completion_pages.mark_flush_failed(&flush.pages, true)
+        }
+        Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::Refused) => {
+            c.completion_pages.mark_flush_failed(&flush.pages, false)
+        }
     });
 }
 
 /// Reads the versions of pages again that an unanswered write may have changed.
-async fn reread(node: &Node) {
-    let unsure = node.with_cluster(|c| c.pages.unsure()).unwrap_or_default();
+async fn resolve_pages_in_doubt(node: &Controller) {
+    let unsure = node
+        .with_cluster(|c| c.completion_pages.pages_in_doubt())
+        .unwrap_or_default();
     for page in unsure {
-        let Ok(row) = node.state.get(Class::Progress, &page_key(page)).await else {
+        let Ok(row) = node
+            .store
+            .get(RequestPriority::Progress, &completion_page_key(page))
+            .await
+        else {
             return;
         };
         let version = row.map_or(0, |r| r.version);
-        node.with_cluster(|c| c.pages.read(page, version));
+        node.with_cluster(|c| c.completion_pages.resolve_version(page, version));
     }
 }
--- a/crates/tallygauge/src/reconciliation.rs
+++ b/crates/tallygauge/src/reconciliation.rs
@@ -1,10 +1,10 @@
 //! The slow sweep of the daemon: open jobs on record against the picture, and
 //! the picture against itself. What is found is said and mended.
 
-use crate::{controller::Node, job_watch};
+use crate::{controller::Controller, job_watch};
 use std::{collections::BTreeSet, time::Duration};
-use tallygauge_protocol::state::{Change, Row};
-use tallygauge_store::Class;
+use tallygauge_protocol::state::{KeyValue, WatchEvent};
+use tallygauge_store::RequestPriority;
 
 /// Jobs and machines looked at in one step.
 const STEP: usize = 16;
@@ -14,23 +14,23 @@
 
 /// Sweeps as long as this node leads: a step of the picture now and then, all
 /// records of open jobs once a lease.
-pub async fn run(node: &Node) {
+pub async fn run(node: &Controller) {
     let w = &node.settings.deployment.workers;
-    let pause = Duration::from_secs_f64(w.report_s / STEPS);
+    let pause = Duration::from_secs_f64(w.heartbeat_interval_s / STEPS);
     let mut listed = node.now();
     loop {
         tokio::time::sleep(pause).await;
-        let found = node.with_cluster(|c| c.sweep(STEP)).unwrap_or_default();
+        let found = node.with_cluster(|c| c.reconcile(STEP)).unwrap_or_default();
         for text in &found {
             tracing::warn!(found = text, "the sweep mends");
         }
         if !found.is_empty() {
-            node.wake.notify_one();
+            node.wake_scheduler.notify_one();
         }
         let now = node.now();
         if now - listed > w.lease_s {
             listed = now;
-            against_record(node).await;
+            reconcile_with_store(node).await;
         }
     }
 }
@@ -41,38 +41,38 @@
 /// What the picture had followed up to `followed` it must show: an open job that
 /// is older than that and was not in it before the records were listed was
 /// lost. One that was in it, and is not on record at a later time, is over.
-pub async fn against_record(node: &Node) -> (usize, usize) {
+pub async fn reconcile_with_store(node: &Controller) -> (usize, usize) {
     let before = {
-        let lead = node.lock(&node.lead);
+        let lead = node.lock(&node.leadership);
         lead.as_ref().and_then(|l| {
             let cluster = l.cluster.as_ref()?;
-            Some((l.term, l.followed, cluster.open_jobs()))
+            Some((l.term, l.watched_revision, cluster.active_job_ids()))
         })
     };
     let Some((term, followed, known)) = before else {
         return (0, 0);
     };
-    let Ok((rows, _)) = node.state.list(Class::Upkeep, "o/").await else {
+    let Ok((rows, _)) = node.store.list(RequestPriority::Maintenance, "o/").await else {
         return (0, 0);
     };
-    let (missing, over) = differing(&known, rows, followed);
+    let (missing, over) = differences(&known, rows, followed);
     let (now, time_of_day) = (node.now(), node.time_of_day());
     let mut counts = (0, 0);
     {
-        let mut lead = node.lock(&node.lead);
+        let mut lead = node.lock(&node.leadership);
         let lead = lead.as_mut().filter(|l| l.term == term);
         let Some(cluster) = lead.and_then(|l| l.cluster.as_mut()) else {
             return (0, 0);
         };
         for row in missing {
             let key = row.key.clone();
-            let change = Change::Set {
+            let change = WatchEvent::Set {
                 key: row.key,
                 value: row.value,
                 version: row.version,
             };
             let jobs = cluster.jobs.len();
-            job_watch::apply(cluster, change, now, time_of_day);
+            job_watch::apply_event(cluster, change, now, time_of_day);
             if cluster.jobs.len() > jobs {
                 counts.0 += 1;
                 tracing::warn!(key, "the sweep mends: an open job was not in the picture");
@@ -86,7 +86,7 @@
         }
     }
     if counts != (0, 0) {
-        node.wake.notify_one();
+        node.wake_scheduler.notify_one();
     }
     counts
 }
@@ -94,10 +94,14 @@
 /// Records of jobs that the picture should have, and ids of those that it should
 /// not: the picture as it was before the records were listed, having followed
 /// all changes up to `followed`.
-fn differing(known: &BTreeSet<String>, rows: Vec<Row>, followed: u64) -> (Vec<Row>, Vec<String>) {
-    let id = |row: &Row| row.key.strip_prefix("o/").map(str::to_string);
+fn differences(
+    known: &BTreeSet<String>,
+    rows: Vec<KeyValue>,
+    followed: u64,
+) -> (Vec<KeyValue>, Vec<String>) {
+    let id = |row: &KeyValue| row.key.strip_prefix("o/").map(str::to_string);
     let open: BTreeSet<String> = rows.iter().filter_map(id).collect();
-    let lost = |row: &Row| {
+    let lost = |row: &KeyValue| {
         let known = id(row).is_some_and(|id| known.contains(&id));
         row.version <= followed && !known
     };
@@ -109,8 +113,8 @@
 mod tests {
     use super::*;
 
-    fn row(n: u32, version: u64) -> Row {
-        Row {
+    fn row(n: u32, version: u64) -> KeyValue {
+        KeyValue {
             key: format!("o/req-{n}"),
             value: serde_json::Value::Null,
             version,
@@ -123,7 +127,7 @@
     fn only_what_the_picture_must_know_is_taken_for_lost() {
         let known = BTreeSet::from(["req-1".to_string(), "req-4".to_string()]);
         let rows = vec![row(1, 5), row(2, 7), row(3, 11)];
-        let (missing, over) = differing(&known, rows, 10);
+        let (missing, over) = differences(&known, rows, 10);
         let missing: Vec<&str> = missing.iter().map(|r| r.key.as_str()).collect();
         assert_eq!(
             (missing, over),
--- a/crates/tallygauge/src/server.rs
+++ b/crates/tallygauge/src/server.rs
@@ -1,14 +1,14 @@
 //! HTTP: users, workers and health checks on one address.
 
 use crate::{
-    controller::Node,
+    controller::Controller,
     user_api::{self, Reply},
-    worker_api::{self, CheckIn},
+    worker_api::{self, HeartbeatReply},
 };
 use hyper_util::service::TowerToHyperService;
 use std::{sync::Arc, time::Duration};
 use tallygauge_http::{accept, bounded_body};
-use tallygauge_protocol::users::ErrorBody;
+use tallygauge_protocol::users::ErrorResponse;
 use tokio::net::TcpListener;
 use warp::{
     Filter,
@@ -28,34 +28,38 @@
 }
 
 fn error(status: u16, text: &str) -> Answer {
-    let body = ErrorBody { error: text.into() };
+    let body = ErrorResponse { error: text.into() };
     respond(status, serde_json::to_vec(&body).unwrap_or_default(), None)
 }
 
 /// A user's connection is closed after the answer where connections are short.
-fn user(node: &Node, reply: &Reply) -> Answer {
+fn user(node: &Controller, reply: &Reply) -> Answer {
     let retry = match reply {
-        Reply::Later(_, seconds) => Some(*seconds),
+        Reply::RetryLater(_, seconds) => Some(*seconds),
         _ => None,
     };
     let mut answer = respond(reply.status(), reply.body(), retry);
-    if node.sockets.short() {
+    if node.connection_limits.is_critical() {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(CONNECTION, close);
     }
     answer
 }
 
-fn worker(answer: &CheckIn) -> Answer {
+fn worker(answer: &HeartbeatReply) -> Answer {
     match answer {
-        CheckIn::Take(answer) => respond(200, serde_json::to_vec(answer).unwrap_or_default(), None),
-        CheckIn::Elsewhere(to) => respond(421, serde_json::to_vec(to).unwrap_or_default(), None),
-        CheckIn::NotNow => error(503, "not entitled to act for the controllers now"),
-        CheckIn::Malformed(why) => error(400, why),
+        HeartbeatReply::Accepted(answer) => {
+            respond(200, serde_json::to_vec(answer).unwrap_or_default(), None)
+        }
+        HeartbeatReply::Redirected(to) => {
+            respond(421, serde_json::to_vec(to).unwrap_or_default(), None)
+        }
+        HeartbeatReply::Unavailable => error(503, "not entitled to act for the controllers now"),
+        HeartbeatReply::Malformed(why) => error(400, why),
     }
 }
 
-async fn route(node: Arc<Node>, method: Method, path: String, body: Vec<u8>) -> Answer {
+async fn route(node: Arc<Controller>, method: Method, path: String, body: Vec<u8>) -> Answer {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     let get = method == Method::GET;
     let post = method == Method::POST;
@@ -64,7 +68,7 @@
             Some(reply) => user(&node, &reply),
             None => error(405, "no such request about jobs"),
         },
-        ["checkin"] if post => worker(&worker_api::check_in(&node, &body)),
+        ["checkin"] if post => worker(&worker_api::handle_heartbeat(&node, &body)),
         ["ready"] if get => {
             if ready(&node) {
                 respond(200, b"{}".to_vec(), None)
@@ -80,18 +84,18 @@
 /// Whether the node can judge submissions and tell the state of jobs, and is
 /// not better left to its work by users. It answers them all the same. One that
 /// is apart can tell them nothing: their connections must not stay with it.
-fn ready(node: &Node) -> bool {
+fn ready(node: &Controller) -> bool {
     node.lock(&node.catalogue).is_some()
-        && *node.lock(&node.reached)
-        && !node.leaves_users()
-        && !node.apart()
+        && *node.lock(&node.store_reached)
+        && !node.sheds_user_load()
+        && !node.is_isolated()
 }
 
 /// Serves users, workers and health checks. Never returns.
-pub async fn serve(node: Arc<Node>) {
+pub async fn serve(node: Arc<Controller>) {
     let addr = node.settings.client_listen;
     let lease_s = node.settings.deployment.workers.lease_s;
-    let callers = node.sockets.callers.clone();
+    let callers = node.connection_limits.callers.clone();
     let routes = warp::method()
         .and(warp::path::full())
         .and(warp::body::stream())
@@ -111,5 +115,5 @@
     // first find out which version of HTTP each connection speaks, and look at
     // that again at every turn.
     let idle = Duration::from_secs_f64(lease_s);
-    accept(listener, service, idle, |_| Some(callers.enter())).await;
+    accept(listener, service, idle, |_| Some(callers.acquire())).await;
 }
--- a/crates/tallygauge/src/settings.rs
+++ b/crates/tallygauge/src/settings.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 use std::{collections::HashMap, net::SocketAddr, path::Path};
-use tallygauge_scheduler::{Aim, TeamConfig};
+use tallygauge_scheduler::{ServiceLevelObjective, TeamConfig};
 
 /// Settings as the platform hands them over.
 #[derive(Debug, Clone, Deserialize)]
@@ -10,11 +10,13 @@
     /// This node.
     pub node_name: String,
     /// Its zone.
-    pub area: String,
+    #[serde(rename = "area")]
+    pub zone: String,
     /// Where users, workers and health checks connect.
     pub client_listen: SocketAddr,
     /// Where the other controllers connect.
-    pub back: SocketAddr,
+    #[serde(rename = "back")]
+    pub peer_listen: SocketAddr,
     /// The other controllers.
     #[serde(rename = "seeds")]
     pub peers: Vec<Peer>,
@@ -39,7 +41,8 @@
     /// The cloud.
     pub cloud: SocketAddr,
     /// The state service.
-    pub state: SocketAddr,
+    #[serde(rename = "state")]
+    pub store: SocketAddr,
 }
 
 /// The deployment.
@@ -48,35 +51,41 @@
     /// Controllers.
     pub count: u32,
     /// Teams.
-    pub teams: Vec<Team>,
+    pub teams: Vec<TeamQuota>,
     /// Aims on starting and finishing.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Workers' times.
-    pub workers: WorkerTimes,
+    pub workers: WorkerTimeouts,
     /// State service's limits.
-    pub state: StateLimits,
+    #[serde(rename = "state")]
+    pub store: StoreLimits,
     /// Cloud's limits.
     pub cloud: CloudLimits,
     /// This process's limits.
-    pub quota: Quota,
+    #[serde(rename = "quota")]
+    pub resource_limits: ResourceLimits,
 }
 
 /// A team.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Team {
+pub struct TeamQuota {
     /// Name.
     pub name: String,
     /// Guaranteed CPUs.
-    pub cpus: f64,
+    #[serde(rename = "cpus")]
+    pub guaranteed_cpus: f64,
     /// Most CPUs; 0: no limit.
-    pub cpus_max: f64,
+    #[serde(rename = "cpus_max")]
+    pub max_cpus: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
-    pub gpus: f64,
+    #[serde(rename = "gpus")]
+    pub guaranteed_gpus: f64,
     /// Most GPUs; 0: no limit.
     #[serde(default)]
-    pub gpus_max: f64,
+    #[serde(rename = "gpus_max")]
+    pub max_gpus: f64,
 }
 
 /// An aim. Kinds that this version does not know are ignored.
@@ -92,31 +101,37 @@
     pub within_s: Option<f64>,
     /// Within so many times the job's own deadline.
     #[serde(default)]
-    pub times: Option<f64>,
+    #[serde(rename = "times")]
+    pub deadline_factor: Option<f64>,
 }
 
 /// Workers' times, seconds.
 #[derive(Debug, Clone, Deserialize)]
-pub struct WorkerTimes {
+pub struct WorkerTimeouts {
     /// Between reports.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     /// Lease.
     pub lease_s: f64,
     /// Until a cancelled job's tasks are gone.
-    pub cancel_s: f64,
+    #[serde(rename = "cancel_s")]
+    pub cancel_timeout_s: f64,
 }
 
 /// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     /// Requests a second, all nodes together.
     pub rps: f64,
     /// Writes a second, all nodes together.
-    pub write_rps: f64,
+    #[serde(rename = "write_rps")]
+    pub writes_per_s: f64,
     /// Largest value, KiB.
-    pub value_kb: f64,
+    #[serde(rename = "value_kb")]
+    pub max_value_kib: f64,
     /// Most writes in a transaction.
-    pub txn_ops: usize,
+    #[serde(rename = "txn_ops")]
+    pub max_writes_per_transaction: usize,
 }
 
 /// Limits of the cloud.
@@ -130,13 +145,14 @@
 
 /// Limits of this process.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Quota {
+pub struct ResourceLimits {
     /// Cores.
     pub cores: f64,
     /// Memory.
     pub memory_mb: f64,
     /// Connections.
-    pub sockets: u32,
+    #[serde(rename = "sockets")]
+    pub connections: u32,
 }
 
 impl Settings {
@@ -163,15 +179,18 @@
     fn check(&self) -> Result<(), String> {
         let d = &self.deployment;
         let above_zero = [
-            ("deployment.workers.report_s", d.workers.report_s),
+            (
+                "deployment.workers.report_s",
+                d.workers.heartbeat_interval_s,
+            ),
             ("deployment.workers.lease_s", d.workers.lease_s),
-            ("deployment.workers.cancel_s", d.workers.cancel_s),
-            ("deployment.state.rps", d.state.rps),
-            ("deployment.state.write_rps", d.state.write_rps),
-            ("deployment.state.value_kb", d.state.value_kb),
+            ("deployment.workers.cancel_s", d.workers.cancel_timeout_s),
+            ("deployment.state.rps", d.store.rps),
+            ("deployment.state.write_rps", d.store.writes_per_s),
+            ("deployment.state.value_kb", d.store.max_value_kib),
             ("deployment.cloud.rps", d.cloud.rps),
-            ("deployment.quota.cores", d.quota.cores),
-            ("deployment.quota.memory_mb", d.quota.memory_mb),
+            ("deployment.quota.cores", d.resource_limits.cores),
+            ("deployment.quota.memory_mb", d.resource_limits.memory_mb),
         ];
         for (name, value) in above_zero {
             if !value.is_finite() || value <= 0.0 {
@@ -181,20 +200,25 @@
         if !(d.cloud.list_lag_s.is_finite() && d.cloud.list_lag_s >= 0.0) {
             return Err("deployment.cloud.list_lag_s must not be negative".into());
         }
-        if d.workers.report_s * 2.0 > d.workers.lease_s {
+        if d.workers.heartbeat_interval_s * 2.0 > d.workers.lease_s {
             return Err("deployment.workers.lease_s must be at least twice report_s".into());
         }
-        if d.workers.cancel_s <= d.workers.lease_s {
+        if d.workers.cancel_timeout_s <= d.workers.lease_s {
             return Err("deployment.workers.cancel_s must be above lease_s".into());
         }
-        if d.state.txn_ops < 4 {
+        if d.store.max_writes_per_transaction < 4 {
             return Err("deployment.state.txn_ops must be at least 4".into());
         }
-        if d.quota.sockets == 0 {
+        if d.resource_limits.connections == 0 {
             return Err("deployment.quota.sockets must be above 0".into());
         }
         for (i, team) in d.teams.iter().enumerate() {
-            let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
+            let amounts = [
+                team.guaranteed_cpus,
+                team.max_cpus,
+                team.guaranteed_gpus,
+                team.max_gpus,
+            ];
             if amounts.iter().any(|a| !a.is_finite() || *a < 0.0) {
                 return Err(format!(
                     "deployment.teams[{i}]: amounts must not be negative"
@@ -207,7 +231,10 @@
                 ));
             }
         }
-        let mut addresses = vec![("client_listen", self.client_listen), ("back", self.back)];
+        let mut addresses = vec![
+            ("client_listen", self.client_listen),
+            ("back", self.peer_listen),
+        ];
         addresses.extend(self.peers.iter().map(|p| ("seeds", p.addr)));
         for (i, (name, addr)) in addresses.iter().enumerate() {
             if let Some((other, _)) = addresses[..i].iter().find(|a| a.1 == *addr) {
@@ -229,8 +256,8 @@
 
     /// The loosest aim of each class on being done.
     #[must_use]
-    pub fn loosest_aims(&self) -> HashMap<String, Aim> {
-        let mut aims: HashMap<String, Aim> = HashMap::new();
+    pub fn loosest_aims(&self) -> HashMap<String, ServiceLevelObjective> {
+        let mut aims: HashMap<String, ServiceLevelObjective> = HashMap::new();
         for objective in &self.deployment.objectives {
             let Some(class) = &objective.class else {
                 continue;
@@ -239,7 +266,8 @@
             match objective.kind.as_str() {
                 "deadline" => {
                     let aim = aims.entry(class.clone()).or_default();
-                    aim.times = loosest(aim.times, objective.times.or(Some(1.0)));
+                    aim.deadline_factor =
+                        loosest(aim.deadline_factor, objective.deadline_factor.or(Some(1.0)));
                 }
                 "finished" => {
                     let aim = aims.entry(class.clone()).or_default();
@@ -261,10 +289,10 @@
             .iter()
             .map(|t| TeamConfig {
                 name: t.name.clone(),
-                cpus: t.cpus,
-                cpus_max: limit(t.cpus_max),
-                gpus: t.gpus,
-                gpus_max: limit(t.gpus_max),
+                guaranteed_cpus: t.guaranteed_cpus,
+                max_cpus: limit(t.max_cpus),
+                guaranteed_gpus: t.guaranteed_gpus,
+                max_gpus: limit(t.max_gpus),
             })
             .collect()
     }
@@ -304,7 +332,10 @@
             .unwrap()
             .push(none);
         let teams = Settings::parse(&guests.to_string()).unwrap().teams();
-        let limits: Vec<(f64, f64)> = teams.iter().map(|t| (t.cpus, t.cpus_max)).collect();
+        let limits: Vec<(f64, f64)> = teams
+            .iter()
+            .map(|t| (t.guaranteed_cpus, t.max_cpus))
+            .collect();
         assert_eq!(limits, [(8.0, 16.0), (0.0, f64::INFINITY)]);
     }
 
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -1,45 +1,46 @@
 //! What a leader logs now and then: how much there is of everything.
 
-use crate::{controller::Node, fairness_summary};
+use crate::{controller::Controller, fairness_summary};
 use std::time::Duration;
-use tallygauge_scheduler::Cluster;
+use tallygauge_scheduler::ClusterState;
 
 /// Report intervals between two summaries.
 const EVERY: f64 = 4.0;
 
 /// Logs a summary now and then, as long as this node leads, whatever else waits.
-pub async fn run(node: &Node) {
-    let report = node.settings.deployment.workers.report_s;
+pub async fn run(node: &Controller) {
+    let report = node.settings.deployment.workers.heartbeat_interval_s;
     let pause = Duration::from_secs_f64(report * EVERY);
     loop {
         tokio::time::sleep(pause).await;
-        let longest_round_s = std::mem::take(&mut *node.lock(&node.longest_round));
+        let longest_round_s = std::mem::take(&mut *node.lock(&node.longest_round_s));
         summarize(node, longest_round_s);
     }
 }
 
-fn summarize(node: &Node, longest_round_s: f64) {
-    let backlog = node.state.budget().waiting();
-    let lag = *node.lock(&node.lag);
-    let (now, memory_s) = (node.now(), node.poll_memory_s());
+fn summarize(node: &Controller, longest_round_s: f64) {
+    let backlog = node.store.budget().waiting();
+    let lag = *node.lock(&node.scheduling_delay);
+    let (now, memory_s) = (node.now(), node.caller_expiry_s());
     let unanswered_s = {
-        let unanswered = node.lock(&node.unanswered);
+        let unanswered = node.lock(&node.pending_callers);
         unanswered.longest(now, memory_s).map_or(0.0, |l| l.1)
     };
-    let (writes_in_doubt, in_doubt) = node.state.in_doubt();
-    let (sockets, sockets_free) = (node.sockets.used(), node.sockets.free());
+    let (writes_in_doubt, in_doubt) = node.store.in_doubt_writes();
+    let (sockets, sockets_free) = (node.connection_limits.used(), node.connection_limits.free());
     node.with_cluster(|c| {
-        let held =
-            |w: &tallygauge_scheduler::Worker| w.held.iter().filter(|h| h.occupies()).count();
+        let held = |w: &tallygauge_scheduler::Worker| {
+            w.attempts.iter().filter(|h| h.occupies_capacity()).count()
+        };
         let running: usize = c.workers.values().map(held).sum();
         let waiting: usize = c
             .jobs
             .values()
-            .map(|j| j.waiting.len() as usize + j.resumes.len())
+            .map(|j| j.pending.len() as usize + j.resumable.len())
             .sum();
-        let up = c.workers.values().filter(|w| w.up()).count();
-        let [starting, fetching, busy, free] = c.use_of_cpus();
-        let (to_begin, not_begun_s) = c.to_begin(now);
+        let up = c.workers.values().filter(|w| w.is_up()).count();
+        let [starting, fetching, busy, free] = c.cpu_usage();
+        let (to_begin, not_begun_s) = c.unstarted_summary(now);
         tracing::info!(
             jobs = c.jobs.len(),
             running,
@@ -67,18 +68,18 @@
         if !cutoffs.is_empty() {
             tracing::info!(cutoffs, "calendar");
         }
-        let (classes, teams) = fairness_summary::shown(c);
+        let (classes, teams) = fairness_summary::format_group_statuses(c);
         tracing::info!(classes, teams, "served");
     });
 }
 
 /// Logs why the job that has waited longest has not begun: what is missing.
-fn explain_longest_wait(cluster: &Cluster, now: f64) {
-    let Some((job, large)) = cluster.longest_not_begun() else {
+fn explain_longest_wait(cluster: &ClusterState, now: f64) {
+    let Some((job, large)) = cluster.oldest_unstarted_job() else {
         return;
     };
     let waited_s = (now - job.accepted_at) as u64;
-    let Some(why) = cluster.why(&job.spec.id, now) else {
+    let Some(why) = cluster.explain_pending(&job.spec.id, now) else {
         return;
     };
     tracing::info!(
@@ -98,16 +99,16 @@
 /// Cutoffs that operators declared or that are at risk in one field: seconds
 /// until each, jobs done, of these too late, open; slack in seconds, `!` when at
 /// risk.
-fn shown_cutoffs(c: &Cluster, now: f64) -> String {
+fn shown_cutoffs(c: &ClusterState, now: f64) -> String {
     let mut out = Vec::new();
-    for cutoff in c.cutoffs(now) {
-        let risk = cutoff.verdict.is_some_and(|v| v.at_risk);
+    for cutoff in c.cutoff_statuses(now) {
+        let risk = cutoff.forecast.is_some_and(|v| v.at_risk);
         if !cutoff.declared && !risk {
             continue;
         }
         let (left_s, (done, late), open) = (cutoff.left_s, cutoff.done, cutoff.open);
         let slack = cutoff
-            .verdict
+            .forecast
             .map_or(String::new(), |v| format!("/{:.0}", v.slack_s));
         let mark = if risk { "!" } else { "" };
         out.push(format!(
--- a/crates/tallygauge/src/worker_api.rs
+++ b/crates/tallygauge/src/worker_api.rs
@@ -1,60 +1,61 @@
 //! Dealings with workers: check-ins and direct commands.
 
-use crate::controller::Node;
+use crate::controller::Controller;
 use std::{sync::Arc, time::Duration};
-use tallygauge_protocol::workers::{DirectCommands, Redirect, Report, ReportAnswer};
-use tallygauge_scheduler::{DirectMessage, Source, Verdict};
-use tallygauge_store::{first_time, http::NoAnswer};
+use tallygauge_protocol::workers::{DirectCommands, Heartbeat, HeartbeatResponse, Redirect};
+use tallygauge_scheduler::{DirectMessage, HeartbeatOutcome, HeartbeatSource};
+use tallygauge_store::{http::RequestError, is_first_occurrence};
 
 /// An answer to a check-in.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CheckIn {
+pub enum HeartbeatReply {
     /// 200.
-    Take(ReportAnswer),
+    Accepted(HeartbeatResponse),
     /// 421, with the leader if known.
-    Elsewhere(Redirect),
+    Redirected(Redirect),
     /// 503.
-    NotNow,
+    Unavailable,
     /// 400.
     Malformed(String),
 }
 
 /// Whether workers have called on this node of late, though it does not lead.
 #[must_use]
-pub fn called_of_late(node: &Node) -> bool {
-    let at = *node.lock(&node.called_at);
-    node.now() - at < node.settings.deployment.workers.report_s * 2.0
+pub fn has_recent_heartbeats(node: &Controller) -> bool {
+    let at = *node.lock(&node.follower_heartbeat_at);
+    node.now() - at < node.settings.deployment.workers.heartbeat_interval_s * 2.0
 }
 
 /// Whether this node leads and workers that should call on it do not, for long
 /// enough that their leases are in danger.
 #[must_use]
-pub fn none_call(node: &Node) -> bool {
+pub fn lacks_heartbeats(node: &Controller) -> bool {
     let now = node.now();
     let patience = node.settings.deployment.workers.lease_s * 0.3;
-    node.lock(&node.lead).as_ref().is_some_and(|lead| {
-        let expected = lead
-            .cluster
-            .as_ref()
-            .is_some_and(|c| c.workers.values().any(|w| w.up() || !w.held.is_empty()));
-        expected && now - lead.called > patience
+    node.lock(&node.leadership).as_ref().is_some_and(|lead| {
+        let expected = lead.cluster.as_ref().is_some_and(|c| {
+            c.workers
+                .values()
+                .any(|w| w.is_up() || !w.attempts.is_empty())
+        });
+        expected && now - lead.last_heartbeat_at > patience
     })
 }
 
 /// `POST /checkin`
-pub fn check_in(node: &Node, body: &[u8]) -> CheckIn {
+pub fn handle_heartbeat(node: &Controller, body: &[u8]) -> HeartbeatReply {
     // Who does not lead has no use for the report: when a leader is gone, all
     // workers call on the others at once, and are refused before it costs.
-    if node.lock(&node.lead).is_none() {
-        return elsewhere(node);
+    if node.lock(&node.leadership).is_none() {
+        return redirect_to_leader(node);
     }
-    let report: Report = match serde_json::from_slice(body) {
+    let report: Heartbeat = match serde_json::from_slice(body) {
         Ok(report) => report,
         Err(error) => {
-            if first_time(&format!("check-in: {error}")) {
+            if is_first_occurrence(&format!("check-in: {error}")) {
                 tracing::warn!(%error, "malformed check-in");
             }
-            return CheckIn::Malformed(error.to_string());
+            return HeartbeatReply::Malformed(error.to_string());
         }
     };
     let now = node.now();
@@ -62,7 +63,7 @@
     let mut deposed = None;
     let mut changed = false;
     let answer = {
-        let mut lead = node.lock(&node.lead);
+        let mut lead = node.lock(&node.leadership);
         match lead.as_mut() {
             None => None,
             Some(lead) if report.token > lead.term => {
@@ -71,27 +72,29 @@
             }
             // Whoever leads now may have placed what these workers run, and any
             // node may have cancelled it: an answer would renew their leases.
-            Some(lead) if lead.fenced(now, fence) => {
-                return CheckIn::NotNow;
+            Some(lead) if lead.is_fenced(now, fence) => {
+                return HeartbeatReply::Unavailable;
             }
             Some(lead) => {
                 let term = lead.term;
                 let Some(cluster) = lead.cluster.as_mut() else {
-                    return CheckIn::NotNow;
+                    return HeartbeatReply::Unavailable;
                 };
-                match cluster.on_report(now, &report, Source::CheckIn) {
-                    Verdict::Taken | Verdict::Overtaken => {}
+                match cluster.apply_heartbeat(now, &report, HeartbeatSource::Periodic) {
+                    HeartbeatOutcome::Applied | HeartbeatOutcome::Overtaken => {}
                     // A copy of what was answered long ago renews no lease and
                     // brings no orders.
-                    Verdict::Stale | Verdict::Dead | Verdict::Deposed(_) => {
-                        return CheckIn::NotNow;
+                    HeartbeatOutcome::Stale
+                    | HeartbeatOutcome::DeadIncarnation
+                    | HeartbeatOutcome::Deposed(_) => {
+                        return HeartbeatReply::Unavailable;
                     }
                 }
-                changed = std::mem::take(&mut cluster.changed);
+                changed = std::mem::take(&mut cluster.needs_scheduling);
                 let commands = cluster.commands(&report.machine, now);
-                cluster.answered(&report.machine, &commands, now);
-                lead.called = now;
-                Some(ReportAnswer {
+                cluster.record_heartbeat_response(&report.machine, &commands, now);
+                lead.last_heartbeat_at = now;
+                Some(HeartbeatResponse {
                     token: term,
                     commands,
                 })
@@ -99,58 +102,58 @@
         }
     };
     if let Some(term) = deposed {
-        node.hear_of(term, None);
+        node.observe_term(term, None);
     }
     match answer {
         Some(answer) => {
             if changed {
-                node.wake.notify_one();
-                node.wake_finish.notify_one();
+                node.wake_scheduler.notify_one();
+                node.wake_completions.notify_one();
             }
-            CheckIn::Take(answer)
+            HeartbeatReply::Accepted(answer)
         }
-        None => elsewhere(node),
+        None => redirect_to_leader(node),
     }
 }
 
 /// The answer of a node that does not lead.
-fn elsewhere(node: &Node) -> CheckIn {
-    *node.lock(&node.called_at) = node.now();
-    let leader = node.lock(&node.role).leader.clone();
+fn redirect_to_leader(node: &Controller) -> HeartbeatReply {
+    *node.lock(&node.follower_heartbeat_at) = node.now();
+    let leader = node.lock(&node.leader_view).leader.clone();
     match leader {
-        Some(name) if name != node.settings.node_name => CheckIn::Elsewhere(Redirect {
-            report_to: Some(name),
-        }),
-        _ => CheckIn::NotNow,
+        Some(name) if name != node.settings.node_name => {
+            HeartbeatReply::Redirected(Redirect { leader: Some(name) })
+        }
+        _ => HeartbeatReply::Unavailable,
     }
 }
 
 /// Sends all direct messages that are due, each in a task of its own; a worker
 /// has one under way at most, so their number is bounded. A leader that may not
 /// answer workers sends them nothing either.
-pub fn dispatch(node: &Arc<Node>) {
+pub fn send_direct_messages(node: &Arc<Controller>) {
     let (now, fence) = (node.now(), node.fence_s());
     let (term, messages) = {
-        let mut lead = node.lock(&node.lead);
-        let Some(lead) = lead.as_mut().filter(|l| !l.fenced(now, fence)) else {
+        let mut lead = node.lock(&node.leadership);
+        let Some(lead) = lead.as_mut().filter(|l| !l.is_fenced(now, fence)) else {
             return;
         };
-        let (term, spare) = (lead.term, node.spare_direct());
+        let (term, spare) = (lead.term, node.direct_message_fraction());
         let Some(cluster) = lead.cluster.as_mut() else {
             return;
         };
-        (term, cluster.direct_messages(now, spare))
+        (term, cluster.take_direct_messages(now, spare))
     };
     for message in messages {
         let node = node.clone();
-        tokio::spawn(async move { deliver(&node, term, message).await });
+        tokio::spawn(async move { deliver_direct_message(&node, term, message).await });
     }
 }
 
-async fn deliver(node: &Node, term: u64, message: DirectMessage) {
+async fn deliver_direct_message(node: &Controller, term: u64, message: DirectMessage) {
     let body = DirectCommands {
         token: term,
-        session: message.session,
+        session: message.incarnation,
         commands: message.commands.clone(),
     };
     let url = format!("http://{}/orders", message.endpoint);
@@ -159,39 +162,40 @@
     // the message was made up.
     let result = if node.may_command() {
         let post = warp::http::Method::POST;
-        let keep = !node.sockets.few();
+        let keep = !node.connection_limits.is_low();
         node.http.send(post, &url, Some(&body), timeout, keep).await
     } else {
-        Err(NoAnswer::NotSent)
+        Err(RequestError::NotSent)
     };
     let report = match &result {
         Ok((status, bytes)) if status.as_u16() == 200 || status.as_u16() == 409 => {
-            serde_json::from_slice::<Report>(bytes).ok()
+            serde_json::from_slice::<Heartbeat>(bytes).ok()
         }
         _ => None,
     };
     let now = node.now();
     let mut deposed = None;
     {
-        let mut lead = node.lock(&node.lead);
+        let mut lead = node.lock(&node.leadership);
         let Some(lead) = lead.as_mut().filter(|l| l.term == term) else {
             return;
         };
         let Some(cluster) = lead.cluster.as_mut() else {
             return;
         };
-        let never_sent = matches!(result, Err(NoAnswer::NotSent));
-        cluster.direct_done(&message, report.is_some(), never_sent, now);
+        let never_sent = matches!(result, Err(RequestError::NotSent));
+        cluster.record_direct_message_result(&message, report.is_some(), never_sent, now);
         if let Some(report) = &report
             && report.machine == message.worker
-            && let Verdict::Deposed(term) = cluster.on_direct(now, &message, report)
+            && let HeartbeatOutcome::Deposed(term) =
+                cluster.apply_direct_reply(now, &message, report)
         {
             deposed = Some(term);
         }
     }
     if let Some(term) = deposed {
-        node.hear_of(term, None);
+        node.observe_term(term, None);
     }
-    node.wake.notify_one();
-    node.wake_finish.notify_one();
+    node.wake_scheduler.notify_one();
+    node.wake_completions.notify_one();
 }
--- a/crates/tallygauge/tests/golden.rs
+++ b/crates/tallygauge/tests/golden.rs
@@ -8,15 +8,18 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::Value;
 use tallygauge::{
-    controller::{batch_key, open_key, over_key, page_key},
-    deadline_settings::{Calendar, Cutoff, RankEntry, Ranks},
-    operator_settings::{Floor, Tuning, Weights, Worth},
+    controller::{active_job_key, completion_page_key, placement_batch_key, terminal_job_key},
+    deadline_settings::{CutoffEntry, CutoffSettings, RankEntry, RankSettings},
+    operator_settings::{
+        LocalitySettings, MinimumShareSettings, OperatorSettings, UtilitySettings,
+    },
     settings::Settings,
-    user_api::{OpenRecord, OverRecord},
+    user_api::{ActiveJobRecord, TerminalJobRecord},
 };
-use tallygauge_records::{Found, Record, name_of, read, value_of};
+use tallygauge_records::{Record, StoredRecord, decode, encode, record_name};
 use tallygauge_scheduler::{
-    BatchRecord, CalendarBook, FloorRecord, ImagesPart, Ledger, PageRecord,
+    CalendarBook, CompletionPageRecord, FloorRecord, ImagesPart, PlacementBatchRecord,
+    PriorityRules,
 };
 
 /// Reads a record with its type, and writes it again.
@@ -28,31 +31,31 @@
 }
 
 fn kept<T: Record>(value: Value) -> Value {
-    match read::<T>(Some(value)) {
-        Found::Read(record, at) => value_of(&record, at).unwrap(),
-        other => panic!("{}: {:?}", T::NAME, other.complaint()),
+    match decode::<T>(Some(value)) {
+        StoredRecord::Readable(record, at) => encode(&record, at).unwrap(),
+        other => panic!("{}: {:?}", T::NAME, other.problem()),
     }
 }
 
 fn kept_key<T: Record>(part: Option<usize>) -> String {
-    format!("s/{}", name_of::<T>(part))
+    format!("s/{}", record_name::<T>(part))
 }
 
 #[test]
 fn stored_records_are_read_and_written_unchanged_under_their_keys() {
     let types: Vec<(String, Rewrite)> = vec![
-        (open_key("req-1"), plain::<OpenRecord>),
-        (open_key("req-2"), plain::<OpenRecord>),
-        (over_key("req-8"), plain::<OverRecord>),
-        (over_key("req-9"), plain::<OverRecord>),
-        (page_key(0), plain::<PageRecord>),
-        (batch_key("2-1"), plain::<BatchRecord>),
-        (batch_key("2-2"), plain::<BatchRecord>),
+        (active_job_key("req-1"), plain::<ActiveJobRecord>),
+        (active_job_key("req-2"), plain::<ActiveJobRecord>),
+        (terminal_job_key("req-8"), plain::<TerminalJobRecord>),
+        (terminal_job_key("req-9"), plain::<TerminalJobRecord>),
+        (completion_page_key(0), plain::<CompletionPageRecord>),
+        (placement_batch_key("2-1"), plain::<PlacementBatchRecord>),
+        (placement_batch_key("2-2"), plain::<PlacementBatchRecord>),
         (kept_key::<FloorRecord>(None), kept::<FloorRecord>),
         (kept_key::<ImagesPart>(Some(0)), kept::<ImagesPart>),
         (kept_key::<CalendarBook>(None), kept::<CalendarBook>),
-        (kept_key::<Ledger>(None), kept::<Ledger>),
-        (kept_key::<Calendar>(None), kept::<Calendar>),
+        (kept_key::<PriorityRules>(None), kept::<PriorityRules>),
+        (kept_key::<CutoffSettings>(None), kept::<CutoffSettings>),
     ];
     let lines: Vec<&str> = include_str!("golden/records.txt").lines().collect();
     assert_eq!(lines.len(), types.len());
@@ -66,32 +69,32 @@
 
 #[test]
 fn every_element_of_the_operators_settings_is_read() {
-    let expected = Tuning {
+    let expected = OperatorSettings {
         round_interval: 11.0,
-        round_gap: 0.06,
-        remaining_floor: 6.0,
-        worth: Worth {
+        min_round_interval: 0.06,
+        min_remaining: 6.0,
+        utility: UtilitySettings {
             low: 1.5,
             normal: 2.5,
             high: 8.5,
             production: 16.5,
         },
-        late_worth: 0.2,
+        late_utility: 0.2,
         idle_wait: 1.75,
         rent_horizon: 1.25,
-        floor: Floor {
+        minimum_share: MinimumShareSettings {
             share: 0.7,
-            begin_within: 250.0,
+            start_within: 250.0,
         },
-        weights: Weights {
+        locality: LocalitySettings {
             replica_risk: 61.0,
             remember_from: 1.5,
         },
-        calendar: Calendar {
+        cutoffs: CutoffSettings {
             version: 4,
-            act_on_drawn: true,
+            act_on_inferred: true,
             holiday: vec!["2026-12-25".into()],
-            cutoff: vec![Cutoff {
+            cutoff: vec![CutoffEntry {
                 name: "lectures".into(),
                 zone: "Asia/Seoul".into(),
                 days: "month-end".into(),
@@ -103,7 +106,7 @@
                 teams: "red blue".into(),
             }],
         },
-        ledger: Ranks {
+        ranks: RankSettings {
             version: 3,
             rank: vec![
                 RankEntry {
@@ -121,27 +124,32 @@
             ],
         },
     };
-    let read = Tuning::parse(include_str!("golden/settings.xml"));
+    let read = OperatorSettings::parse(include_str!("golden/settings.xml"));
     assert_eq!(read, Ok(expected));
 }
 
 #[test]
 fn every_field_of_the_platforms_settings_is_read() {
     let settings = Settings::parse(include_str!("golden/settings.json")).unwrap();
-    assert_eq!((&*settings.node_name, &*settings.area), ("n-0", "a"));
+    assert_eq!((&*settings.node_name, &*settings.zone), ("n-0", "a"));
     assert_eq!(settings.client_listen.port(), 7080);
-    assert_eq!(settings.back.port(), 7081);
+    assert_eq!(settings.peer_listen.port(), 7081);
     assert_eq!(settings.peers.len(), 1);
     let peer = &settings.peers[0];
     assert_eq!((&*peer.node_name, peer.addr.port()), ("n-1", 7181));
     assert_eq!(settings.services.cloud.port(), 7001);
-    assert_eq!(settings.services.state.port(), 7002);
+    assert_eq!(settings.services.store.port(), 7002);
 
     let deployment = &settings.deployment;
     assert_eq!(deployment.count, 3);
     let teams = deployment.teams.iter();
     let teams: Vec<(&str, [f64; 4])> = teams
-        .map(|t| (&*t.name, [t.cpus, t.cpus_max, t.gpus, t.gpus_max]))
+        .map(|t| {
+            (
+                &*t.name,
+                [t.guaranteed_cpus, t.max_cpus, t.guaranteed_gpus, t.max_gpus],
+            )
+        })
         .collect();
     assert_eq!(
         teams,
@@ -149,7 +157,7 @@
     );
     let objectives = deployment.objectives.iter();
     let objectives: Vec<_> = objectives
-        .map(|o| (&*o.kind, o.class.as_deref(), o.within_s, o.times))
+        .map(|o| (&*o.kind, o.class.as_deref(), o.within_s, o.deadline_factor))
         .collect();
     assert_eq!(
         objectives,
@@ -159,14 +167,23 @@
         ]
     );
     let workers = &deployment.workers;
-    let times = (workers.report_s, workers.lease_s, workers.cancel_s);
+    let times = (
+        workers.heartbeat_interval_s,
+        workers.lease_s,
+        workers.cancel_timeout_s,
+    );
     assert_eq!(times, (1.0, 10.0, 20.0));
-    let state = &deployment.state;
-    let limits = (state.rps, state.write_rps, state.value_kb, state.txn_ops);
+    let state = &deployment.store;
+    let limits = (
+        state.rps,
+        state.writes_per_s,
+        state.max_value_kib,
+        state.max_writes_per_transaction,
+    );
     assert_eq!(limits, (100.0, 50.0, 8.0, 16));
     let cloud = &deployment.cloud;
     assert_eq!((cloud.rps, cloud.list_lag_s), (4.0, 2.0));
-    let quota = &deployment.quota;
-    let process = (quota.cores, quota.memory_mb, quota.sockets);
+    let quota = &deployment.resource_limits;
+    let process = (quota.cores, quota.memory_mb, quota.connections);
     assert_eq!(process, (0.5, 128.0, 200));
 }
