--- a/crates/tallygauge-scheduler/src/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
@@ -4,6 +4,8 @@
 //! Users' urgency and teams' guarantees alone decide what may be stopped; this
 //! decides the order among what waits.
 
+pub(crate) mod state;
+
 use crate::{cluster_state::ClusterState, model::*};
 use std::collections::BTreeMap;
 use tallygauge_deadlines::{
--- a/crates/tallygauge-scheduler/src/cluster_state.rs
+++ b/crates/tallygauge-scheduler/src/cluster_state.rs
@@ -1,10 +1,10 @@
 //! The leader's picture of jobs, workers and teams.
 
 use crate::{
-    completion_pages::CompletionPages,
-    model::*,
-    parts::{BatchDeadlines, DemandHistory, MinimumShare, ReconciliationCursor, StartDeadlines},
-    range_set::RangeSet,
+    batch_deadlines::state::BatchDeadlines, completion_pages::CompletionPages,
+    demand_history::DemandHistory, minimum_share::state::MinimumShare, model::*,
+    range_set::RangeSet, reconciliation::state::ReconciliationCursor,
+    start_deadline::state::StartDeadlines,
 };
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
--- a/crates/tallygauge-scheduler/src/mapping/ordering.rs
+++ b/crates/tallygauge-scheduler/src/mapping/ordering.rs
@@ -1,11 +1,13 @@
-//! What comes first.
+//! Orders of what a round looks at: pending tasks, and slots in a heap.
 
 use std::cmp::Ordering;
 
-/// What comes first: work within its guarantee, then UPT, then age.
+/// Order in which pending tasks are placed: tasks within their team's guarantee
+/// first, then by utility per time, then by age. The greatest is placed first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct PlacementOrder {
     pub(crate) within_guarantee: bool,
+    /// Utility per time, in 1/s.
     pub(crate) upt: f64,
     pub(crate) accepted_at: f64,
 }
@@ -27,24 +29,27 @@
     }
 }
 
-/// A number that orders slots, least first in a heap, with where it leads.
+/// A slot and its cost. The order is reversed, so that a heap yields the cheapest
+/// slot first.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Entry {
+pub(super) struct SlotCost {
     pub(super) cost: f64,
+    /// Index into the round's slots.
     pub(super) slot: usize,
-    /// The slot's count of changes when this was worked out.
+    /// The slot's version when the cost was computed; a later one means that the
+    /// cost is stale.
     pub(super) version: u32,
 }
 
-impl Eq for Entry {}
+impl Eq for SlotCost {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for SlotCost {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for SlotCost {
     fn cmp(&self, other: &Self) -> Ordering {
         other
             .cost
--- a/crates/tallygauge-scheduler/src/mapping/preemption.rs
+++ b/crates/tallygauge-scheduler/src/mapping/preemption.rs
@@ -1,226 +1,255 @@
-//! Room that is made: which running tasks are stopped for one that waits.
+//! Preemption: which running attempts are stopped for a pending task.
 
 use super::{
-    ordering::Entry,
-    round::{PendingGroup, Round},
+    ordering::SlotCost,
+    round_state::{PendingGroup, Round, SlotStop, Victim},
 };
-use crate::model::*;
-use std::collections::BinaryHeap;
+use crate::{cluster_state::ClusterState, model::*};
+use std::collections::{BinaryHeap, HashSet};
 use tallygauge_protocol::{users::Shape, workers::TaskState};
 
-/// A running task that may be stopped.
+/// What a pending task would gain on a slot.
 #[derive(Clone, Copy)]
-pub(super) struct Victim<'a> {
-    upt: f64,
-    held: &'a Attempt,
-    team: usize,
-    within: bool,
+struct ExpectedGain {
+    utility: f64,
+    /// Seconds until its end.
+    time_s: f64,
+}
+
+impl ClusterState {
+    /// Whether an attempt may be preempted at all: it runs, it saves checkpoints,
+    /// and its job has no priority itself.
+    fn is_preemptible(&self, attempt: &Attempt) -> bool {
+        attempt.stop.is_none()
+            && attempt.phase == AttemptPhase::Observed(TaskState::Running)
+            && attempt.spec.checkpoint_every_s > 0.0
+            && attempt.spec.shape == Shape::Array
+            && !self.minimum_share.claims.contains_key(&attempt.spec.id)
+            && !self.is_protected_start(attempt)
+    }
+
+    /// The attempts on a worker that may be preempted, lowest utility per time
+    /// first.
+    fn victims_on<'a>(
+        &self,
+        worker: &'a Worker,
+        within_guarantee: &HashSet<&str>,
+        now: f64,
+    ) -> Vec<Victim<'a>> {
+        let preemptible = worker.attempts.iter().filter(|a| self.is_preemptible(a));
+        let mut victims: Vec<Victim> = preemptible
+            .filter_map(|attempt| {
+                Some(Victim {
+                    upt: self.upt_running(attempt, now),
+                    attempt,
+                    team: self.config.team_index(&attempt.spec.team)?,
+                    within_guarantee: within_guarantee.contains(attempt.spec.id.as_str()),
+                })
+            })
+            .collect();
+        victims.sort_by(|a, b| {
+            let by_upt = a.upt.total_cmp(&b.upt);
+            by_upt.then(a.attempt.number.cmp(&b.attempt.number))
+        });
+        victims
+    }
 }
 
 impl<'a> Round<'a> {
-    /// Everything that may be stopped at all: running tasks that save, and of
-    /// these not what comes first for a class or team that is behind.
+    /// Fills in the victims of all slots.
     pub(super) fn find_victims(&mut self) {
-        let within = self.cluster.jobs_within_guarantee();
-        for s in &mut self.slots {
-            s.victims = s
-                .worker
-                .attempts
-                .iter()
-                .filter(|h| {
-                    h.stop.is_none() && h.phase == AttemptPhase::Observed(TaskState::Running)
-                })
-                .filter(|h| h.spec.checkpoint_every_s > 0.0 && h.spec.shape == Shape::Array)
-                .filter(|h| !self.cluster.minimum_share.claims.contains_key(&h.spec.id))
-                .filter(|h| !self.cluster.is_protected_start(h))
-                .filter_map(|held| {
-                    Some(Victim {
-                        upt: self.cluster.upt_running(held, self.now),
-                        held,
-                        team: self.cluster.config.team_index(&held.spec.team)?,
-                        within: within.contains(held.spec.id.as_str()),
-                    })
-                })
-                .collect();
-            for victim in &s.victims {
-                let kind = (victim.held.spec.priority, victim.team);
-                let least = self.victim_groups.entry(kind).or_insert(f64::MAX);
-                *least = least.min(victim.upt);
+        let within_guarantee = self.cluster.jobs_within_guarantee();
+        for slot in &mut self.slots {
+            slot.victims = self
+                .cluster
+                .victims_on(slot.worker, &within_guarantee, self.now);
+            for victim in &slot.victims {
+                let group = (victim.attempt.spec.priority, victim.team);
+                let min_upt = self.victim_groups.entry(group).or_insert(f64::MAX);
+                *min_upt = min_upt.min(victim.upt);
             }
-            let order = |v: &Victim| (v.upt, v.held.number);
-            s.victims.sort_by(|a, b| {
-                let (a, b) = (order(a), order(b));
-                a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))
-            });
         }
     }
 
-    /// Whether a team has more than its guarantee, counting out what stops.
-    fn exceeds_guarantee(&self, team: usize) -> bool {
-        let (guarantee, used, less) = (
-            &self.cluster.config.teams[team],
-            &self.quota_usage[team],
-            &self.quota_being_released[team],
-        );
-        used.cpus - less.cpus > guarantee.guaranteed_cpus + EPSILON
-            || used.gpus - less.gpus > guarantee.guaranteed_gpus + EPSILON
+    /// Whether a team uses more than its guarantee, without what is being stopped.
+    fn exceeds_guarantee(&self, team_index: usize) -> bool {
+        let team = &self.cluster.config.teams[team_index];
+        let usage = &self.quota_usage[team_index];
+        let released = &self.quota_being_released[team_index];
+        usage.cpus - released.cpus > team.guaranteed_cpus + EPSILON
+            || usage.gpus - released.gpus > team.guaranteed_gpus + EPSILON
     }
 
-    /// The victims on a slot that would make room for a task of the group, and
-    /// the UPT that they cost.
-    fn preemption_cost(&self, waiting: &PendingGroup, slot: usize) -> Option<f64> {
-        let s = &self.slots[slot];
-        let spec = &waiting.group.job.spec;
-        if s.victims.is_empty() || !self.allowed(waiting.at, slot) {
+    /// Utility per time of the victims that would be preempted on a slot for a task
+    /// of the group; `None` if that would not free enough.
+    fn preemption_cost(&self, pending: &PendingGroup, slot_index: usize) -> Option<f64> {
+        let slot = &self.slots[slot_index];
+        let spec = &pending.group.job.spec;
+        if slot.victims.is_empty() || !self.is_allowed(pending.job_index, slot_index) {
             return None;
         }
-        let (worth, time) = self.utility_and_time(waiting, slot);
-        let (mut would, mut cost) = (s.available_after_preemption, 0.0);
-        for victim in &s.victims {
-            if would.can_fit(spec) {
+        let gain = self.expected_gain(pending, slot_index);
+        let mut available = slot.available_after_preemption;
+        let mut cost = 0.0;
+        for victim in &slot.victims {
+            if available.can_fit(spec) {
                 break;
             }
-            if self.may_preempt(waiting, victim, worth, time) {
-                would.add_scaled(&victim.held.spec, 1.0);
+            if self.may_preempt(pending, victim, gain) {
+                available.add_scaled(&victim.attempt.spec, 1.0);
                 cost += victim.upt;
             }
         }
-        would.can_fit(spec).then_some(cost)
+        available.can_fit(spec).then_some(cost)
     }
 
-    /// Worth of a task of the group on a slot, and the time until its end.
-    fn utility_and_time(&self, waiting: &PendingGroup, slot: usize) -> (f64, f64) {
-        let group = &waiting.group;
-        let saved = group.checkpoint_on(&self.types[self.slots[slot].type_index].name);
-        let time = self.time_on(waiting.at, saved, slot);
-        (self.cluster.utility(group.job, self.now + time * 0.5), time)
+    fn expected_gain(&self, pending: &PendingGroup, slot_index: usize) -> ExpectedGain {
+        let group = &pending.group;
+        let machine_type = self.types[self.slots[slot_index].type_index];
+        let checkpointed_s = group.checkpoint_on(&machine_type.name);
+        let time_s = self.completion_time_s(pending.job_index, checkpointed_s, slot_index);
+        ExpectedGain {
+            utility: self.cluster.utility(group.job, self.now + time_s * 0.5),
+            time_s,
+        }
     }
 
-    fn may_preempt(&self, waiting: &PendingGroup, victim: &Victim, worth: f64, time: f64) -> bool {
-        let job = waiting.group.job;
-        let ours = victim.team == job.team;
-        let borrowed = self.exceeds_guarantee(victim.team);
-        // The cost of saving is part of the newcomer's time.
-        let newcomer = worth / (time + victim.held.spec.checkpoint_s);
-        let protected = !ours && (victim.within || !borrowed);
-        let lower = victim.held.spec.priority < job.spec.priority && victim.upt < newcomer;
-        let reclaim = self.jobs[waiting.at].within_guarantee && !ours && borrowed && !victim.within;
-        !protected && (lower || reclaim)
+    /// Whether a victim may be preempted for a task of the group: it has a lower
+    /// priority and a lower utility per time, or it runs beyond its team's guarantee
+    /// while the task is within its own team's.
+    fn may_preempt(&self, pending: &PendingGroup, victim: &Victim, gain: ExpectedGain) -> bool {
+        let job = pending.group.job;
+        let is_same_team = victim.team == job.team;
+        let is_borrowing = self.exceeds_guarantee(victim.team);
+        // The victim writes a checkpoint first.
+        let upt = gain.utility / (gain.time_s + victim.attempt.spec.checkpoint_s);
+        let is_protected = !is_same_team && (victim.within_guarantee || !is_borrowing);
+        let is_lower = victim.attempt.spec.priority < job.spec.priority && victim.upt < upt;
+        let reclaims_guarantee = self.jobs[pending.job_index].within_guarantee
+            && !is_same_team
+            && is_borrowing
+            && !victim.within_guarantee;
+        !is_protected && (is_lower || reclaims_guarantee)
     }
 
-    /// Whether anything at all may be stopped for the group: what it would gain
-    /// at best is compared with the least that is there.
-    pub(super) fn any_preemptible(&self, waiting: &PendingGroup) -> bool {
-        let (job, entitled) = (waiting.group.job, self.jobs[waiting.at].within_guarantee);
-        let most = self.best_utility_per_time(waiting);
+    /// Whether any victim at all may be preempted for the group, by the highest
+    /// utility per time that it can reach.
+    pub(super) fn has_preemptible(&self, pending: &PendingGroup) -> bool {
+        let job = pending.group.job;
+        let within_guarantee = self.jobs[pending.job_index].within_guarantee;
+        let max_upt = self.max_upt(pending);
         self.victim_groups.iter().any(|(&(priority, team), upt)| {
-            (priority < job.spec.priority && *upt < most)
-                || (entitled && team != job.team && self.exceeds_guarantee(team))
+            (priority < job.spec.priority && *upt < max_upt)
+                || (within_guarantee && team != job.team && self.exceeds_guarantee(team))
         })
     }
 
-    /// UPT that the group's tasks can't exceed on any machine: full worth over
-    /// what is left to run.
-    fn best_utility_per_time(&self, waiting: &PendingGroup) -> f64 {
-        let saved = waiting.group.resumable.map_or(0.0, |r| r.checkpointed_s);
-        let left = self.remaining(waiting.at, saved);
-        self.cluster.utility(waiting.group.job, self.now) / left
+    /// Utility per time that the group's tasks can't exceed on any machine: the full
+    /// utility over what is left to run.
+    fn max_upt(&self, pending: &PendingGroup) -> f64 {
+        let remaining_s = self.remaining_s(pending.job_index, pending.group.checkpointed_s());
+        self.cluster.utility(pending.group.job, self.now) / remaining_s
     }
 
-    /// Finds room that is being made for tasks of the group, or stops running
-    /// tasks to make it: those of lower priority and lower UPT, and work that
-    /// another team runs beyond its guarantee where the task is within its
-    /// own; least UPT first. Once a round for all that waits of a job.
-    pub(super) fn preempt_for(&mut self, waiting: &PendingGroup<'a>, headroom: usize) {
-        let (at, job) = (waiting.at, waiting.group.job);
-        let spec = &job.spec;
-        if std::mem::replace(&mut self.jobs[at].preemption_tried, true) {
+    /// Reserves slots that are being freed for tasks of the group, and preempts
+    /// running attempts for those still without one, cheapest first. `headroom` is
+    /// how many tasks the team's limit allows. Done once a round for all pending
+    /// tasks of a job.
+    pub(super) fn preempt_for(&mut self, pending: &PendingGroup<'a>, headroom: usize) {
+        let job_index = pending.job_index;
+        if std::mem::replace(&mut self.jobs[job_index].preemption_tried, true) {
             return;
         }
-        let ready = job.resumable.values();
-        let ready = ready.filter(|r| r.not_before <= self.now).count();
-        let resumed = self.jobs[at].resumed;
-        let mut need = (self.unplaced(at) + ready - resumed).min(headroom);
+        let mut needed = self.waiting_tasks(job_index).min(headroom);
         for slot in self.slots_being_freed.clone() {
-            while need > 0
-                && self.slots[slot].available_after_preemption.can_fit(spec)
-                && self.allowed(at, slot)
-            {
-                self.reserve_freed_slot(job, slot);
-                need -= 1;
-            }
-        }
-        if need == 0 {
-            return;
+            self.reserve_freed_slot(job_index, slot, &mut needed);
         }
-        if !self.any_preemptible(waiting) {
+        if needed == 0 || !self.has_preemptible(pending) {
             return;
         }
-        let mut heap: BinaryHeap<Entry> = (0..self.slots.len())
-            .filter_map(|slot| {
-                let cost = self.preemption_cost(waiting, slot)?;
-                let version = self.slots[slot].version;
-                Some(Entry {
-                    cost,
-                    slot,
-                    version,
-                })
-            })
-            .collect();
-        while need > 0 {
+        let mut heap = self.slots_by_preemption_cost(pending);
+        while needed > 0 {
             let Some(best) = heap.pop() else { return };
-            // Since it was priced, its team may have come down to its guarantee.
-            let Some(cost) = self.preemption_cost(waiting, best.slot) else {
+            // Since it was priced, the victims' team may have come down to its
+            // guarantee.
+            let Some(cost) = self.preemption_cost(pending, best.slot) else {
                 continue;
             };
             if cost > best.cost {
-                heap.push(Entry { cost, ..best });
+                heap.push(SlotCost { cost, ..best });
                 continue;
             }
-            self.preempt_on(waiting, best.slot);
-            while need > 0
-                && self.slots[best.slot]
-                    .available_after_preemption
-                    .can_fit(spec)
-                && self.allowed(at, best.slot)
-            {
-                self.reserve_freed_slot(job, best.slot);
-                need -= 1;
-            }
-            if let Some(cost) = self.preemption_cost(waiting, best.slot) {
-                heap.push(Entry { cost, ..best });
+            self.preempt_on(pending, best.slot);
+            self.reserve_freed_slot(job_index, best.slot, &mut needed);
+            if let Some(cost) = self.preemption_cost(pending, best.slot) {
+                heap.push(SlotCost { cost, ..best });
             }
         }
     }
 
-    /// Room that is being made is kept for a task of the job.
-    fn reserve_freed_slot(&mut self, job: &'a Job, slot: usize) {
-        self.slots[slot]
-            .available_after_preemption
-            .add_scaled(&job.spec, -1.0);
-        self.quota_usage[job.team].add_scaled(&job.spec, 1.0);
+    /// Tasks of the job that may start now and are not placed.
+    fn waiting_tasks(&self, job_index: usize) -> usize {
+        let entry = &self.jobs[job_index];
+        let resumables = entry.job.resumable.values();
+        let ready = resumables.filter(|r| r.not_before <= self.now).count();
+        self.unplaced(job_index) + ready - entry.resumables_placed
+    }
+
+    fn slots_by_preemption_cost(&self, pending: &PendingGroup) -> BinaryHeap<SlotCost> {
+        let costs = (0..self.slots.len()).filter_map(|slot| {
+            Some(SlotCost {
+                cost: self.preemption_cost(pending, slot)?,
+                slot,
+                version: self.slots[slot].version,
+            })
+        });
+        costs.collect()
     }
 
-    fn preempt_on(&mut self, waiting: &PendingGroup<'a>, slot: usize) {
-        let spec = &waiting.group.job.spec;
-        let (worth, time) = self.utility_and_time(waiting, slot);
-        let mut at = 0;
-        while at < self.slots[slot].victims.len()
-            && !self.slots[slot].available_after_preemption.can_fit(spec)
+    /// Reserves what is being freed on a slot for as many of the `needed` tasks as
+    /// fit, and counts them off.
+    fn reserve_freed_slot(&mut self, job_index: usize, slot_index: usize, needed: &mut usize) {
+        let job = self.jobs[job_index].job;
+        while *needed > 0
+            && self.slots[slot_index]
+                .available_after_preemption
+                .can_fit(&job.spec)
+            && self.is_allowed(job_index, slot_index)
         {
-            let victim = self.slots[slot].victims[at];
-            if !self.may_preempt(waiting, &victim, worth, time) {
-                at += 1;
+            self.slots[slot_index]
+                .available_after_preemption
+                .add_scaled(&job.spec, -1.0);
+            self.quota_usage[job.team].add_scaled(&job.spec, 1.0);
+            *needed -= 1;
+        }
+    }
+
+    /// Preempts victims on a slot until a task of the group fits.
+    fn preempt_on(&mut self, pending: &PendingGroup<'a>, slot_index: usize) {
+        let spec = &pending.group.job.spec;
+        let gain = self.expected_gain(pending, slot_index);
+        let mut next = 0;
+        while next < self.slots[slot_index].victims.len()
+            && !self.slots[slot_index]
+                .available_after_preemption
+                .can_fit(spec)
+        {
+            let victim = self.slots[slot_index].victims[next];
+            if !self.may_preempt(pending, &victim, gain) {
+                next += 1;
                 continue;
             }
-            self.slots[slot].victims.remove(at);
-            self.slots[slot]
-                .available_after_preemption
-                .add_scaled(&victim.held.spec, 1.0);
-            self.quota_being_released[victim.team].add_scaled(&victim.held.spec, 1.0);
-            self.stops
-                .push((slot, victim.held.number, spec.id.as_str()));
+            let slot = &mut self.slots[slot_index];
+            slot.victims.remove(next);
+            slot.available_after_preemption
+                .add_scaled(&victim.attempt.spec, 1.0);
+            self.quota_being_released[victim.team].add_scaled(&victim.attempt.spec, 1.0);
+            self.stops.push(SlotStop {
+                slot: slot_index,
+                attempt: victim.attempt.number,
+                preemptor: spec.id.as_str(),
+            });
         }
-        self.slots_being_freed.insert(slot);
+        self.slots_being_freed.insert(slot_index);
     }
 }
--- a/crates/tallygauge-scheduler/src/mapping/round.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round.rs
@@ -1,563 +1,331 @@
-//! One round: the greatest UPT first, until nothing that waits fits.
+//! The phases of a scheduling round: overdue first tasks, then jobs with a
+//! priority claim, then all others by utility per time.
 
 use super::{
-    Group,
-    candidates::{CandidateIndex, ExhaustedRequest},
+    candidates::BestSlot,
     ordering::PlacementOrder,
-    preemption::Victim,
-};
-use crate::{
-    cluster_state::{ClusterState, QuotaUsage},
-    image_locality::is_replicated,
-    model::*,
-    parts::{PriorityClaim, Reservation},
+    round_state::{PendingGroup, Round},
 };
+use crate::model::Resources;
 use std::{
-    borrow::Cow,
     cmp::Ordering,
     collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque},
 };
-use tallygauge_protocol::{cloud::MachineType, users::Priority};
-
-/// A start that a round decided on: job, task, progress, worker.
-pub(super) type PlannedStart = (String, u32, f64, String);
-/// A stop that a round decided on: worker, attempt, for which job.
-pub(super) type PlannedStop = (String, u64, String);
 
-/// A group that waits, and the place of its job among the round's, which are in
-/// the order of their ids.
-#[derive(Clone, Copy)]
-pub(super) struct PendingGroup<'a> {
-    pub(super) group: Group<'a>,
-    pub(super) at: usize,
-}
+/// Differences of utility per time up to this are rounding errors.
+const UPT_TOLERANCE: f64 = 1e-12;
 
-/// A group with the UPT that its next task may reach. Of equals the first by id
-/// and number of the task comes first.
-struct Candidate<'a> {
-    rank: PlacementOrder,
-    waiting: PendingGroup<'a>,
-    index: u32,
+/// A group and the place that its next task may reach in the order. Of equals, the
+/// first by job id and number of the task is first.
+struct QueuedGroup<'a> {
+    order: PlacementOrder,
+    pending: PendingGroup<'a>,
+    /// Number of a resumable task; the greatest number for other tasks.
+    task: u32,
 }
 
-impl PartialEq for Candidate<'_> {
+impl PartialEq for QueuedGroup<'_> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Candidate<'_> {}
+impl Eq for QueuedGroup<'_> {}
 
-impl PartialOrd for Candidate<'_> {
+impl PartialOrd for QueuedGroup<'_> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Candidate<'_> {
+impl Ord for QueuedGroup<'_> {
     fn cmp(&self, other: &Self) -> Ordering {
-        let rank = self.rank.cmp(&other.rank);
-        rank.then_with(|| other.waiting.at.cmp(&self.waiting.at))
-            .then_with(|| other.index.cmp(&self.index))
+        let order = self.order.cmp(&other.order);
+        order
+            .then_with(|| other.pending.job_index.cmp(&self.pending.job_index))
+            .then_with(|| other.task.cmp(&self.task))
     }
 }
 
-/// A job with tasks that wait, and what the round keeps of it.
-pub(super) struct JobInRound<'a> {
-    pub(super) job: &'a Job,
-    pub(super) within_guarantee: bool,
-    /// On whose behalf it comes first, if it does.
-    pub(super) claim: Option<PriorityClaim>,
-    /// It is to begin with one task, in which order.
-    pub(super) start_order: Option<u32>,
-    /// Run time of a whole task, as far as known.
-    whole_s: f64,
-    pub(super) candidates: Option<CandidateIndex>,
-    /// Where its tasks are, if that matters and it has starts.
-    pub(super) zones: Option<BTreeMap<String, u32>>,
-    /// Replicas placed in this round, by slot.
-    pub(super) replicas_placed: BTreeMap<usize, u32>,
-    /// Tasks taken from its waiting ones.
-    pub(super) taken: usize,
-    /// Tasks placed with something of their own.
-    pub(super) resumed: usize,
-    /// Room was made for it, or can't be.
-    pub(super) preemption_tried: bool,
+/// A group whose job has a priority claim, and the job's place among those of its
+/// class.
+struct ClaimedGroup<'a> {
+    order: u32,
+    pending: PendingGroup<'a>,
 }
 
-/// A usable worker during a round.
-pub(super) struct WorkerSlot<'a> {
-    pub(super) worker: &'a Worker,
-    pub(super) type_index: usize,
-    pub(super) zone_index: usize,
-    pub(super) free_resources: Resources,
-    /// The room there will be when all stops are confirmed.
-    pub(super) available_after_preemption: Resources,
-    pub(super) tasks: usize,
-    pub(super) images: Cow<'a, ImageCache>,
-    pub(super) version: u32,
-    /// Set aside for jobs that come first.
-    pub(super) reservation: Option<Reservation>,
-    /// Set aside for tasks of so many CPUs at least of jobs that are to begin.
-    pub(super) start_reservation: Option<f64>,
-    /// What may be stopped, least UPT first.
-    pub(super) victims: Vec<Victim<'a>>,
+/// Key of a queue of claimed groups; claims for the minimum share are first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ClaimQueueKey {
+    beyond_min_share: bool,
+    /// The class or team on whose behalf the claims are.
+    group: usize,
 }
 
-struct Start<'a> {
-    group: Group<'a>,
-    index: u32,
-    slot: usize,
-}
-
-/// One round on the picture as it stands.
-pub(super) struct Round<'a> {
-    pub(super) cluster: &'a ClusterState,
-    pub(super) now: f64,
-    pub(super) types: Vec<&'a MachineType>,
-    /// Zones of usable machines.
-    pub(super) zones: Vec<&'a str>,
-    pub(super) largest: f64,
-    pub(super) contended: f64,
-    /// Jobs with tasks that wait.
-    pub(super) jobs: Vec<JobInRound<'a>>,
-    /// Usable workers, by name.
-    pub(super) slots: Vec<WorkerSlot<'a>>,
-    /// Slots changed by this round, in order.
-    pub(super) touched_slots: Vec<usize>,
-    /// Amounts that no machine has room for any more.
-    pub(super) exhausted: Vec<ExhaustedRequest>,
-    pub(super) quota_usage: Vec<QuotaUsage>,
-    /// CPUs and GPUs that each team will have given up when its stops are
-    /// confirmed.
-    pub(super) quota_being_released: Vec<QuotaUsage>,
-    /// CPUs used for jobs that come first, by class or team.
-    used: Vec<f64>,
-    /// CPUs that more of them may use on machines that are not set aside.
-    first_left: f64,
-    /// Slots on which room is being made.
-    pub(super) slots_being_freed: BTreeSet<usize>,
-    /// Least UPT of the victims of each priority and team.
-    pub(super) victim_groups: BTreeMap<(Priority, usize), f64>,
-    starts: Vec<Start<'a>>,
-    pub(super) stops: Vec<(usize, u64, &'a str)>,
-}
-
-/// CPUs that jobs which come first may yet use on machines that are not set
-/// aside.
-fn first_left(c: &ClusterState, slots: &[WorkerSlot], types: &[&MachineType]) -> f64 {
-    let size = |s: &WorkerSlot| types[s.type_index].cpus;
-    let all: f64 = slots.iter().map(size).sum();
-    let aside: f64 = slots
-        .iter()
-        .filter(|s| s.reservation.is_some())
-        .map(size)
-        .sum();
-    let first =
-        |h: &&Attempt| h.occupies_capacity() && c.minimum_share.claims.contains_key(&h.spec.id);
-    let used: f64 = slots
-        .iter()
-        .filter(|s| s.reservation.is_none())
-        .flat_map(|s| s.worker.attempts.iter().filter(first))
-        .map(|h| h.spec.cpus)
-        .sum();
-    all * c.minimum_share.machine_share - aside - used
-}
+type ClaimQueues<'a> = BTreeMap<ClaimQueueKey, VecDeque<ClaimedGroup<'a>>>;
 
 impl<'a> Round<'a> {
-    /// A round, and what waits in it. `groups` are in the order of their jobs.
-    pub(super) fn new(
-        c: &'a ClusterState,
-        now: f64,
-        groups: Vec<Group<'a>>,
-    ) -> (Self, Vec<PendingGroup<'a>>) {
-        let mut types: Vec<&MachineType> = c.machine_types.values().collect();
-        types.sort_by(|a, b| a.name.cmp(&b.name));
-        let mut slots = Vec::with_capacity(c.workers.len());
-        let usable = c
-            .workers
-            .values()
-            .filter(|w| w.accepts_work(now, &c.config));
-        let usable: Vec<&Worker> = usable.collect();
-        let sites: BTreeSet<&str> = usable.iter().map(|w| w.zone.as_str()).collect();
-        let sites: Vec<&str> = sites.into_iter().collect();
-        let mut leaving = vec![QuotaUsage::default(); c.config.teams.len()];
-        let mut making = BTreeSet::new();
-        for worker in usable {
-            let named = types.binary_search_by(|t| t.name.as_str().cmp(&worker.machine_type));
-            let Ok(of_type) = named else { continue };
-            let of_zone = sites.binary_search(&worker.zone.as_str()).unwrap_or(0);
-            let mut soon = worker.free_resources;
-            let stopping = |h: &&Attempt| h.stop.is_some() && h.occupies_capacity();
-            for held in worker.attempts.iter().filter(stopping) {
-                soon.add_scaled(&held.spec, 1.0);
-                making.insert(slots.len());
-                if let Some(team) = c.config.team_index(&held.spec.team) {
-                    leaving[team].add_scaled(&held.spec, 1.0);
-                }
-            }
-            slots.push(WorkerSlot {
-                worker,
-                type_index: of_type,
-                zone_index: of_zone,
-                free_resources: worker.free_resources,
-                available_after_preemption: soon,
-                tasks: worker.attempts.len(),
-                images: Cow::Borrowed(&worker.images),
-                version: 0,
-                reservation: c.minimum_share.reserved.get(&worker.name).copied(),
-                start_reservation: c.start_deadlines.reserved.get(&worker.name).copied(),
-                victims: Vec::new(),
-            });
-        }
-        let mut used = vec![0.0; c.minimum_share.service_counts.keys().len()];
-        for (id, seat) in &c.minimum_share.claims {
-            if let Some(job) = c.jobs.get(id) {
-                used[seat.group] += job.spec.cpus * job.attempts_by_task.len() as f64;
-            }
-        }
-        let first_left = if c.minimum_share.claims.is_empty() {
-            0.0
-        } else {
-            first_left(c, &slots, &types)
-        };
-        let contended = c.contended(&groups);
-        let within = c.jobs_within_guarantee();
-        let mut entrants: Vec<JobInRound> = Vec::new();
-        let mut waiting = Vec::with_capacity(groups.len());
-        for group in groups {
-            let job = group.job;
-            let same = entrants.last().is_some_and(|e| std::ptr::eq(e.job, job));
-            if !same {
-                entrants.push(JobInRound {
-                    job,
-                    within_guarantee: within.contains(job.spec.id.as_str()),
-                    claim: c.minimum_share.claims.get(&job.spec.id).copied(),
-                    start_order: c.start_claim_order(&job.spec.id),
-                    whole_s: c.expected_run_s(&job.spec),
-                    candidates: None,
-                    zones: None,
-                    replicas_placed: BTreeMap::new(),
-                    taken: 0,
-                    resumed: 0,
-                    preemption_tried: false,
-                });
-            }
-            let at = entrants.len() - 1;
-            waiting.push(PendingGroup { group, at });
-        }
-        let round = Self {
-            cluster: c,
-            now,
-            first_left,
-            used,
-            largest: types.iter().map(|t| t.cpus).fold(1.0, f64::max),
-            contended,
-            types,
-            zones: sites,
-            jobs: entrants,
-            slots,
-            touched_slots: Vec::new(),
-            exhausted: Vec::new(),
-            quota_usage: c.quota_usage.clone(),
-            quota_being_released: leaving,
-            slots_being_freed: making,
-            victim_groups: BTreeMap::new(),
-            starts: Vec::new(),
-            stops: Vec::new(),
-        };
-        (round, waiting)
-    }
-
-    /// Remaining run time of a task of a job that begins with `saved_s`.
-    pub(super) fn remaining(&self, at: usize, saved_s: f64) -> f64 {
-        (self.jobs[at].whole_s - saved_s).max(self.cluster.config.min_remaining_s)
-    }
-
-    /// UPT that a task of the group may reach at most.
-    pub(super) fn best_upt(&self, waiting: &PendingGroup) -> f64 {
-        let saved = waiting.group.resumable.map_or(0.0, |r| r.checkpointed_s);
-        let left = self.remaining(waiting.at, saved);
-        self.cluster
-            .ordering_utility(waiting.group.job, self.now + left * 0.5)
-            / left
-    }
-
-    fn best_possible(&self, waiting: &PendingGroup) -> PlacementOrder {
-        PlacementOrder {
-            within_guarantee: self.jobs[waiting.at].within_guarantee,
-            upt: self.best_upt(waiting),
-            accepted_at: waiting.group.job.accepted_at,
+    /// Decides what starts where, and what is preempted if `preempt` is set.
+    pub(super) fn run(&mut self, pending: Vec<PendingGroup<'a>>, preempt: bool) {
+        if preempt {
+            self.find_victims();
         }
+        // Free resources and victims only get less within a round: what can't be
+        // placed at its start can be left out.
+        let max_available = self.max_available_after_preemption();
+        let placeable = pending
+            .into_iter()
+            .filter(|p| max_available.can_fit(&p.group.job.spec) || self.has_preemptible(p));
+        let pending: Vec<PendingGroup> = placeable.collect();
+        let pending = self.run_overdue_starts(pending, preempt);
+        let pending = self.run_claims(pending, preempt);
+        self.run_by_upt(pending, preempt);
     }
 
-    /// How many more tasks of the job its team's limit allows.
-    fn headroom(&self, job: &Job) -> usize {
-        let (team, used) = (
-            &self.cluster.config.teams[job.team],
-            &self.quota_usage[job.team],
-        );
-        let cpus = count_fitting(team.max_cpus - used.cpus, job.spec.cpus);
-        let gpus = count_fitting(team.max_gpus - used.gpus, job.spec.gpus);
-        cpus.min(gpus) as usize
-    }
-
-    /// Works the round out: jobs that the floor puts first, then all others.
-    pub(super) fn run(&mut self, waiting: Vec<PendingGroup<'a>>, preempt: bool) {
-        if preempt {
-            self.find_victims();
+    /// The most of each resource that any machine has, or will have when what is
+    /// being stopped has ended.
+    fn max_available_after_preemption(&self) -> Resources {
+        let mut max = Resources::default();
+        for slot in &self.slots {
+            let available = slot.available_after_preemption;
+            max.cpus = max.cpus.max(available.cpus);
+            max.gpus = max.gpus.max(available.gpus);
+            max.memory_gb = max.memory_gb.max(available.memory_gb);
         }
-        let outlook = self.outlook();
-        let hopeful = waiting.into_iter().filter(|w| outlook.any(self, w));
-        let waiting: Vec<PendingGroup> = hopeful.collect();
-        let waiting = self.run_overdue_starts(waiting, preempt);
-        let rest = self.run_claims(waiting, preempt);
-        self.run_by_upt(rest, preempt);
+        max
     }
 
-    /// Places one task of each job that is to begin, in the order of their
-    /// acceptance, and then more of them. Where the team's limit leaves no room
-    /// for the first, what there is of it is kept. Returns what is left.
+    /// Places one task of each job whose first task is overdue, and then more tasks
+    /// of jobs near their start deadline. Returns the groups that are left.
     fn run_overdue_starts(
         &mut self,
-        mut waiting: Vec<PendingGroup<'a>>,
+        pending: Vec<PendingGroup<'a>>,
         preempt: bool,
     ) -> Vec<PendingGroup<'a>> {
-        let mut turns: BTreeMap<u32, usize> = BTreeMap::new();
-        for (n, w) in waiting.iter().enumerate() {
-            let Some(order) = self.jobs[w.at].start_order else {
-                continue;
-            };
-            let at = turns.entry(order).or_insert(n);
-            // Of one job, what has least left to run goes first.
-            if self.best_upt(w) > self.best_upt(&waiting[*at]) {
-                *at = n;
-            }
-        }
         let mut placed = BTreeSet::new();
-        for n in turns.values().copied() {
-            let one = waiting[n];
-            let job = one.group.job;
-            if self.headroom(job) == 0 {
-                self.quota_usage[job.team].add_scaled(&job.spec, 1.0);
-                continue;
+        for index in self.overdue_first_tasks(&pending) {
+            if self.start_overdue_task(pending[index], preempt) {
+                placed.insert(index);
             }
-            let Some((slot, _)) = self.best_slot(&one) else {
-                if preempt {
-                    self.preempt_for(&one, 1);
-                    self.jobs[one.at].preemption_tried = false;
-                }
+        }
+        if !self.cluster.start_deadlines.claims.is_empty() {
+            self.run_unstarted_near_deadline(&pending, &mut placed);
+        }
+        let left = pending.into_iter().enumerate();
+        left.filter(|(index, _)| !placed.contains(index))
+            .map(|(_, group)| group)
+            .collect()
+    }
+
+    /// For each job whose first task is overdue, the index of the group that is
+    /// placed first, the one with the least left to run; in the order of the jobs'
+    /// acceptance.
+    fn overdue_first_tasks(&self, pending: &[PendingGroup<'a>]) -> Vec<usize> {
+        let mut by_order: BTreeMap<u32, usize> = BTreeMap::new();
+        for (index, group) in pending.iter().enumerate() {
+            let Some(order) = self.jobs[group.job_index].start_order else {
                 continue;
             };
-            self.start(&one, slot);
-            self.jobs[one.at].start_order = None;
-            if one.group.resumable.is_some() || self.unplaced(one.at) == 0 {
-                placed.insert(n);
+            let best = by_order.entry(order).or_insert(index);
+            if self.best_upt(group) > self.best_upt(&pending[*best]) {
+                *best = index;
             }
         }
-        // Then their other tasks that never ran, on a part of the machines.
-        if !self.cluster.start_deadlines.claims.is_empty() {
-            let cpus: f64 = self
-                .slots
-                .iter()
-                .map(|s| self.types[s.type_index].cpus)
-                .sum();
-            let mut left = self.cluster.cpus_left_for_unstarted(cpus);
-            let near = |w: &PendingGroup| {
-                self.cluster
-                    .start_deadlines
-                    .claims
-                    .get(&w.group.job.spec.id)
-            };
-            let mut others: Vec<(u32, usize)> = (0..waiting.len())
-                .filter(|n| !placed.contains(n) && waiting[*n].group.resumable.is_none())
-                .filter_map(|n| Some((near(&waiting[n]).filter(|t| t.near_deadline)?.order, n)))
-                .collect();
-            others.sort_unstable();
-            for (_, n) in others {
-                let one = waiting[n];
-                let job = one.group.job;
-                while left > 0.0 && self.unplaced(one.at) > 0 && self.headroom(job) > 0 {
-                    let Some((slot, _)) = self.best_slot(&one) else {
-                        break;
-                    };
-                    self.start(&one, slot);
-                    left -= job.spec.cpus;
-                }
-                if self.unplaced(one.at) == 0 {
-                    placed.insert(n);
-                }
+        by_order.into_values().collect()
+    }
+
+    /// Places one task of a job whose first task is overdue. Where the team's limit
+    /// leaves nothing for it, what becomes free of the limit is kept for it. Returns
+    /// whether the group has no more tasks to place.
+    fn start_overdue_task(&mut self, pending: PendingGroup<'a>, preempt: bool) -> bool {
+        let job_index = pending.job_index;
+        let job = pending.group.job;
+        if self.quota_headroom(job) == 0 {
+            self.quota_usage[job.team].add_scaled(&job.spec, 1.0);
+            return false;
+        }
+        let Some(BestSlot { slot, .. }) = self.best_slot(&pending) else {
+            if preempt {
+                self.preempt_for(&pending, 1);
+                self.jobs[job_index].preemption_tried = false;
+            }
+            return false;
+        };
+        self.start(&pending, slot);
+        self.jobs[job_index].start_order = None;
+        pending.group.resumable.is_some() || self.unplaced(job_index) == 0
+    }
+
+    /// Places tasks that never ran of jobs near their start deadline, on a part of
+    /// the machines. Adds the groups without further tasks to `placed`.
+    fn run_unstarted_near_deadline(
+        &mut self,
+        pending: &[PendingGroup<'a>],
+        placed: &mut BTreeSet<usize>,
+    ) {
+        let total_cpus: f64 = self
+            .slots
+            .iter()
+            .map(|s| self.types[s.type_index].cpus)
+            .sum();
+        let mut cpus_left = self.cluster.cpus_left_for_unstarted(total_cpus);
+        for index in self.groups_near_start_deadline(pending, placed) {
+            let group = pending[index];
+            let (job_index, job) = (group.job_index, group.group.job);
+            while cpus_left > 0.0 && self.unplaced(job_index) > 0 && self.quota_headroom(job) > 0 {
+                let Some(BestSlot { slot, .. }) = self.best_slot(&group) else {
+                    break;
+                };
+                self.start(&group, slot);
+                cpus_left -= job.spec.cpus;
+            }
+            if self.unplaced(job_index) == 0 {
+                placed.insert(index);
             }
         }
-        let mut n = 0;
-        waiting.retain(|_| {
-            n += 1;
-            !placed.contains(&(n - 1))
-        });
-        waiting
     }
 
-    /// Places tasks of jobs that come first, those before all that the least part
-    /// needs: of the class with the fewest CPUs used for such jobs the next, in
-    /// the order of its jobs, as long as there is room that they may use. Returns
-    /// what is left to the others' order.
+    /// Indices of groups that are not `placed`, of jobs near their start deadline, in
+    /// the order of the jobs' acceptance.
+    fn groups_near_start_deadline(
+        &self,
+        pending: &[PendingGroup<'a>],
+        placed: &BTreeSet<usize>,
+    ) -> Vec<usize> {
+        let claims = &self.cluster.start_deadlines.claims;
+        let mut near: Vec<(u32, usize)> = pending
+            .iter()
+            .enumerate()
+            .filter(|(index, p)| !placed.contains(index) && p.group.resumable.is_none())
+            .filter_map(|(index, p)| {
+                let claim = claims.get(&p.group.job.spec.id)?;
+                claim.near_deadline.then_some((claim.order, index))
+            })
+            .collect();
+        near.sort_unstable();
+        near.into_iter().map(|(_, index)| index).collect()
+    }
+
+    /// Places tasks of jobs with a priority claim, those for the minimum share
+    /// first. The next task is always one of the class that uses the fewest CPUs for
+    /// such jobs, in the order of the class's jobs, as long as these may use more.
+    /// Returns the groups that are left.
     fn run_claims(
         &mut self,
-        waiting: Vec<PendingGroup<'a>>,
+        pending: Vec<PendingGroup<'a>>,
         preempt: bool,
     ) -> Vec<PendingGroup<'a>> {
-        let mut queues: BTreeMap<(bool, usize), VecDeque<(u32, PendingGroup)>> = BTreeMap::new();
-        let mut rest = Vec::with_capacity(waiting.len());
-        for waiting in waiting {
-            match self.jobs[waiting.at].claim {
-                Some(seat) => {
-                    let queue = queues.entry((!seat.for_min_share, seat.group)).or_default();
-                    queue.push_back((seat.order, waiting));
-                }
-                None => rest.push(waiting),
-            }
-        }
-        for queue in queues.values_mut() {
-            // Of one job, what has least left to run goes first.
-            let best = |w: &PendingGroup| self.best_upt(w);
-            queue.make_contiguous().sort_by(|a, b| {
-                let upt = best(&b.1).total_cmp(&best(&a.1));
-                a.0.cmp(&b.0).then(upt)
-            });
-        }
-        while self.first_left > 0.0 {
-            let least = queues
-                .iter_mut()
-                .filter(|q| !q.1.is_empty())
-                .min_by(|a, b| {
-                    let used = self.used[a.0.1].total_cmp(&self.used[b.0.1]);
-                    a.0.0.cmp(&b.0.0).then(used)
-                });
-            let Some((_, queue)) = least else { break };
-            let Some((order, waiting)) = queue.pop_front() else {
+        let (mut queues, mut rest) = self.queue_claims(pending);
+        while self.claim_cpus_left > 0.0 {
+            let Some(queue) = self.next_claim_queue(&mut queues) else {
                 break;
             };
-            let headroom = self.headroom(waiting.group.job);
+            let Some(claimed) = queue.pop_front() else {
+                break;
+            };
+            let pending = claimed.pending;
+            let headroom = self.quota_headroom(pending.group.job);
             if headroom == 0 {
                 continue;
             }
-            let Some((slot, _)) = self.best_slot(&waiting) else {
+            let Some(BestSlot { slot, .. }) = self.best_slot(&pending) else {
                 if preempt {
-                    self.preempt_for(&waiting, headroom);
+                    self.preempt_for(&pending, headroom);
                 }
                 continue;
             };
-            self.start(&waiting, slot);
-            if waiting.group.resumable.is_none() && self.unplaced(waiting.at) > 0 {
-                queue.push_front((order, waiting));
+            self.start(&pending, slot);
+            if pending.group.resumable.is_none() && self.unplaced(pending.job_index) > 0 {
+                queue.push_front(claimed);
             }
         }
-        rest.extend(queues.into_values().flatten().map(|q| q.1));
+        rest.extend(queues.into_values().flatten().map(|c| c.pending));
         rest
     }
 
-    fn run_by_upt(&mut self, waiting: Vec<PendingGroup<'a>>, preempt: bool) {
-        let mut heap: BinaryHeap<Candidate> = waiting
+    /// Separates groups with a priority claim, in a queue for each class, from the
+    /// others.
+    fn queue_claims(
+        &self,
+        pending: Vec<PendingGroup<'a>>,
+    ) -> (ClaimQueues<'a>, Vec<PendingGroup<'a>>) {
+        let mut queues = ClaimQueues::new();
+        let mut rest = Vec::with_capacity(pending.len());
+        for pending in pending {
+            let Some(claim) = self.jobs[pending.job_index].claim else {
+                rest.push(pending);
+                continue;
+            };
+            let key = ClaimQueueKey {
+                beyond_min_share: !claim.for_min_share,
+                group: claim.group,
+            };
+            queues.entry(key).or_default().push_back(ClaimedGroup {
+                order: claim.order,
+                pending,
+            });
+        }
+        for queue in queues.values_mut() {
+            // Of one job, what has the least left to run is first.
+            queue.make_contiguous().sort_by(|a, b| {
+                let by_upt = self
+                    .best_upt(&b.pending)
+                    .total_cmp(&self.best_upt(&a.pending));
+                a.order.cmp(&b.order).then(by_upt)
+            });
+        }
+        (queues, rest)
+    }
+
+    /// The queue that the next task is taken from: claims for the minimum share
+    /// first, then of the class that uses the fewest CPUs.
+    fn next_claim_queue<'q>(
+        &self,
+        queues: &'q mut ClaimQueues<'a>,
+    ) -> Option<&'q mut VecDeque<ClaimedGroup<'a>>> {
+        let nonempty = queues.iter_mut().filter(|(_, queue)| !queue.is_empty());
+        let next = nonempty.min_by(|(a, _), (b, _)| {
+            let by_usage = self.claim_cpus_used[a.group].total_cmp(&self.claim_cpus_used[b.group]);
+            a.beyond_min_share.cmp(&b.beyond_min_share).then(by_usage)
+        });
+        next.map(|(_, queue)| queue)
+    }
+
+    /// Places tasks by utility per time, the greatest first.
+    fn run_by_upt(&mut self, pending: Vec<PendingGroup<'a>>, preempt: bool) {
+        let mut heap: BinaryHeap<QueuedGroup> = pending
             .into_iter()
-            .map(|waiting| Candidate {
-                rank: self.best_possible(&waiting),
-                index: waiting.group.resumable.map_or(u32::MAX, |r| r.index),
-                waiting,
+            .map(|pending| QueuedGroup {
+                order: self.best_order(&pending),
+                task: pending.group.resumable.map_or(u32::MAX, |r| r.index),
+                pending,
             })
             .collect();
         while let Some(mut top) = heap.pop() {
-            let at = top.waiting.at;
-            let headroom = self.headroom(top.waiting.group.job);
+            let headroom = self.quota_headroom(top.pending.group.job);
             if headroom == 0 {
                 continue;
             }
-            let Some((slot, upt)) = self.best_slot(&top.waiting) else {
+            let Some(BestSlot { slot, upt }) = self.best_slot(&top.pending) else {
                 if preempt {
-                    self.preempt_for(&top.waiting, headroom);
+                    self.preempt_for(&top.pending, headroom);
                 }
                 continue;
             };
-            // A worker that must fetch the image first lowers the UPT: the
-            // group then waits for its new place in the order.
-            let there = PlacementOrder { upt, ..top.rank };
-            if upt + 1e-12 < top.rank.upt && heap.peek().is_some_and(|next| next.rank > there) {
-                top.rank = there;
+            // A worker that must fetch the image first lowers the utility per time:
+            // the group is then queued again at its actual place in the order.
+            let actual = PlacementOrder { upt, ..top.order };
+            let is_lower = upt + UPT_TOLERANCE < top.order.upt;
+            if is_lower && heap.peek().is_some_and(|next| next.order > actual) {
+                top.order = actual;
                 heap.push(top);
                 continue;
             }
-            self.start(&top.waiting, slot);
-            if top.waiting.group.resumable.is_none() && self.unplaced(at) > 0 {
-                top.rank = self.best_possible(&top.waiting);
+            self.start(&top.pending, slot);
+            if top.pending.group.resumable.is_none() && self.unplaced(top.pending.job_index) > 0 {
+                top.order = self.best_order(&top.pending);
                 heap.push(top);
             }
         }
     }
-
-    /// Waiting tasks of the job without anything of their own that this round
-    /// has not placed.
-    pub(super) fn unplaced(&self, at: usize) -> usize {
-        let entrant = &self.jobs[at];
-        entrant.job.pending.len() as usize - entrant.taken
-    }
-
-    fn start(&mut self, waiting: &PendingGroup<'a>, slot: usize) {
-        let group = waiting.group;
-        let job = group.job;
-        let entrant = &mut self.jobs[waiting.at];
-        let index = match group.resumable {
-            Some(resume) => {
-                entrant.resumed += 1;
-                resume.index
-            }
-            None => {
-                entrant.taken += 1;
-                let Some(index) = job.pending.nth(entrant.taken as u32 - 1) else {
-                    return;
-                };
-                index
-            }
-        };
-        let s = &mut self.slots[slot];
-        s.free_resources.add_scaled(&job.spec, -1.0);
-        s.available_after_preemption.add_scaled(&job.spec, -1.0);
-        s.tasks += 1;
-        s.version += 1;
-        let t = self.types[s.type_index];
-        s.images.to_mut().request(&job.spec, t, self.now);
-        self.touched_slots.push(slot);
-        self.quota_usage[job.team].add_scaled(&job.spec, 1.0);
-        if let Some(seat) = entrant.claim {
-            self.used[seat.group] += job.spec.cpus;
-            if s.reservation.is_none() {
-                self.first_left -= job.spec.cpus;
-            }
-        }
-        if is_replicated(job) {
-            *entrant.replicas_placed.entry(slot).or_default() += 1;
-        }
-        if job.spec.one_zone || job.spec.spread || is_replicated(job) {
-            let zones = entrant
-                .zones
-                .get_or_insert_with(|| job.attempts_by_zone.clone());
-            *zones.entry(s.worker.zone.clone()).or_default() += 1;
-        }
-        self.starts.push(Start { group, index, slot });
-    }
-
-    /// What was decided: starts in order, and stops.
-    pub(super) fn outcome(self) -> (Vec<PlannedStart>, Vec<PlannedStop>) {
-        let name = |slot: usize| self.slots[slot].worker.name.clone();
-        let starts = self.starts.iter().map(|s| {
-            let worker = self.slots[s.slot].worker;
-            let saved_s = s.group.checkpoint_on(&worker.machine_type);
-            (
-                s.group.job.spec.id.clone(),
-                s.index,
-                saved_s,
-                worker.name.clone(),
-            )
-        });
-        let stops = self.stops.iter().map(|s| (name(s.0), s.1, s.2.to_string()));
-        (starts.collect(), stops.collect())
-    }
 }
--- /dev/null
+++ b/crates/tallygauge-scheduler/src/mapping/round_setup.rs
@@ -0,0 +1,191 @@
+//! Sets up a scheduling round from the cluster state.
+
+use super::{
+    TaskGroup,
+    round_state::{JobInRound, PendingGroup, Round, WorkerSlot},
+};
+use crate::{
+    cluster_state::{ClusterState, QuotaUsage},
+    model::*,
+};
+use std::{
+    borrow::Cow,
+    collections::{BTreeMap, BTreeSet},
+};
+use tallygauge_protocol::cloud::MachineType;
+
+/// Usable workers, and what is being released on them.
+struct UsableSlots<'a> {
+    slots: Vec<WorkerSlot<'a>>,
+    zones: Vec<&'a str>,
+    slots_being_freed: BTreeSet<usize>,
+    quota_being_released: Vec<QuotaUsage>,
+}
+
+impl<'a> Round<'a> {
+    /// A round, and the groups that wait in it. `groups` must be in the order of
+    /// their jobs' ids.
+    pub(super) fn new(
+        cluster: &'a ClusterState,
+        now: f64,
+        groups: Vec<TaskGroup<'a>>,
+    ) -> (Self, Vec<PendingGroup<'a>>) {
+        let types = types_by_name(cluster);
+        let usable = usable_slots(cluster, &types, now);
+        let claim_cpus_left = claim_cpus_left(cluster, &usable.slots, &types);
+        let contended_cpus = cluster.contended_cpus(&groups);
+        let (jobs, pending) = jobs_in_round(cluster, groups);
+        let round = Self {
+            cluster,
+            now,
+            claim_cpus_left,
+            claim_cpus_used: claim_cpus_used(cluster),
+            largest_cpus: types.iter().map(|t| t.cpus).fold(1.0, f64::max),
+            contended_cpus,
+            types,
+            zones: usable.zones,
+            jobs,
+            slots: usable.slots,
+            touched_slots: Vec::new(),
+            exhausted: Vec::new(),
+            quota_usage: cluster.quota_usage.clone(),
+            quota_being_released: usable.quota_being_released,
+            slots_being_freed: usable.slots_being_freed,
+            victim_groups: BTreeMap::new(),
+            starts: Vec::new(),
+            stops: Vec::new(),
+        };
+        (round, pending)
+    }
+}
+
+fn types_by_name(cluster: &ClusterState) -> Vec<&MachineType> {
+    let mut types: Vec<&MachineType> = cluster.machine_types.values().collect();
+    types.sort_by(|a, b| a.name.cmp(&b.name));
+    types
+}
+
+/// A slot for each usable worker of a known type.
+fn usable_slots<'a>(
+    cluster: &'a ClusterState,
+    types: &[&'a MachineType],
+    now: f64,
+) -> UsableSlots<'a> {
+    let workers: Vec<&Worker> = cluster
+        .workers
+        .values()
+        .filter(|w| w.accepts_work(now, &cluster.config))
+        .collect();
+    let zones: BTreeSet<&str> = workers.iter().map(|w| w.zone.as_str()).collect();
+    let mut usable = UsableSlots {
+        slots: Vec::with_capacity(workers.len()),
+        zones: zones.into_iter().collect(),
+        slots_being_freed: BTreeSet::new(),
+        quota_being_released: vec![QuotaUsage::default(); cluster.config.teams.len()],
+    };
+    for worker in workers {
+        let by_name = types.binary_search_by(|t| t.name.as_str().cmp(&worker.machine_type));
+        if let Ok(type_index) = by_name {
+            usable.add(cluster, worker, type_index);
+        }
+    }
+    usable
+}
+
+impl<'a> UsableSlots<'a> {
+    fn add(&mut self, cluster: &ClusterState, worker: &'a Worker, type_index: usize) {
+        let mut available_after_preemption = worker.free_resources;
+        let is_stopping = |a: &&Attempt| a.stop.is_some() && a.occupies_capacity();
+        for attempt in worker.attempts.iter().filter(is_stopping) {
+            available_after_preemption.add_scaled(&attempt.spec, 1.0);
+            self.slots_being_freed.insert(self.slots.len());
+            if let Some(team) = cluster.config.team_index(&attempt.spec.team) {
+                self.quota_being_released[team].add_scaled(&attempt.spec, 1.0);
+            }
+        }
+        let zone = worker.zone.as_str();
+        let reserved = &cluster.minimum_share.reserved;
+        let reserved_for_start = &cluster.start_deadlines.reserved;
+        self.slots.push(WorkerSlot {
+            worker,
+            type_index,
+            zone_index: self.zones.binary_search(&zone).unwrap_or(0),
+            free_resources: worker.free_resources,
+            available_after_preemption,
+            tasks: worker.attempts.len(),
+            images: Cow::Borrowed(&worker.images),
+            version: 0,
+            reservation: reserved.get(&worker.name).copied(),
+            start_reservation: reserved_for_start.get(&worker.name).copied(),
+            victims: Vec::new(),
+        });
+    }
+}
+
+/// The jobs of the groups, and the groups with their job's index.
+fn jobs_in_round<'a>(
+    cluster: &'a ClusterState,
+    groups: Vec<TaskGroup<'a>>,
+) -> (Vec<JobInRound<'a>>, Vec<PendingGroup<'a>>) {
+    let within_guarantee = cluster.jobs_within_guarantee();
+    let mut jobs: Vec<JobInRound> = Vec::new();
+    let mut pending = Vec::with_capacity(groups.len());
+    for group in groups {
+        let job = group.job;
+        let is_same_job = jobs.last().is_some_and(|last| std::ptr::eq(last.job, job));
+        if !is_same_job {
+            jobs.push(JobInRound {
+                job,
+                within_guarantee: within_guarantee.contains(job.spec.id.as_str()),
+                claim: cluster.minimum_share.claims.get(&job.spec.id).copied(),
+                start_order: cluster.start_claim_order(&job.spec.id),
+                expected_run_s: cluster.expected_run_s(&job.spec),
+                candidates: None,
+                zones: None,
+                replicas_placed: BTreeMap::new(),
+                pending_placed: 0,
+                resumables_placed: 0,
+                preemption_tried: false,
+            });
+        }
+        let job_index = jobs.len() - 1;
+        pending.push(PendingGroup { group, job_index });
+    }
+    (jobs, pending)
+}
+
+/// CPUs used by jobs with a priority claim, by class or team.
+fn claim_cpus_used(cluster: &ClusterState) -> Vec<f64> {
+    let mut used = vec![0.0; cluster.minimum_share.service_counts.keys().len()];
+    for (id, claim) in &cluster.minimum_share.claims {
+        if let Some(job) = cluster.jobs.get(id) {
+            used[claim.group] += job.spec.cpus * job.attempts_by_task.len() as f64;
+        }
+    }
+    used
+}
+
+/// CPUs that jobs with a priority claim may still use on machines that are not
+/// reserved.
+fn claim_cpus_left(cluster: &ClusterState, slots: &[WorkerSlot], types: &[&MachineType]) -> f64 {
+    let minimum_share = &cluster.minimum_share;
+    if minimum_share.claims.is_empty() {
+        return 0.0;
+    }
+    let cpus = |slot: &WorkerSlot| types[slot.type_index].cpus;
+    let total: f64 = slots.iter().map(cpus).sum();
+    let reserved: f64 = slots
+        .iter()
+        .filter(|s| s.reservation.is_some())
+        .map(cpus)
+        .sum();
+    let has_claim =
+        |a: &&Attempt| a.occupies_capacity() && minimum_share.claims.contains_key(&a.spec.id);
+    let used: f64 = slots
+        .iter()
+        .filter(|s| s.reservation.is_none())
+        .flat_map(|s| s.worker.attempts.iter().filter(has_claim))
+        .map(|a| a.spec.cpus)
+        .sum();
+    total * minimum_share.machine_share - reserved - used
+}
--- a/crates/tallygauge-scheduler/src/minimum_share.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/mod.rs
@@ -2,11 +2,10 @@
 //! behind, which jobs come first for it, and which machines are set aside so
 //! that their tasks find a room of the right size.
 
-use crate::{
-    cluster_state::ClusterState,
-    model::*,
-    parts::{PriorityClaim, Reservation},
-};
+pub(crate) mod state;
+
+use crate::{cluster_state::ClusterState, model::*};
+use state::{PriorityClaim, Reservation};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tallygauge_fairness::{
     Candidate, Counts, GroupIds, GroupKey, GroupKind, JobEnd, JobSize, LARGEST_FRACTION,
--- a/crates/tallygauge-scheduler/src/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/pending_reasons.rs
@@ -1,6 +1,6 @@
 //! Why tasks of a job wait, and where the others stand, for people who ask.
 
-use crate::{cluster_state::ClusterState, mapping::Group, model::*};
+use crate::{cluster_state::ClusterState, mapping::TaskGroup, model::*};
 use std::collections::{BTreeSet, HashSet};
 use tallygauge_protocol::workers::TaskState;
 
@@ -184,18 +184,18 @@
                 });
             }
         }
-        let (groups, _) = self.pending_groups(now);
-        let rank = |g: &Group| {
+        let groups = self.pending_groups(now).groups;
+        let rank = |g: &TaskGroup| {
             let saved = g.resumable.map_or(0.0, |r| r.checkpointed_s);
             let left = self.remaining_s(g.job, saved);
             let upt = self.utility(g.job, now + left * 0.5) / left;
             (within.contains(g.job.spec.id.as_str()), upt)
         };
-        let ours = rank(&Group {
+        let ours = rank(&TaskGroup {
             job,
             resumable: None,
         });
-        let ahead = |g: &&Group| {
+        let ahead = |g: &&TaskGroup| {
             let theirs = rank(g);
             g.job.spec.id != spec.id
                 && theirs
--- a/crates/tallygauge-scheduler/src/reconciliation.rs
+++ b/crates/tallygauge-scheduler/src/reconciliation.rs
@@ -2,6 +2,8 @@
 //! the end every open job, task and machine is looked at. What differs is said
 //! and mended; nothing here is needed as long as all else is right.
 
+pub(crate) mod state;
+
 use crate::{cluster_state::ClusterState, model::*, range_set::RangeSet};
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/crates/tallygauge-scheduler/src/scale_in.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -5,7 +5,7 @@
 //! Surplus ones, dear and little used first, are the last choice for new tasks,
 //! and go as soon as they are empty.
 
-use crate::{cluster_state::ClusterState, model::*, parts::DemandHistory};
+use crate::{cluster_state::ClusterState, demand_history::DemandHistory, model::*};
 
 /// A machine that is returned earlier is charged for this long all the same.
 const LEAST_CHARGE_S: f64 = 60.0;
--- a/crates/tallygauge-scheduler/src/scale_out.rs
+++ b/crates/tallygauge-scheduler/src/scale_out.rs
@@ -1,6 +1,6 @@
 //! How many machines are wanted, and which are not.
 
-use crate::{cluster_state::ClusterState, mapping::Group, model::*};
+use crate::{cluster_state::ClusterState, mapping::TaskGroup, model::*};
 use std::collections::BTreeMap;
 use tallygauge_protocol::{
     cloud::{MAX_MACHINES_PER_RENTAL, MachineType},
@@ -81,7 +81,7 @@
     /// ask for, and the kind that is wanted most first.
     #[must_use]
     pub fn rentals(&self, now: f64) -> Vec<Rental> {
-        let (mut groups, _) = self.pending_groups(now);
+        let mut groups = self.pending_groups(now).groups;
         if groups.is_empty() {
             return Vec::new();
         }
@@ -154,16 +154,11 @@
 
     /// Lays the tasks of a group into rooms, and asks for machines for those
     /// that are left.
-    fn pack<'a>(&'a self, group: &Group<'a>, now: f64, market: &mut CloudMarket<'a>) {
+    fn pack<'a>(&'a self, group: &TaskGroup<'a>, now: f64, market: &mut CloudMarket<'a>) {
         let job = group.job;
         let spec = &job.spec;
-        let count = if group.resumable.is_some() {
-            1
-        } else {
-            job.pending.len()
-        };
-        let saved = group.resumable.map_or(0.0, |r| r.checkpointed_s);
-        let run = self.remaining_s(job, saved);
+        let count = group.task_count();
+        let run = self.remaining_s(job, group.checkpointed_s());
         let room = &mut market.headroom[job.team];
         let allowed = count_fitting(room.0, spec.cpus).min(count_fitting(room.1, spec.gpus));
         let mut left = count.min(allowed);
--- a/crates/tallygauge-scheduler/src/start_deadline.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/mod.rs
@@ -10,7 +10,10 @@
 //! the floor binds: a task of each of many would keep all from being done. Until
 //! they have run for long enough to count, they are stopped for nobody.
 
-use crate::{cluster_state::ClusterState, model::*, parts::StartClaim};
+pub(crate) mod state;
+
+use crate::{cluster_state::ClusterState, model::*};
+use state::StartClaim;
 use std::collections::BTreeMap;
 use tallygauge_protocol::{users::MIN_COUNTED_RUN_S, workers::TaskState};
 
--- a/crates/tallygauge-scheduler/src/tests/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/tests/image_locality.rs
@@ -156,7 +156,7 @@
                 let even = (n + 1).div_ceil(2);
                 let free = 16.0 - f64::from(here) * 3.0;
                 let fetch = w.images.fetch_s("llm", 18.0, of_type.fetch_gb_per_s, 100.0);
-                fetch + c.packing(w, &of_type, free, 16.0, f64::MAX)
+                fetch + c.packing_cost_s(w, &of_type, free, 16.0, f64::MAX)
                     + risk * f64::from(here + (there + 1).saturating_sub(even))
             };
             let best = names.iter().filter(|n| on.get(*n).copied().unwrap_or(0) < 5);
--- a/crates/tallygauge-scheduler/src/tests/minimum_share.rs
+++ b/crates/tallygauge-scheduler/src/tests/minimum_share.rs
@@ -1,7 +1,7 @@
 //! The floor in the mapping.
 
 use super::*;
-use crate::parts::PriorityClaim;
+use crate::minimum_share::state::PriorityClaim;
 
 /// Jobs that come first, as plainly as it can be said: while there is room that
 /// they may use, look at all of them, and start a task of the class that has
@@ -118,7 +118,7 @@
         for (name, (kept, large)) in names.iter().zip(aside) {
             if kept {
                 let least = if large { 3.0 } else { 1.5 };
-                c.minimum_share.reserved.insert((*name).to_string(), crate::parts::Reservation { group: place, min_task_cpus: least });
+                c.minimum_share.reserved.insert((*name).to_string(), crate::minimum_share::state::Reservation { group: place, min_task_cpus: least });
             }
         }
         c.minimum_share.machine_share = part;
--- a/crates/tallygauge-scheduler/src/tests/mod.rs
+++ b/crates/tallygauge-scheduler/src/tests/mod.rs
@@ -14,7 +14,7 @@
 mod start_deadline;
 mod why;
 
-use crate::{mapping::Group, *};
+use crate::{mapping::TaskGroup, *};
 use plain_model::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/tallygauge-scheduler/src/tests/plain_model.rs
+++ b/crates/tallygauge-scheduler/src/tests/plain_model.rs
@@ -50,7 +50,7 @@
             used: c.config.teams.iter().map(team).collect(),
             waiting: waiting.collect(),
             largest: types().iter().map(|t| t.cpus).fold(0.0, f64::max),
-            contended: c.contended(&c.pending_groups(now).0),
+            contended: c.contended_cpus(&c.pending_groups(now).groups),
             begins: false,
             out: Vec::new(),
         }
@@ -62,7 +62,7 @@
         if self.used[job.team] + job.spec.cpus > c.config.teams[job.team].max_cpus + 1e-9 {
             return None;
         }
-        let group = Group {
+        let group = TaskGroup {
             job,
             resumable: None,
         };
@@ -89,7 +89,7 @@
             } else {
                 f64::MAX
             };
-            let score = time + c.packing(w, of_type, room.cpus, self.largest, spared);
+            let score = time + c.packing_cost_s(w, of_type, room.cpus, self.largest, spared);
             if spot.as_ref().is_none_or(|s| score < s.0) {
                 let upt = c.ordering_utility(job, self.now + time * 0.5) / time;
                 spot = Some((score, upt, name.clone()));
--- a/crates/tallygauge-scheduler/src/tests/start_deadline.rs
+++ b/crates/tallygauge-scheduler/src/tests/start_deadline.rs
@@ -10,7 +10,7 @@
 /// may use; then all others by UPT, without what is kept for those.
 fn plain_with_begins(c: &ClusterState, now: f64) -> Vec<(String, u32, String)> {
     let mut model = Plain::new(c, now);
-    let mut turns: Vec<(&String, &crate::parts::StartClaim)> =
+    let mut turns: Vec<(&String, &crate::start_deadline::state::StartClaim)> =
         c.start_deadlines.claims.iter().collect();
     turns.retain(|t| {
         t.1.needs_first_start && c.jobs[t.0].attempts_by_task.len() <= t.1.attempts_when_found
@@ -42,7 +42,7 @@
         .map(|w| c.machine_types[&w.machine_type].cpus)
         .sum::<f64>()
         * 0.1;
-    let mut near: Vec<(&String, &crate::parts::StartClaim)> =
+    let mut near: Vec<(&String, &crate::start_deadline::state::StartClaim)> =
         c.start_deadlines.claims.iter().collect();
     for (id, _) in &near {
         left -= c.jobs[*id].attempts_by_task.len() as f64 * c.jobs[*id].spec.cpus;
@@ -251,7 +251,7 @@
         6
     );
     assert!(c.start_deadlines.reserved.is_empty());
-    let seat = crate::parts::PriorityClaim {
+    let seat = crate::minimum_share::state::PriorityClaim {
         group: 0,
         for_min_share: true,
         order: 0,
@@ -279,7 +279,7 @@
     for n in 1..30 {
         c.add_job(spec(n, 1, 1.0), 1, 30.0, &RangeSet::default());
     }
-    let seat = crate::parts::PriorityClaim {
+    let seat = crate::minimum_share::state::PriorityClaim {
         group: 0,
         for_min_share: true,
         order: 0,
