--- a/crates/tallygauge-scheduler/src/cluster_state.rs
+++ b/crates/tallygauge-scheduler/src/cluster_state.rs
@@ -56,7 +56,7 @@
     pub(crate) runtime_ratios: HashMap<String, RuntimeRatio>,
     pub(crate) last_attempt: u64,
     pub(crate) tasks_per_chunk: u32,
-    pub(crate) capacity_backoff: HashMap<(String, String, bool), (f64, u32)>,
+    pub(crate) capacity_backoff: HashMap<MachineKind, CapacityBackoff>,
     /// How many attempts still occupy a machine, by durable batch.
     pub(crate) live_attempts_by_batch: BTreeMap<Arc<str>, u32>,
     pub(crate) last_batch_number: u64,
@@ -64,7 +64,7 @@
     pub obsolete_batches: BTreeSet<Arc<str>>,
     /// Attempts mapped, or found on a machine, since batches were last taken,
     /// by worker.
-    pub(crate) unbatched_attempts: Vec<(String, u64)>,
+    pub(crate) unbatched_attempts: Vec<UnbatchedAttempt>,
     /// Where finished tasks are kept.
     pub completion_pages: CompletionPages,
     /// Jobs with progress that is not durable.
--- a/crates/tallygauge-scheduler/src/commands.rs
+++ b/crates/tallygauge-scheduler/src/commands.rs
@@ -35,16 +35,14 @@
         let Some(worker) = self.workers.get(name) else {
             return out;
         };
-        for (task, attempt, ended) in &worker.orphaned_attempts {
-            out.push(if *ended {
-                Command::Clear {
-                    task: task.clone(),
-                    attempt: *attempt,
-                }
+        for orphan in &worker.orphaned_attempts {
+            let (task, attempt) = (orphan.task.clone(), orphan.attempt);
+            out.push(if orphan.ended {
+                Command::Clear { task, attempt }
             } else {
                 Command::Stop {
-                    task: task.clone(),
-                    attempt: *attempt,
+                    task,
+                    attempt,
                     grace_s: 0.0,
                 }
             });
--- a/crates/tallygauge-scheduler/src/completion_pages.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages.rs
@@ -1,241 +1,371 @@
-//! How finished tasks are kept: many jobs' ranges share a few records, so that
-//! the progress of a hundred jobs costs a handful of writes.
+//! Completed tasks as durable records: the completed ranges of many jobs share a
+//! few records ("pages"), so that saving the progress of a hundred jobs takes a
+//! handful of writes.
+//!
+//! A job's tasks are divided into chunks of consecutive task numbers; each chunk is
+//! on one page. Every write of a page is conditioned on its version. While a write
+//! is in doubt (sent, but its result unknown) its pages are not written again until
+//! their versions were read.
 
 use crate::range_set::RangeSet;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A part of a job's finished tasks: job, and number of the chunk.
-pub type ChunkId = (String, u32);
+/// A chunk of consecutive tasks of a job.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct ChunkId {
+    /// Id of the job.
+    pub job: String,
+    /// Number of the chunk within the job, from 0.
+    pub chunk: u32,
+}
+
+impl ChunkId {
+    /// The chunk's key in a page's record, `JOB/CHUNK`.
+    fn record_key(&self) -> String {
+        format!("{}/{}", self.job, self.chunk)
+    }
 
-/// A page's content as it is kept: ranges by `JOB/CHUNK`.
+    /// Reads a key of a page's record.
+    fn from_record_key(key: &str) -> Option<Self> {
+        let (job, chunk) = key.rsplit_once('/')?;
+        Some(Self {
+            job: job.to_string(),
+            chunk: chunk.parse().ok()?,
+        })
+    }
+
+    /// Upper bound of the bytes that the chunk takes in a page's record.
+    fn encoded_len(&self, completed: &RangeSet) -> usize {
+        // Quotes, colon and comma; every range two numbers in brackets.
+        self.job.len() + 16 + completed.encoded_len()
+    }
+}
+
+/// A page's content as it is stored: completed ranges by `JOB/CHUNK`.
 pub type CompletionPageRecord = BTreeMap<String, RangeSet>;
 
 #[derive(Debug, Clone, Default)]
 struct CompletionPage {
+    /// Version of the stored record; 0: there is none.
     version: u64,
-    /// An unanswered write may have changed it: its version must be read.
+    /// A write whose result is unknown may have changed it: its version must be
+    /// read before the next write.
     in_doubt: bool,
-    /// Parts and their content as last put here: what a write takes along of parts
-    /// that it does not change must have the size that was reckoned with.
+    /// Chunks with the content they had when they were last placed here. A write
+    /// includes chunks that it does not change, and those must have the size that
+    /// was accounted for.
     chunks: BTreeMap<ChunkId, RangeSet>,
+    /// Sum of the encoded lengths of the chunks.
     bytes: usize,
 }
 
 impl CompletionPage {
-    /// Holds a part with this content, and no other of it.
-    fn insert_chunk(&mut self, part: &ChunkId, ranges: RangeSet) {
-        self.remove_chunk(part);
-        self.bytes += size(part, &ranges);
-        self.chunks.insert(part.clone(), ranges);
+    /// Puts a chunk with this content here, in place of what it had.
+    fn insert_chunk(&mut self, chunk: &ChunkId, completed: RangeSet) {
+        self.remove_chunk(chunk);
+        self.bytes += chunk.encoded_len(&completed);
+        self.chunks.insert(chunk.clone(), completed);
     }
 
-    fn remove_chunk(&mut self, part: &ChunkId) {
-        if let Some(ranges) = self.chunks.remove(part) {
-            self.bytes -= size(part, &ranges);
+    fn remove_chunk(&mut self, chunk: &ChunkId) {
+        if let Some(completed) = self.chunks.remove(chunk) {
+            self.bytes -= chunk.encoded_len(&completed);
         }
     }
+
+    fn record(&self) -> CompletionPageRecord {
+        self.chunks
+            .iter()
+            .map(|(chunk, completed)| (chunk.record_key(), completed.clone()))
+            .collect()
+    }
 }
 
-/// A page to be written, and what it is conditioned on.
+/// A page to be written, with its condition.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PageWrite {
     /// Number of the page.
     pub page: u32,
-    /// Version that it must have.
+    /// Version that the stored record must have.
     pub version: u64,
-    /// New content; empty: to be removed.
+    /// New content; empty: the record is removed.
     pub record: CompletionPageRecord,
 }
 
-/// Pages to be written together.
+/// A chunk that a flush moves to another page.
+#[derive(Debug, Clone, PartialEq)]
+struct MovedChunk {
+    chunk: ChunkId,
+    from_page: u32,
+    /// Its content on that page.
+    completed: RangeSet,
+}
+
+/// Pages to be written in one transaction.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct PageFlush {
     /// The pages.
     pub writes: Vec<PageWrite>,
-    /// Changed parts on them.
+    /// Changed chunks on them.
     pub chunks: BTreeSet<ChunkId>,
-    /// Parts that this moves, with the pages they come from and what these held.
-    moved: Vec<(ChunkId, u32, RangeSet)>,
+    moved: Vec<MovedChunk>,
 }
 
-/// Which part is on which page.
-#[derive(Debug, Default)]
-pub struct CompletionPages {
-    pages: BTreeMap<u32, CompletionPage>,
-    place: HashMap<ChunkId, u32>,
-    /// Further pages that a part may be on: it was to move, and nobody knows if it
-    /// did. It stays on both until the new page was surely written.
-    also: HashMap<ChunkId, BTreeSet<u32>>,
-    limit: usize,
+/// Pages and bytes that a flush being prepared takes, and their limits.
+struct FlushBudget {
+    max_pages: usize,
+    max_bytes: usize,
+    pages: BTreeSet<u32>,
+    bytes: usize,
 }
 
-fn name((job, chunk): &ChunkId) -> String {
-    format!("{job}/{chunk}")
+impl FlushBudget {
+    fn new(max_pages: usize, max_bytes: usize) -> Self {
+        Self {
+            max_pages,
+            max_bytes,
+            pages: BTreeSet::new(),
+            bytes: 0,
+        }
+    }
+
+    /// Adds these pages and bytes if they are within the limits; the first ones
+    /// always are. Returns whether they were added.
+    fn try_reserve(&mut self, new_pages: &[u32], bytes: usize) -> bool {
+        let exceeds_limits = self.pages.len() + new_pages.len() > self.max_pages
+            || self.bytes + bytes > self.max_bytes;
+        if !self.pages.is_empty() && exceeds_limits {
+            return false;
+        }
+        self.bytes += bytes;
+        self.pages.extend(new_pages);
+        true
+    }
 }
 
-fn size(part: &ChunkId, ranges: &RangeSet) -> usize {
-    // Quotes, colon and comma; every range two numbers in brackets.
-    part.0.len() + 16 + ranges.encoded_len()
+/// The assignment of chunks to pages, as the leader knows it.
+///
+/// Invariants: a page is empty or within the size limit or has a single chunk;
+/// `page_by_chunk` has every chunk that is on a page; a chunk is on further pages
+/// only as long as `possible_pages` lists them.
+#[derive(Debug, Default)]
+pub struct CompletionPages {
+    pages: BTreeMap<u32, CompletionPage>,
+    page_by_chunk: HashMap<ChunkId, u32>,
+    /// Further pages that a chunk may be on: a flush that was to move it is in
+    /// doubt. It stays on both until the new page was surely written.
+    possible_pages: HashMap<ChunkId, BTreeSet<u32>>,
+    max_page_bytes: usize,
 }
 
 impl CompletionPages {
-    /// No pages yet; each is to take at most `limit` bytes.
+    /// No pages yet; each takes at most `max_page_bytes` unless a single chunk is
+    /// larger.
     #[must_use]
-    pub fn new(limit: usize) -> Self {
+    pub fn new(max_page_bytes: usize) -> Self {
         Self {
-            limit,
+            max_page_bytes,
             ..Self::default()
         }
     }
 
-    /// Takes up a page that is kept. Returns its parts.
+    /// Adds a stored page, at the start of a term. Returns its chunks.
     pub fn restore(
         &mut self,
         page: u32,
         version: u64,
         record: CompletionPageRecord,
     ) -> Vec<(ChunkId, RangeSet)> {
-        let mut out = Vec::new();
+        let mut restored = Vec::new();
         let entry = self.pages.entry(page).or_default();
         entry.version = version;
-        for (key, ranges) in record {
-            let Some((job, chunk)) = key.rsplit_once('/') else {
+        for (key, completed) in record {
+            let Some(chunk) = ChunkId::from_record_key(&key) else {
                 continue;
             };
-            let Ok(chunk) = chunk.parse() else { continue };
-            let part: ChunkId = (job.to_string(), chunk);
-            entry.insert_chunk(&part, ranges.clone());
-            if let Some(other) = self.place.insert(part.clone(), page) {
-                self.also.entry(part.clone()).or_default().insert(other);
+            entry.insert_chunk(&chunk, completed.clone());
+            if let Some(other) = self.page_by_chunk.insert(chunk.clone(), page) {
+                self.possible_pages
+                    .entry(chunk.clone())
+                    .or_default()
+                    .insert(other);
+            }
+            restored.push((chunk, completed));
+        }
+        restored
+    }
+
+    /// Chooses pages for changed chunks and returns the pages to write: at most
+    /// `max_pages` with `max_bytes` in all, but always those of the first chunk.
+    /// `completed` gives a chunk's present content. Chunks that exceed the limits,
+    /// and those on pages that are in doubt, are left for a later flush.
+    pub fn prepare_flush(
+        &mut self,
+        changed: &[ChunkId],
+        max_pages: usize,
+        max_bytes: usize,
+        completed: impl Fn(&ChunkId) -> RangeSet,
+    ) -> PageFlush {
+        let mut flush = PageFlush::default();
+        let mut budget = FlushBudget::new(max_pages, max_bytes);
+        for chunk in changed {
+            let content = completed(chunk);
+            let bytes = chunk.encoded_len(&content);
+            let source = self.page_by_chunk.get(chunk).copied();
+            let target = self.choose_page(chunk, source, bytes);
+            // A chunk that moves is removed from its page in the same transaction.
+            let touched: BTreeSet<u32> = source.into_iter().chain([target]).collect();
+            if self.is_any_in_doubt(&touched) || !self.try_reserve(&mut budget, &touched, bytes) {
+                continue;
+            }
+            if let Some(from_page) = source.filter(|page| *page != target) {
+                flush.moved.push(MovedChunk {
+                    chunk: chunk.clone(),
+                    from_page,
+                    completed: self.pages[&from_page].chunks[chunk].clone(),
+                });
             }
-            out.push((part, ranges));
+            self.place_chunk(chunk, target, content);
+            flush.chunks.insert(chunk.clone());
+        }
+        flush.writes = budget
+            .pages
+            .into_iter()
+            .map(|page| self.page_write(page))
+            .collect();
+        flush
+    }
+
+    /// The page for a chunk of this encoded length: the one it is on if it still
+    /// fits or is alone there, else the first with enough space, else a new one.
+    fn choose_page(&self, chunk: &ChunkId, source: Option<u32>, bytes: usize) -> u32 {
+        let fits = |page: &CompletionPage, replaced_bytes: usize| {
+            page.bytes - replaced_bytes + bytes <= self.max_page_bytes
+        };
+        let can_stay = |number: &u32| {
+            let page = &self.pages[number];
+            fits(page, chunk.encoded_len(&page.chunks[chunk])) || page.chunks.len() == 1
+        };
+        source
+            .filter(can_stay)
+            .or_else(|| {
+                let mut pages = self.pages.iter();
+                let has_space =
+                    |(_, page): &(&u32, &CompletionPage)| !page.in_doubt && fits(page, 0);
+                pages.find(has_space).map(|(number, _)| *number)
+            })
+            .unwrap_or_else(|| self.first_unused_page())
+    }
+
+    fn first_unused_page(&self) -> u32 {
+        (0..)
+            .find(|number| !self.pages.contains_key(number))
+            .unwrap_or(0)
+    }
+
+    fn is_any_in_doubt(&self, pages: &BTreeSet<u32>) -> bool {
+        pages
+            .iter()
+            .any(|number| self.pages.get(number).is_some_and(|page| page.in_doubt))
+    }
+
+    /// Adds the pages that a chunk touches to a flush, if its limits allow.
+    fn try_reserve(
+        &self,
+        budget: &mut FlushBudget,
+        touched: &BTreeSet<u32>,
+        chunk_bytes: usize,
+    ) -> bool {
+        let new_pages: Vec<u32> = touched.difference(&budget.pages).copied().collect();
+        let page_bytes: usize = new_pages
+            .iter()
+            .map(|number| self.pages.get(number).map_or(0, |page| page.bytes))
+            .sum();
+        budget.try_reserve(&new_pages, page_bytes + chunk_bytes)
+    }
+
+    fn page_write(&self, number: u32) -> PageWrite {
+        let page = &self.pages[&number];
+        PageWrite {
+            page: number,
+            version: page.version,
+            record: page.record(),
         }
-        out
     }
 
-    fn drop_part(&mut self, part: &ChunkId) {
-        if let Some(at) = self.place.remove(part) {
-            self.remove_chunk_from(at, part);
+    fn place_chunk(&mut self, chunk: &ChunkId, page: u32, completed: RangeSet) {
+        self.remove_chunk_from_its_page(chunk);
+        if let Some(others) = self.possible_pages.get_mut(chunk) {
+            others.remove(&page);
+        }
+        self.pages
+            .entry(page)
+            .or_default()
+            .insert_chunk(chunk, completed);
+        self.page_by_chunk.insert(chunk.clone(), page);
+    }
+
+    fn remove_chunk_from_its_page(&mut self, chunk: &ChunkId) {
+        if let Some(page) = self.page_by_chunk.remove(chunk) {
+            self.remove_chunk_from(page, chunk);
         }
     }
 
-    fn remove_chunk_from(&mut self, page: u32, part: &ChunkId) {
+    fn remove_chunk_from(&mut self, page: u32, chunk: &ChunkId) {
         if let Some(page) = self.pages.get_mut(&page) {
-            page.remove_chunk(part);
+            page.remove_chunk(chunk);
         }
     }
 
-    /// Drops a part from the further pages that it may be on.
-    fn remove_chunk_elsewhere(&mut self, part: &ChunkId) {
-        for page in self.also.remove(part).unwrap_or_default() {
-            self.remove_chunk_from(page, part);
+    /// Removes a chunk from the further pages that it may be on.
+    fn remove_chunk_elsewhere(&mut self, chunk: &ChunkId) {
+        for page in self.possible_pages.remove(chunk).unwrap_or_default() {
+            self.remove_chunk_from(page, chunk);
         }
     }
 
-    /// Drops a part from all pages that it may be on.
-    fn remove_chunk_everywhere(&mut self, part: &ChunkId) {
-        self.drop_part(part);
-        self.remove_chunk_elsewhere(part);
+    /// Removes a chunk from all pages that it may be on.
+    fn remove_chunk_everywhere(&mut self, chunk: &ChunkId) {
+        self.remove_chunk_from_its_page(chunk);
+        self.remove_chunk_elsewhere(chunk);
     }
 
-    /// A job is over: its parts are left out of the next write of their pages.
+    /// A job is over: its first `chunks` chunks are left out of the next write of
+    /// their pages.
     pub fn forget_job(&mut self, job: &str, chunks: u32) {
         for chunk in 0..chunks {
-            self.remove_chunk_everywhere(&(job.to_string(), chunk));
+            self.remove_chunk_everywhere(&ChunkId {
+                job: job.to_string(),
+                chunk,
+            });
         }
     }
 
-    /// Gives changed parts their places and returns the pages to write, at
-    /// most `most` of them and `bytes` in all. `ranges` tells a part's present content.
-    pub fn prepare_flush(
-        &mut self,
-        changed: &[ChunkId],
-        most: usize,
-        bytes: usize,
-        ranges: impl Fn(&ChunkId) -> RangeSet,
-    ) -> PageFlush {
-        let mut flush = PageFlush::default();
-        let mut chosen = BTreeSet::new();
-        let mut total = 0;
-        for part in changed {
-            let content = ranges(part);
-            let need = size(part, &content);
-            let here = self.place.get(part).copied();
-            let fits = |page: &CompletionPage, had: usize| page.bytes - had + need <= self.limit;
-            let at = here
-                .filter(|at| {
-                    fits(&self.pages[at], size(part, &self.pages[at].chunks[part]))
-                        || self.pages[at].chunks.len() == 1
-                })
-                .or_else(|| {
-                    let better = |p: &(&u32, &CompletionPage)| !p.1.in_doubt && fits(p.1, 0);
-                    self.pages.iter().find(better).map(|p| *p.0)
-                })
-                .unwrap_or_else(|| (0..).find(|n| !self.pages.contains_key(n)).unwrap_or(0));
-            // Moved, the part goes from both pages in one transaction.
-            let touched: BTreeSet<u32> = here.into_iter().chain([at]).collect();
-            let unsure = |n: &u32| self.pages.get(n).is_some_and(|p| p.in_doubt);
-            if touched.iter().any(unsure) {
-                continue;
-            }
-            let new: Vec<u32> = touched.difference(&chosen).copied().collect();
-            let more: usize = new
-                .iter()
-                .map(|n| self.pages.get(n).map_or(0, |p| p.bytes))
-                .sum::<usize>()
-                + need;
-            if !chosen.is_empty() && (chosen.len() + new.len() > most || total + more > bytes) {
-                continue;
-            }
-            total += more;
-            chosen.extend(new);
-            if let Some(from) = here.filter(|from| *from != at) {
-                let held = self.pages[&from].chunks[part].clone();
-                flush.moved.push((part.clone(), from, held));
-            }
-            self.place_chunk(part, at, content);
-            flush.chunks.insert(part.clone());
-        }
-        flush.writes = chosen
-            .into_iter()
-            .map(|n| PageWrite {
-                page: n,
-                version: self.pages[&n].version,
-                record: self.pages[&n]
-                    .chunks
-                    .iter()
-                    .map(|(p, ranges)| (name(p), ranges.clone()))
-                    .collect(),
-            })
+    /// Keeps only the chunks of jobs that are open.
+    pub fn retain_jobs(&mut self, is_open: impl Fn(&str) -> bool) {
+        let closed: Vec<ChunkId> = self
+            .page_by_chunk
+            .keys()
+            .filter(|chunk| !is_open(&chunk.job))
+            .cloned()
             .collect();
-        flush
-    }
-
-    fn place_chunk(&mut self, part: &ChunkId, at: u32, ranges: RangeSet) {
-        self.drop_part(part);
-        if let Some(others) = self.also.get_mut(part) {
-            others.remove(&at);
+        for chunk in closed {
+            self.remove_chunk_everywhere(&chunk);
         }
-        self.pages.entry(at).or_default().insert_chunk(part, ranges);
-        self.place.insert(part.clone(), at);
     }
 
-    /// Pages that hold nothing any more, to be removed.
+    /// Writes that remove pages without chunks, at most `limit`.
     #[must_use]
-    pub fn empty_pages(&self, most: usize) -> Vec<PageWrite> {
+    pub fn empty_pages(&self, limit: usize) -> Vec<PageWrite> {
         self.pages
             .iter()
-            .filter(|(_, p)| p.chunks.is_empty() && p.version > 0 && !p.in_doubt)
-            .take(most)
-            .map(|(n, p)| PageWrite {
-                page: *n,
-                version: p.version,
-                record: CompletionPageRecord::new(),
-            })
+            .filter(|(_, page)| page.chunks.is_empty() && page.version > 0 && !page.in_doubt)
+            .take(limit)
+            .map(|(number, _)| self.page_write(*number))
             .collect()
     }
 
-    /// A write was made at `revision`.
+    /// A write succeeded at `revision`.
     pub fn mark_written(&mut self, write: &PageWrite, revision: u64) {
         let Some(page) = self.pages.get_mut(&write.page) else {
             return;
@@ -244,35 +374,45 @@
         if page.version == 0 && page.chunks.is_empty() {
             self.pages.remove(&write.page);
         }
-        let settled = |p: &&ChunkId| self.place.get(*p) == Some(&write.page);
-        let settled: Vec<ChunkId> = self.also.keys().filter(settled).cloned().collect();
-        for part in settled {
-            self.remove_chunk_elsewhere(&part);
+        let is_settled = |chunk: &&ChunkId| self.page_by_chunk.get(*chunk) == Some(&write.page);
+        let settled: Vec<ChunkId> = self
+            .possible_pages
+            .keys()
+            .filter(is_settled)
+            .cloned()
+            .collect();
+        for chunk in settled {
+            self.remove_chunk_elsewhere(&chunk);
         }
     }
 
-    /// The flush was not made: what it moved stays where it was. Or (`doubt`) it
-    /// may have been, or failed for a page's version: then what it moved is on both
-    /// pages, lest the next write of either drop what the other has not.
-    pub fn mark_flush_failed(&mut self, flush: &PageFlush, doubt: bool) {
-        for (part, from, held) in &flush.moved {
-            if !self.place.contains_key(part) {
+    /// A flush failed: the chunks that it moved go back to their pages. If it is
+    /// `in_doubt` (it may have succeeded, or failed for a page's version) they are
+    /// kept on both pages, so that the next write of neither drops what the other
+    /// does not have.
+    pub fn mark_flush_failed(&mut self, flush: &PageFlush, in_doubt: bool) {
+        for moved in &flush.moved {
+            let chunk = &moved.chunk;
+            if !self.page_by_chunk.contains_key(chunk) {
                 continue;
             }
-            if doubt {
-                let page = self.pages.entry(*from).or_default();
-                page.insert_chunk(part, held.clone());
-                self.also.entry(part.clone()).or_default().insert(*from);
+            if in_doubt {
+                let page = self.pages.entry(moved.from_page).or_default();
+                page.insert_chunk(chunk, moved.completed.clone());
+                self.possible_pages
+                    .entry(chunk.clone())
+                    .or_default()
+                    .insert(moved.from_page);
             } else {
-                self.place_chunk(part, *from, held.clone());
+                self.place_chunk(chunk, moved.from_page, moved.completed.clone());
             }
         }
-        if doubt {
+        if in_doubt {
             self.mark_in_doubt(&flush.writes);
         }
     }
 
-    /// These writes may have been made, or failed for a page's version.
+    /// These writes may have succeeded, or failed for a page's version.
     pub fn mark_in_doubt(&mut self, writes: &[PageWrite]) {
         for write in writes {
             if let Some(page) = self.pages.get_mut(&write.page) {
@@ -281,23 +421,18 @@
         }
     }
 
-    /// Keeps only the parts of jobs that are open.
-    pub fn retain_jobs(&mut self, open: impl Fn(&str) -> bool) {
-        let over: Vec<ChunkId> = self.place.keys().filter(|p| !open(&p.0)).cloned().collect();
-        for part in over {
-            self.remove_chunk_everywhere(&part);
-        }
-    }
-
     /// Pages whose version must be read.
     #[must_use]
     pub fn pages_in_doubt(&self) -> Vec<u32> {
-        let unsure = self.pages.iter().filter(|p| p.1.in_doubt);
-        unsure.map(|p| *p.0).collect()
+        self.pages
+            .iter()
+            .filter(|(_, page)| page.in_doubt)
+            .map(|(number, _)| *number)
+            .collect()
     }
 
-    /// A page's version was read. A late write of the old one can't land after
-    /// the next, since both are conditioned on the version.
+    /// A page's version was read. A late write conditioned on the old version can't
+    /// succeed after the next one, which is conditioned on this version.
     pub fn resolve_version(&mut self, page: u32, version: u64) {
         if let Some(page) = self.pages.get_mut(&page) {
             page.version = version;
@@ -307,106 +442,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    const LIMIT: usize = 220;
-
-    /// What the state service has: record and version by page.
-    type Kept = BTreeMap<u32, (CompletionPageRecord, u64)>;
-
-    fn keep(kept: &mut Kept, write: &PageWrite, revision: u64) {
-        if write.record.is_empty() {
-            kept.remove(&write.page);
-        } else {
-            kept.insert(write.page, (write.record.clone(), revision));
-        }
-    }
-
-    fn union(kept: &Kept) -> BTreeMap<String, BTreeSet<u32>> {
-        let mut out: BTreeMap<String, BTreeSet<u32>> = BTreeMap::new();
-        for (record, _) in kept.values() {
-            for (part, ranges) in record {
-                out.entry(part.clone()).or_default().extend(ranges.iter());
-            }
-        }
-        out
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
-        // What was once durable stays so, whatever becomes of later writes and
-        // wherever parts move; a page never outgrows its limit while it holds
-        // several parts, also when not all that has changed is written at once: with
-        // an array of 25,000 tasks a page was too large for the state service.
-        #[test]
-        fn what_is_durable_stays_so(steps in prop::collection::vec((0usize..6, 0u32..60, 0u8..5), 1..80)) {
-            let mut pages = CompletionPages::new(LIMIT);
-            let mut kept = Kept::new();
-            let mut finished: BTreeMap<ChunkId, RangeSet> = BTreeMap::new();
-            let mut dirty: BTreeSet<ChunkId> = BTreeSet::new();
-            let mut durable: BTreeMap<String, BTreeSet<u32>> = BTreeMap::new();
-            let mut revision = 10;
-            for (job, task, what) in steps {
-                let part: ChunkId = (format!("req-{job}"), 0);
-                finished.entry(part.clone()).or_default().insert(task * 2);
-                dirty.insert(part);
-                let changed: Vec<ChunkId> = dirty.iter().cloned().collect();
-                let flush = pages.prepare_flush(&changed, 3, if task % 2 == 0 { 300 } else { 10_000 }, |p| finished[p].clone());
-                prop_assert!(flush.writes.len() <= 3);
-                for write in &flush.writes {
-                    let bytes = serde_json::to_string(&write.record).unwrap().len();
-                    prop_assert!(bytes <= LIMIT + 8 || write.record.len() == 1, "{bytes} bytes");
-                    let version = kept.get(&write.page).map_or(0, |k| k.1);
-                    prop_assert_eq!(write.version, version, "conditioned on what is there");
-                }
-                revision += 1;
-                // 0: refused. 1: made, but the answer is lost. Else made.
-                if what > 0 {
-                    for write in &flush.writes { keep(&mut kept, write, revision); }
-                }
-                match what {
-                    0 => pages.mark_flush_failed(&flush, false),
-                    1 => {
-                        pages.mark_flush_failed(&flush, true);
-                        for page in pages.pages_in_doubt() {
-                            let version = kept.get(&page).map_or(0, |k| k.1);
-                            pages.resolve_version(page, version);
-                        }
-                    }
-                    _ => {
-                        for write in &flush.writes { pages.mark_written(write, revision); }
-                        for part in &flush.chunks {
-                            durable.insert(name(part), finished[part].iter().collect());
-                            dirty.remove(part);
-                        }
-                    }
-                }
-                for page in pages.pages.values() {
-                    let bytes: usize = page.chunks.iter().map(|(p, r)| size(p, r)).sum();
-                    prop_assert_eq!(page.bytes, bytes);
-                }
-                let there = union(&kept);
-                for (part, tasks) in &durable {
-                    prop_assert!(there.get(part).is_some_and(|t| t.is_superset(tasks)), "{part} lost tasks");
-                }
-            }
-        }
-    }
-
-    #[test]
-    fn pages_of_jobs_that_are_over_are_removed() {
-        let mut pages = CompletionPages::new(LIMIT);
-        let part: ChunkId = ("req-1".into(), 0);
-        let flush =
-            pages.prepare_flush(std::slice::from_ref(&part), 3, 1000, |_| RangeSet::first(3));
-        pages.mark_written(&flush.writes[0], 7);
-        assert!(pages.empty_pages(9).is_empty());
-        pages.forget_job("req-1", 1);
-        let empty = pages.empty_pages(9);
-        assert_eq!((empty.len(), empty[0].version), (1, 7));
-        pages.mark_written(&empty[0], 8);
-        assert!(pages.empty_pages(9).is_empty());
-    }
-}
+mod tests;
--- a/crates/tallygauge-scheduler/src/heartbeats.rs
+++ b/crates/tallygauge-scheduler/src/heartbeats.rs
@@ -106,13 +106,7 @@
             worker.direct_failures = 0;
         }
         // It lives after all.
-        if matches!(
-            worker.leaving,
-            Some((LeaveReason::BootTimeout | LeaveReason::Silent, _))
-        ) && !worker.return_sent
-        {
-            worker.leaving = None;
-        }
+        worker.revoke_leave(&[LeaveReason::BootTimeout, LeaveReason::Silent]);
         let same_session = report.incarnation == worker.incarnation;
         if report.incarnation > worker.incarnation {
             self.needs_scheduling = true;
@@ -187,9 +181,7 @@
     /// What is sent to a machine reaches it.
     fn confirm_reachable(worker: &mut Worker) {
         worker.reachability.confirm();
-        if matches!(worker.leaving, Some((LeaveReason::Unreachable, _))) && !worker.return_sent {
-            worker.leaving = None;
-        }
+        worker.revoke_leave(&[LeaveReason::Unreachable]);
     }
 
     /// Weighs what a new report says of its worker's hearing: whether it shows
@@ -332,11 +324,15 @@
         name: &str,
         session: u64,
         task: &TaskStatus,
-        strays: &mut Vec<(String, u64, bool)>,
+        strays: &mut Vec<OrphanedAttempt>,
     ) {
         let ended = task.state == TaskState::Ended;
         let Some((id, index)) = parse_task_name(&task.task) else {
-            strays.push((task.task.clone(), task.attempt, ended));
+            strays.push(OrphanedAttempt {
+                task: task.task.clone(),
+                attempt: task.attempt,
+                ended,
+            });
             return;
         };
         let Some(worker) = self.workers.get_mut(name) else {
@@ -352,7 +348,11 @@
                 // Not placed by anyone on record. Of an open job it is taken
                 // in, so that it is counted; else it is stopped and cleared.
                 let Some(job) = self.jobs.get(id).filter(|j| index < j.spec.tasks) else {
-                    strays.push((task.task.clone(), task.attempt, ended));
+                    strays.push(OrphanedAttempt {
+                        task: task.task.clone(),
+                        attempt: task.attempt,
+                        ended,
+                    });
                     return;
                 };
                 let mut held = Attempt::new(job.spec.clone(), index, task.attempt, session, now);
@@ -361,8 +361,10 @@
                 self.add_attempt(name, held);
                 // On record nowhere, the next leader would not know of it.
                 if !ended {
-                    self.unbatched_attempts
-                        .push((name.to_string(), task.attempt));
+                    self.unbatched_attempts.push(UnbatchedAttempt {
+                        worker: name.to_string(),
+                        attempt: task.attempt,
+                    });
                 }
                 match self.workers.get(name) {
                     Some(w) => w.attempts.len() - 1,
@@ -470,7 +472,10 @@
                 }
                 // Finished under an earlier leader, its end is durable.
                 if job.unsaved_chunks.contains(&chunk) {
-                    job.unsaved_completions.push((held.index, name.to_string()));
+                    job.unsaved_completions.push(UnsavedCompletion {
+                        index: held.index,
+                        worker: name.to_string(),
+                    });
                     self.jobs_with_unsaved_progress.insert(held.spec.id.clone());
                 } else if let Some(worker) = self.workers.get_mut(name) {
                     worker.attempts[at].end_durable = true;
@@ -535,8 +540,8 @@
                     && let Some(worker) = self.workers.get_mut(name)
                 {
                     worker.failed_jobs.insert(held.spec.id.clone());
-                    if worker.failed_jobs.len() >= 2 && worker.leaving.is_none() {
-                        worker.leaving = Some((LeaveReason::Faulty, now));
+                    if worker.failed_jobs.len() >= 2 {
+                        worker.leave(LeaveReason::Faulty, now);
                     }
                 }
             }
@@ -573,19 +578,21 @@
             .run_times_by_machine
             .entry(name.to_string())
             .or_default();
-        here.0 += whole;
-        here.1 += 1;
-        let (sum, count) = job
+        here.add(whole);
+        let mut others = SampleSum::default();
+        for (_, samples) in job
             .run_times_by_machine
             .iter()
             .filter(|(other, _)| *other != name)
-            .fold((0.0, 0), |a, (_, m)| (a.0 + m.0, a.1 + m.1));
-        if count >= 2
-            && sum > 0.0
+        {
+            others.sum += samples.sum;
+            others.count += samples.count;
+        }
+        if others.count >= 2
+            && others.sum > 0.0
             && let Some(worker) = self.workers.get_mut(name)
         {
-            worker.runtime_ratio.0 += whole / (sum / f64::from(count));
-            worker.runtime_ratio.1 += 1;
+            worker.runtime_ratio.add(whole / others.mean());
         }
     }
 
--- a/crates/tallygauge-scheduler/src/lib.rs
+++ b/crates/tallygauge-scheduler/src/lib.rs
@@ -38,7 +38,7 @@
 pub use placements::PlacementBatch;
 pub use progress::{Completion, Flush};
 pub use range_set::RangeSet;
-pub use scale_out::{MachineKind, Rental};
+pub use scale_out::Rental;
 pub use tallygauge_deadlines::{CutoffDays, CutoffRule, DeadlineTracker as CalendarBook};
 pub use tallygauge_fairness::{GroupKind, ServiceCountsRecord as FloorRecord};
 pub use tallygauge_health::{Reachability, SequenceMark};
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -70,7 +70,7 @@
                 next_direct_message_at: f64::NEG_INFINITY,
                 idle_since: now,
                 failed_jobs: BTreeSet::new(),
-                runtime_ratio: (0.0, 0),
+                runtime_ratio: SampleSum::default(),
             });
         if worker.endpoint.is_empty() {
             worker.endpoint = endpoint.to_string();
@@ -104,8 +104,7 @@
             if m.state == MachineState::Running {
                 worker.booted_at.get_or_insert(now);
             }
-            if m.state == MachineState::Failed && worker.leaving.is_none() {
-                worker.leaving = Some((LeaveReason::Failed, now));
+            if m.state == MachineState::Failed && worker.leave(LeaveReason::Failed, now) {
                 worker.last_dead_incarnation = worker.last_dead_incarnation.max(worker.incarnation);
                 self.end_incarnation(&m.name, u64::MAX, now);
             }
@@ -221,9 +220,7 @@
         if deaf.is_some_and(|s| s > cfg.lease_s * SILENT_LEASES) {
             return Some(LeaveReason::Unreachable);
         }
-        if worker.runtime_ratio.1 >= 3
-            && worker.runtime_ratio.0 / f64::from(worker.runtime_ratio.1) > 1.8
-        {
+        if worker.runtime_ratio.count >= 3 && worker.runtime_ratio.mean() > 1.8 {
             return Some(LeaveReason::Slow);
         }
         // Who was not heard of since the stop was not answered since either: by
@@ -257,10 +254,9 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if worker.leaving.is_none()
-            && let Some(reason) = reason
+        if let Some(reason) = reason
+            && worker.leave(reason, now)
         {
-            worker.leaving = Some((reason, now));
             self.events
                 .push((true, format!("{name} is given up: {reason:?}")));
         }
@@ -291,7 +287,7 @@
                         at: now,
                     });
                 }
-            } else if let Some((reason, _)) = leaving {
+            } else if let Some(LeaveDecision { reason, .. }) = leaving {
                 let saves = held.spec.checkpoint_every_s > 0.0;
                 let at_once = matches!(reason, LeaveReason::Unconfirmed | LeaveReason::Faulty);
                 if saves
--- a/crates/tallygauge-scheduler/src/mapping/mod.rs
+++ b/crates/tallygauge-scheduler/src/mapping/mod.rs
@@ -254,7 +254,10 @@
                 format!("{id} waits no more after {after:.1} s: {class}, {tasks} tasks{large}");
             self.events.push((false, text));
         }
-        self.unbatched_attempts.push((worker.to_string(), attempt));
+        self.unbatched_attempts.push(UnbatchedAttempt {
+            worker: worker.to_string(),
+            attempt,
+        });
     }
 }
 
--- a/crates/tallygauge-scheduler/src/minimum_share.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share.rs
@@ -266,7 +266,11 @@
         for t in self.machine_types.values() {
             for zone in &t.zones {
                 for spot in [true, false] {
-                    let kind = (t.name.clone(), zone.clone(), spot);
+                    let kind = MachineKind {
+                        machine_type: t.name.clone(),
+                        zone: zone.clone(),
+                        spot,
+                    };
                     if !self.capacity_backoff.contains_key(&kind) {
                         kinds.insert((&t.name, zone, spot));
                     }
--- a/crates/tallygauge-scheduler/src/model/attempt.rs
+++ b/crates/tallygauge-scheduler/src/model/attempt.rs
@@ -34,6 +34,15 @@
     Duplicate,
 }
 
+/// An attempt that is to go into the next placement batch.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct UnbatchedAttempt {
+    /// Worker that it is on.
+    pub(crate) worker: String,
+    /// Number of the attempt.
+    pub(crate) attempt: u64,
+}
+
 /// A stop that was decided on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StopDecision {
--- a/crates/tallygauge-scheduler/src/model/capacity.rs
+++ b/crates/tallygauge-scheduler/src/model/capacity.rs
@@ -20,6 +20,26 @@
         && spec.memory_gb <= memory_gb + EPSILON
 }
 
+/// What is asked for when a machine is rented.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct MachineKind {
+    /// Machine type.
+    pub machine_type: String,
+    /// Zone.
+    pub zone: String,
+    /// Whether it is a spot instance.
+    pub spot: bool,
+}
+
+/// Backoff of rentals of one kind of machine after the cloud lacked capacity.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub(crate) struct CapacityBackoff {
+    /// No rental before this time.
+    pub(crate) until: f64,
+    /// Refusals in a row, as far as they lengthen the backoff.
+    pub(crate) refusals: u32,
+}
+
 /// An amount of a machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
--- a/crates/tallygauge-scheduler/src/model/job.rs
+++ b/crates/tallygauge-scheduler/src/model/job.rs
@@ -1,5 +1,6 @@
 //! An open job and what is known of its tasks.
 
+use super::SampleSum;
 use crate::range_set::RangeSet;
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,6 +24,15 @@
     pub avoid_machine: Option<String>,
 }
 
+/// A finished task whose end is not durable yet.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct UnsavedCompletion {
+    /// Number of the task.
+    pub index: u32,
+    /// Worker that reported its end.
+    pub worker: String,
+}
+
 /// An open job.
 #[derive(Debug, Clone)]
 pub struct Job {
@@ -43,7 +53,7 @@
     /// Chunks of `finished` that are not durable yet.
     pub unsaved_chunks: BTreeSet<u32>,
     /// Ends that wait to be made durable: task and worker.
-    pub unsaved_completions: Vec<(u32, String)>,
+    pub unsaved_completions: Vec<UnsavedCompletion>,
     /// Tasks that wait and have nothing of their own.
     pub pending: RangeSet,
     /// Tasks that wait and have, by number.
@@ -57,7 +67,7 @@
     /// Failures since the last success.
     pub consecutive_failures: u32,
     /// Run times of its tasks by machine: sum and number.
-    pub run_times_by_machine: BTreeMap<String, (f64, u32)>,
+    pub run_times_by_machine: BTreeMap<String, SampleSum>,
     /// Tasks of which no attempt has run for long enough to count, as far as
     /// this leader knows.
     pub unstarted: RangeSet,
--- a/crates/tallygauge-scheduler/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -26,6 +26,49 @@
     Unreachable,
 }
 
+/// A decision to return a machine to the cloud.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct LeaveDecision {
+    /// Why.
+    pub reason: LeaveReason,
+    /// When it was made, in seconds of the leader's steady clock.
+    pub at: f64,
+}
+
+/// An attempt that a worker reports but no leader placed there.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct OrphanedAttempt {
+    /// Name of the task as the worker reports it.
+    pub task: String,
+    /// Number of the attempt.
+    pub attempt: u64,
+    /// Whether it is over: then the worker is told to forget it, else to stop it.
+    pub ended: bool,
+}
+
+/// Sum and number of some measurements.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct SampleSum {
+    /// Sum of the measurements.
+    pub sum: f64,
+    /// Their number.
+    pub count: u32,
+}
+
+impl SampleSum {
+    /// Adds a measurement.
+    pub fn add(&mut self, value: f64) {
+        self.sum += value;
+        self.count += 1;
+    }
+
+    /// The mean; not a number while there are no measurements.
+    #[must_use]
+    pub fn mean(&self) -> f64 {
+        self.sum / f64::from(self.count)
+    }
+}
+
 /// A machine, and the worker on it.
 #[derive(Debug, Clone)]
 pub struct Worker {
@@ -74,13 +117,13 @@
     /// Attempts on it.
     pub attempts: Vec<Attempt>,
     /// Attempts on it that nobody placed: stopped and cleared.
-    pub orphaned_attempts: Vec<(String, u64, bool)>,
+    pub orphaned_attempts: Vec<OrphanedAttempt>,
     /// Free room.
     pub free_resources: Resources,
     /// Images that it has or fetches.
     pub images: ImageCache,
     /// To be returned, and since when.
-    pub leaving: Option<(LeaveReason, f64)>,
+    pub leaving: Option<LeaveDecision>,
     /// More than open work needs: the last choice for new tasks, and returned
     /// as soon as it is empty.
     pub surplus: bool,
@@ -97,7 +140,7 @@
     /// Jobs that failed on it since the last success.
     pub failed_jobs: BTreeSet<String>,
     /// Sum of measured over expected run times, and their number.
-    pub runtime_ratio: (f64, u32),
+    pub runtime_ratio: SampleSum,
 }
 
 impl Worker {
@@ -114,6 +157,25 @@
                 .accepts_work(now, &cfg.reachability_thresholds())
     }
 
+    /// Decides to return the machine, unless that is decided already. Returns
+    /// whether the decision is new.
+    pub(crate) fn leave(&mut self, reason: LeaveReason, now: f64) -> bool {
+        if self.leaving.is_some() {
+            return false;
+        }
+        self.leaving = Some(LeaveDecision { reason, at: now });
+        true
+    }
+
+    /// Revokes the decision to return the machine if it was made for one of
+    /// these reasons and the return was not sent yet.
+    pub(crate) fn revoke_leave(&mut self, reasons: &[LeaveReason]) {
+        let revocable = self.leaving.is_some_and(|l| reasons.contains(&l.reason));
+        if revocable && !self.return_sent {
+            self.leaving = None;
+        }
+    }
+
     /// Whether it has reported to this leader.
     #[must_use]
     pub fn is_up(&self) -> bool {
--- a/crates/tallygauge-scheduler/src/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/pending_reasons.rs
@@ -165,18 +165,20 @@
                 coming,
                 leaving,
             });
-            let refused = self
-                .capacity_backoff
-                .iter()
-                .filter(|((t, zone, spot), (until, _))| {
-                    *until > now
-                        && job.allows(t, zone, *spot, &job.attempts_by_zone)
-                        && self
-                            .machine_types
-                            .get(t)
-                            .is_some_and(|t| Resources::of_type(t).can_fit(spec))
-                });
-            let untils: Vec<f64> = refused.map(|(_, (until, _))| *until).collect();
+            let refused = self.capacity_backoff.iter().filter(|(kind, backoff)| {
+                backoff.until > now
+                    && job.allows(
+                        &kind.machine_type,
+                        &kind.zone,
+                        kind.spot,
+                        &job.attempts_by_zone,
+                    )
+                    && self
+                        .machine_types
+                        .get(&kind.machine_type)
+                        .is_some_and(|t| Resources::of_type(t).can_fit(spec))
+            });
+            let untils: Vec<f64> = refused.map(|(_, backoff)| backoff.until).collect();
             if let Some(first) = untils.iter().copied().reduce(f64::min) {
                 reasons.push(PendingReason::NoCapacity {
                     kinds: untils.len(),
--- a/crates/tallygauge-scheduler/src/placements.rs
+++ b/crates/tallygauge-scheduler/src/placements.rs
@@ -134,8 +134,11 @@
         time_of_day: f64,
     ) -> Vec<PlacementBatch> {
         let mut planned: BTreeMap<String, BTreeSet<u64>> = BTreeMap::new();
-        for (worker, attempt) in std::mem::take(&mut self.unbatched_attempts) {
-            planned.entry(worker).or_default().insert(attempt);
+        for unbatched in std::mem::take(&mut self.unbatched_attempts) {
+            planned
+                .entry(unbatched.worker)
+                .or_default()
+                .insert(unbatched.attempt);
         }
         let mut out: Vec<PlacementBatch> = Vec::new();
         let mut used = usize::MAX;
@@ -285,7 +288,10 @@
             };
             for held in worker.attempts.iter().filter(|h| h.is_unrecorded()) {
                 if batch.contains(w, held) {
-                    self.unbatched_attempts.push((w.name.clone(), held.number));
+                    self.unbatched_attempts.push(UnbatchedAttempt {
+                        worker: w.name.clone(),
+                        attempt: held.number,
+                    });
                 }
             }
         }
--- a/crates/tallygauge-scheduler/src/progress.rs
+++ b/crates/tallygauge-scheduler/src/progress.rs
@@ -23,8 +23,8 @@
 pub struct Flush {
     /// Pages to be written.
     pub pages: PageFlush,
-    /// What of each changed part they hold.
-    parts: Vec<(ChunkId, RangeSet)>,
+    /// Completed tasks of each changed chunk, as the pages have them.
+    chunks: Vec<(ChunkId, RangeSet)>,
 }
 
 impl ClusterState {
@@ -52,26 +52,32 @@
         let mut changed: Vec<ChunkId> = Vec::new();
         for id in &self.jobs_with_unsaved_progress {
             if let Some(job) = self.jobs.get(id).filter(|j| !j.is_complete()) {
-                changed.extend(job.unsaved_chunks.iter().map(|c| (id.clone(), *c)));
+                changed.extend(job.unsaved_chunks.iter().map(|chunk| ChunkId {
+                    job: id.clone(),
+                    chunk: *chunk,
+                }));
             }
         }
         if changed.is_empty() {
             return None;
         }
-        let (jobs, chunk) = (&self.jobs, self.tasks_per_chunk);
-        let content = |part: &ChunkId| match jobs.get(&part.0) {
-            Some(job) => job.completed.within(part.1 * chunk, (part.1 + 1) * chunk),
+        let (jobs, tasks_per_chunk) = (&self.jobs, self.tasks_per_chunk);
+        let content = |id: &ChunkId| match jobs.get(&id.job) {
+            Some(job) => {
+                let first = id.chunk * tasks_per_chunk;
+                job.completed.within(first, first + tasks_per_chunk)
+            }
             None => RangeSet::default(),
         };
         let pages = self
             .completion_pages
             .prepare_flush(&changed, most, bytes, content);
-        let parts: Vec<(ChunkId, RangeSet)> = pages
+        let chunks: Vec<(ChunkId, RangeSet)> = pages
             .chunks
             .iter()
-            .map(|p| (p.clone(), content(p)))
+            .map(|id| (id.clone(), content(id)))
             .collect();
-        Some(Flush { pages, parts })
+        Some(Flush { pages, chunks })
     }
 
     /// A flush was made at `revision`: its tasks may be cleared.
@@ -80,24 +86,24 @@
             self.completion_pages.mark_written(write, revision);
         }
         let mut ends = Vec::new();
-        for ((id, number), written) in &flush.parts {
+        for (ChunkId { job: id, chunk }, written) in &flush.chunks {
             let Some(job) = self.jobs.get_mut(id) else {
                 continue;
             };
-            let low = number * self.tasks_per_chunk;
+            let low = chunk * self.tasks_per_chunk;
             if job.completed.within(low, low + self.tasks_per_chunk) == *written {
-                job.unsaved_chunks.remove(number);
+                job.unsaved_chunks.remove(chunk);
             }
             let saved = job
                 .unsaved_completions
-                .extract_if(.., |u| written.contains(u.0));
-            ends.extend(saved.map(|(index, worker)| (id.as_str(), index, worker)));
+                .extract_if(.., |u| written.contains(u.index));
+            ends.extend(saved.map(|completion| (id.as_str(), completion)));
             if job.unsaved_chunks.is_empty() && !job.is_complete() {
                 self.jobs_with_unsaved_progress.remove(id);
             }
         }
-        for (id, index, worker) in ends {
-            self.mark_end_durable(id, index, &worker);
+        for (id, completion) in ends {
+            self.mark_end_durable(id, completion.index, &completion.worker);
         }
     }
 
--- a/crates/tallygauge-scheduler/src/scale_out.rs
+++ b/crates/tallygauge-scheduler/src/scale_out.rs
@@ -7,9 +7,6 @@
     users::JobSpec,
 };
 
-/// Type, zone, and whether spot.
-pub type MachineKind = (String, String, bool);
-
 /// Machines to ask for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rental {
@@ -62,13 +59,13 @@
     /// The cloud had fewer machines of a kind than were asked for: it is not
     /// asked again for a while, growing with each refusal.
     pub fn record_no_capacity(&mut self, kind: &MachineKind, now: f64) {
-        let boot = self.machine_types.get(&kind.0).map_or(30.0, |t| t.boot_s);
-        let entry = self
-            .capacity_backoff
-            .entry(kind.clone())
-            .or_insert((0.0, 0));
-        entry.1 = (entry.1 + 1).min(3);
-        entry.0 = now + boot * 0.1 * f64::from(1u32 << entry.1);
+        let boot = self
+            .machine_types
+            .get(&kind.machine_type)
+            .map_or(30.0, |t| t.boot_s);
+        let backoff = self.capacity_backoff.entry(kind.clone()).or_default();
+        backoff.refusals = (backoff.refusals + 1).min(3);
+        backoff.until = now + boot * 0.1 * f64::from(1u32 << backoff.refusals);
     }
 
     /// The cloud had all that was asked for.
@@ -144,7 +141,11 @@
             .new
             .into_iter()
             .map(|((machine_type, zone, spot), count)| Rental {
-                kind: (machine_type.to_string(), zone.to_string(), spot),
+                kind: MachineKind {
+                    machine_type: machine_type.to_string(),
+                    zone: zone.to_string(),
+                    spot,
+                },
                 count: count.min(MAX_MACHINES_PER_RENTAL),
             })
             .collect();
@@ -307,8 +308,16 @@
                     if !job.allows(&t.name, zone, spot, &job.attempts_by_zone) {
                         continue;
                     }
-                    let kind = (t.name.clone(), zone.clone(), spot);
-                    if self.capacity_backoff.get(&kind).is_some_and(|b| b.0 > now) {
+                    let kind = MachineKind {
+                        machine_type: t.name.clone(),
+                        zone: zone.clone(),
+                        spot,
+                    };
+                    if self
+                        .capacity_backoff
+                        .get(&kind)
+                        .is_some_and(|b| b.until > now)
+                    {
                         continue;
                     }
                     let price = if spot {
@@ -354,14 +363,14 @@
                 && worker.fencing_token_seen_at.is_some()
                 && (usable_for > boot_s * patience || worker.surplus)
             {
-                worker.leaving = Some((LeaveReason::Idle, now));
+                worker.leave(LeaveReason::Idle, now);
             }
             // Done tasks whose end is not durable yet would run again.
             let unsaved = worker
                 .attempts
                 .iter()
                 .any(|h| !h.occupies_capacity() && !h.end_durable);
-            let Some((reason, since)) = worker.leaving else {
+            let Some(LeaveDecision { reason, at: since }) = worker.leaving else {
                 continue;
             };
             let forced = match reason {
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -37,7 +37,7 @@
         c.record_heartbeat_response("sa", &[], now);
         c.advance_time(now);
     }
-    let leaving = c.workers["sa"].leaving.map(|l| l.0);
+    let leaving = c.workers["sa"].leaving.map(|l| l.reason);
     assert_eq!(leaving, Some(LeaveReason::Unconfirmed));
 }
 
@@ -60,7 +60,7 @@
     // taken for such that never came up, and returned with their tasks.
     let mut c = cluster(&[], 100.0);
     let old = listed(MachineState::Booting);
-    let leaving = |c: &ClusterState| c.workers["sa"].leaving.map(|l| l.0);
+    let leaving = |c: &ClusterState| c.workers["sa"].leaving.map(|l| l.reason);
     c.apply_machine_list(std::slice::from_ref(&old), 100.5, 100.5);
     c.advance_time(101.0);
     assert_eq!(leaving(&c), None);
@@ -82,7 +82,7 @@
     let mut c = cluster(&[], 100.0);
     let running = listed(MachineState::Running);
     c.apply_machine_list(&[running], 101.0, 101.0);
-    let leaving = |c: &ClusterState| c.workers["sa"].leaving.map(|l| l.0);
+    let leaving = |c: &ClusterState| c.workers["sa"].leaving.map(|l| l.reason);
     for now in [125.0, 150.0, 175.0] {
         c.advance_time(now);
         assert_eq!(leaving(&c), None, "at {now}");
@@ -195,7 +195,11 @@
             );
         }
         c.advance_time(now);
-        let slow = |m: &str| matches!(c.workers[m].leaving, Some((LeaveReason::Slow, _)));
+        let slow = |m: &str| {
+            c.workers[m]
+                .leaving
+                .is_some_and(|l| l.reason == LeaveReason::Slow)
+        };
         assert!(!slow("l1a"));
         assert_eq!(slow("l2b"), turn == 1, "three times as slow as the other");
     }
@@ -249,7 +253,7 @@
     }
     // Two types, two zones, spot or not; the cheapest first.
     assert_eq!(seen.len(), 8);
-    assert!(seen[0].2 && seen[0].0 == "small");
+    assert!(seen[0].spot && seen[0].machine_type == "small");
     assert!(c.rentals(100.0).is_empty());
     assert!(!c.rentals(200.0).is_empty(), "asked again later");
 }
@@ -330,14 +334,26 @@
     c.add_job(spec(2, 3, 12.0), 1, 95.0, &RangeSet::default());
     assert!(round(&mut c, 100.0).is_empty());
     // While large machines can be had, those are asked for.
-    assert!(c.rentals(100.0).iter().all(|r| r.kind.0 == "large"));
+    assert!(
+        c.rentals(100.0)
+            .iter()
+            .all(|r| r.kind.machine_type == "large")
+    );
     for zone in ["a", "b"] {
         for spot in [true, false] {
-            c.record_no_capacity(&("large".into(), zone.into(), spot), 100.0);
+            let kind = MachineKind {
+                machine_type: "large".into(),
+                zone: zone.into(),
+                spot,
+            };
+            c.record_no_capacity(&kind, 100.0);
         }
     }
     let rentals = c.rentals(100.0);
-    assert!(rentals.iter().all(|r| r.kind.0 == "small"), "{rentals:?}");
+    assert!(
+        rentals.iter().all(|r| r.kind.machine_type == "small"),
+        "{rentals:?}"
+    );
     // As many as the small tasks on the large machine need.
     let there = &c.workers["l1a"].attempts;
     let misplaced = there.len() as u32;
--- a/crates/tallygauge-scheduler/src/tests/reachability.rs
+++ b/crates/tallygauge-scheduler/src/tests/reachability.rs
@@ -118,7 +118,7 @@
     let left_at = left_at.expect("it stays deaf and is returned");
     assert!(left_at < 102.0 + lease * 6.0, "{left_at}");
     assert_eq!(
-        c.workers["sa"].leaving.map(|l| l.0),
+        c.workers["sa"].leaving.map(|l| l.reason),
         Some(LeaveReason::Unreachable)
     );
     // Its sessions ended, and what it was thought to hold is back.
--- a/crates/tallygauge-scheduler/src/tests/recovery.rs
+++ b/crates/tallygauge-scheduler/src/tests/recovery.rs
@@ -46,11 +46,11 @@
     let mut done: HashMap<String, RangeSet> = HashMap::new();
     for (page, version, record) in rows("f/") {
         let page = page.parse().unwrap();
-        for ((id, _), ranges) in cluster
+        for (chunk, ranges) in cluster
             .completion_pages
             .restore(page, version, value(&record))
         {
-            done.entry(id).or_default().extend(&ranges, u32::MAX);
+            done.entry(chunk.job).or_default().extend(&ranges, u32::MAX);
         }
     }
     for (id, version, record) in rows("o/") {
--- a/crates/tallygauge/src/cloud.rs
+++ b/crates/tallygauge/src/cloud.rs
@@ -14,7 +14,7 @@
     Catalogue, MAX_MACHINES_PER_PAGE, MAX_MACHINES_PER_RETURN, MachineNames, MachinePage,
     MachineType, RentRequest,
 };
-use tallygauge_scheduler::LeaveReason;
+use tallygauge_scheduler::{LeaveReason, MachineKind};
 use tallygauge_store::{http::RequestError, is_first_occurrence};
 use tokio::time::Instant;
 use warp::http::{Method, StatusCode};
@@ -225,9 +225,9 @@
                 PendingRental {
                     request: RentRequest {
                         request_id: format!("{}-{term}-{booked}", controller.settings.node_name),
-                        machine_type: rental.kind.0,
-                        zone: rental.kind.1,
-                        spot: rental.kind.2,
+                        machine_type: rental.kind.machine_type,
+                        zone: rental.kind.zone,
+                        spot: rental.kind.spot,
                         count: rental.count,
                     },
                     tries: 0,
@@ -249,11 +249,11 @@
 
 async fn rent(controller: &Controller, mut pending: PendingRental) -> Option<PendingRental> {
     let request = &pending.request;
-    let kind = (
-        request.machine_type.clone(),
-        request.zone.clone(),
-        request.spot,
-    );
+    let kind = MachineKind {
+        machine_type: request.machine_type.clone(),
+        zone: request.zone.clone(),
+        spot: request.spot,
+    };
     let answer: Result<MachineNames, CloudError> =
         call(controller, Method::POST, "/machines", Some(request)).await;
     let now = controller.now();
@@ -261,9 +261,9 @@
         Ok(machines) => {
             tracing::info!(
                 booking = request.request_id,
-                machine_type = kind.0,
-                zone = kind.1,
-                spot = kind.2,
+                machine_type = kind.machine_type,
+                zone = kind.zone,
+                spot = kind.spot,
                 asked = request.count,
                 got = machines.names.len(),
                 "rented"
@@ -271,7 +271,7 @@
             let partly = machines.names.len() < request.count as usize;
             controller.with_cluster(|c| {
                 for name in &machines.names {
-                    c.register_machine(name, &kind.0, &kind.1, kind.2, "", now);
+                    c.register_machine(name, &kind.machine_type, &kind.zone, kind.spot, "", now);
                 }
                 if partly {
                     c.record_no_capacity(&kind, now);
@@ -283,9 +283,9 @@
         }
         Err(CloudError::NoCapacity) => {
             tracing::debug!(
-                machine_type = kind.0,
-                zone = kind.1,
-                spot = kind.2,
+                machine_type = kind.machine_type,
+                zone = kind.zone,
+                spot = kind.spot,
                 "no capacity"
             );
             controller.with_cluster(|c| c.record_no_capacity(&kind, now));
--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -350,8 +350,8 @@
             continue;
         };
         let record: CompletionPageRecord = decode_record(&row.key, row.value)?;
-        for ((id, _), ranges) in cluster.completion_pages.restore(page, row.version, record) {
-            done.entry(id).or_default().extend(&ranges, u32::MAX);
+        for (chunk, ranges) in cluster.completion_pages.restore(page, row.version, record) {
+            done.entry(chunk.job).or_default().extend(&ranges, u32::MAX);
         }
     }
     for row in open {
