--- a/crates/tallygauge-scheduler/src/mapping/mod.rs
+++ b/crates/tallygauge-scheduler/src/mapping/mod.rs
@@ -160,7 +160,10 @@
         attempt.checkpointed_s = start.checkpointed_s;
         self.add_attempt(&start.worker, attempt);
         self.log_if_fully_placed(&start.job, now);
-        self.unbatched_attempts.push((start.worker.clone(), number));
+        self.unbatched_attempts.push(UnbatchedAttempt {
+            worker: start.worker.clone(),
+            attempt: number,
+        });
     }
 
     /// Records an event if no task of the job is pending any more.
