--- /dev/null
+++ b/crates/tallygauge-deadlines/src/forecast/tests.rs
@@ -0,0 +1,56 @@
+use super::*;
+use proptest::prelude::*;
+
+#[test]
+fn at_risk_is_what_can_still_be_met_and_will_not() {
+    let load = |left_s, work, cpus, longest_s| CutoffLoad {
+        left_s,
+        cpu_s: work,
+        cpus,
+        longest_s,
+    };
+    let loads = [
+        load(100.0, 500.0, 100.0, 20.0),  // calm
+        load(200.0, 1400.0, 100.0, 20.0), // late beside the first
+        load(50.0, 10.0, 100.0, 80.0),    // its task is longer than the time left
+        load(300.0, 900.0, 3.0, 20.0),    // bound by its team's limit
+        load(10.0, 0.0, 9.0, 0.0),        // nothing left to do
+    ];
+    let found = forecasts(&loads, 10.0);
+    let risk: Vec<bool> = found.iter().map(|v| v.at_risk).collect();
+    assert_eq!(risk, [false, true, false, true, false]);
+    assert_eq!(found[0].slack_s, 100.0 - 51.0);
+    assert!(found[2].latest_start_s < 0.0, "can't be met any more");
+    assert_eq!(found[3].latest_start_s, 0.0);
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 128, rng_seed: proptest::test_runner::RngSeed::Fixed(97), failure_persistence: None, ..ProptestConfig::default() })]
+    // Work done second by second, earliest cutoff first, ends as said: where
+    // nothing but the room for all bounds it, to the step.
+    #[test]
+    fn the_end_is_that_of_work_done_step_by_step(works in prop::collection::vec((1.0f64..300.0, 0.0f64..500.0), 1..8), cpus in 1.0f64..20.0) {
+        let loads: Vec<CutoffLoad> = works.iter().map(|(left_s, work)| CutoffLoad { left_s: *left_s, cpu_s: *work, cpus: f64::MAX, longest_s: 0.0 }).collect();
+        let found = forecasts(&loads, cpus);
+        let mut left: Vec<f64> = loads.iter().map(|l| l.cpu_s).collect();
+        let mut ends = vec![0.0; loads.len()];
+        let (step, mut now) = (0.05, 0.0);
+        while left.iter().any(|w| *w > 0.0) {
+            now += step;
+            let mut room = cpus * step;
+            let mut order: Vec<usize> = (0..loads.len()).filter(|n| left[*n] > 0.0).collect();
+            order.sort_by(|a, b| loads[*a].left_s.total_cmp(&loads[*b].left_s).then(a.cmp(b)));
+            for n in order {
+                let done = left[n].min(room);
+                left[n] -= done;
+                room -= done;
+                if left[n] <= 1e-9 { left[n] = 0.0; ends[n] = now; }
+                if room <= 1e-12 { break; }
+            }
+        }
+        for (n, load) in loads.iter().enumerate().filter(|l| l.1.cpu_s > 0.0) {
+            let said = load.left_s - found[n].slack_s;
+            prop_assert!((said - ends[n]).abs() <= step * 1.5 + 1e-6, "{} {}", said, ends[n]);
+        }
+    }
+}
--- /dev/null
+++ b/crates/tallygauge/src/operator_settings/tests.rs
@@ -0,0 +1,29 @@
+use super::*;
+
+#[test]
+fn defaults_and_errors() {
+    let some = OperatorSettings::parse(
+        "<tallygauge><worth><high>9</high></worth><idle-wait>2.5</idle-wait></tallygauge>",
+    )
+    .unwrap();
+    assert_eq!(
+        (some.utility.high, some.utility.low, some.idle_wait),
+        (9.0, 1.0, 2.5)
+    );
+    assert_eq!(
+        OperatorSettings::parse("<tallygauge/>").unwrap(),
+        OperatorSettings::default()
+    );
+    for bad in [
+        "<tallygauge><idel-wait>2</idel-wait></tallygauge>",
+        "<tallygauge><idle-wait>long</idle-wait></tallygauge>",
+        "<tallygauge><idle-wait>-1</idle-wait></tallygauge>",
+        "<tallygauge><late-worth>2</late-worth></tallygauge>",
+        "<tallygauge><floor><share>1.5</share></floor></tallygauge>",
+        "<tallygauge><floor><begin-within>-1</begin-within></floor></tallygauge>",
+        "<tallygauge><weights><replica-risk>-1</replica-risk></weights></tallygauge>",
+        "<tallygauge><worth><high>1</high></worth></tallygauge>",
+    ] {
+        assert!(OperatorSettings::parse(bad).is_err(), "{bad} was taken");
+    }
+}
