--- a/crates/tallygauge-deadlines/src/lib.rs
+++ b/crates/tallygauge-deadlines/src/lib.rs
@@ -13,4 +13,4 @@
 
 pub use deadline_tracker::{CutoffEvent, CutoffProgress, DeadlineTracker};
 pub use forecast::{CutoffLoad, Forecast, forecasts};
-pub use rule::{CutoffDays, CutoffRule, CutoffWindow, inferred};
+pub use rule::{CutoffDays, CutoffRule, CutoffRuleError, CutoffWindow, inferred};
--- a/crates/tallygauge-deadlines/src/rule.rs
+++ b/crates/tallygauge-deadlines/src/rule.rs
@@ -57,31 +57,57 @@
     pub declared: bool,
 }
 
-/// Characters of a class's or a team's name that a drawn cutoff is told by.
-const SHORT: usize = 24;
+/// Longest name of a rule, bytes.
+const MAX_NAME_BYTES: usize = 60;
 
 /// Longest window, days.
-const LONGEST: u8 = 35;
+const MAX_WINDOW_DAYS: u8 = 35;
+
+/// Most working days that a cutoff may be before the last one of its month.
+const MAX_DAYS_BEFORE_MONTH_END: u8 = 15;
+
+/// Characters of a class's and of a team's name in the name of an inferred cutoff.
+const INFERRED_NAME_CHARS: usize = 24;
+
+/// What is wrong with a declared cutoff. Displays in the words of the operators'
+/// settings.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum CutoffRuleError {
+    /// The name is empty or too long.
+    #[error("name must have 1 to {MAX_NAME_BYTES} bytes")]
+    NameLength,
+    /// The window opens too many days before the cutoff.
+    #[error("opens-before must be at most {MAX_WINDOW_DAYS} days")]
+    WindowTooLong,
+    /// The window opens on the day of the cutoff, but not before it.
+    #[error("the window must open before the cutoff: set opens-before")]
+    OpensAfterCutoff,
+    /// The cutoff is too many working days before the end of the month.
+    #[error("before must be at most {MAX_DAYS_BEFORE_MONTH_END} working days")]
+    TooFarBeforeMonthEnd,
+}
 
 impl CutoffRule {
-    /// Checks what the types leave open.
+    /// Checks what the types don't rule out.
     ///
     /// # Errors
-    /// What is wrong, in words.
-    pub fn validate(&self) -> Result<(), String> {
-        if self.name.is_empty() || self.name.len() > 60 {
-            return Err("name must have 1 to 60 bytes".into());
+    /// The first [`CutoffRuleError`] that applies.
+    pub fn validate(&self) -> Result<(), CutoffRuleError> {
+        if self.name.is_empty() || self.name.len() > MAX_NAME_BYTES {
+            return Err(CutoffRuleError::NameLength);
         }
-        if self.opens_before > LONGEST {
-            return Err(format!("opens-before must be at most {LONGEST} days"));
+        if self.opens_before > MAX_WINDOW_DAYS {
+            return Err(CutoffRuleError::WindowTooLong);
         }
         if self.opens_before == 0 && self.opens >= self.at {
-            return Err("the window must open before the cutoff: set opens-before".into());
+            return Err(CutoffRuleError::OpensAfterCutoff);
         }
-        if matches!(self.days, CutoffDays::MonthEnd { before } if before > 15) {
-            return Err("before must be at most 15 working days".into());
+        match self.days {
+            CutoffDays::MonthEnd { before } if before > MAX_DAYS_BEFORE_MONTH_END => {
+                Err(CutoffRuleError::TooFarBeforeMonthEnd)
+            }
+            _ => Ok(()),
         }
-        Ok(())
     }
 
     /// Whether jobs of a class and team may count for it.
@@ -167,7 +193,7 @@
 pub fn inferred(class: &str, team: &str, accepted: f64, due_s: f64, width_s: f64) -> CutoffWindow {
     let width = width_s.max(1.0);
     let stretch = ((accepted + due_s) / width).floor();
-    let short = |name: &str| name.chars().take(SHORT).collect::<String>();
+    let short = |name: &str| name.chars().take(INFERRED_NAME_CHARS).collect::<String>();
     let (class, team) = (short(class), short(team));
     CutoffWindow {
         name: format!("{class}/{team}~{stretch:.0}").into(),
--- a/crates/tallygauge-deadlines/src/rule/tests.rs
+++ b/crates/tallygauge-deadlines/src/rule/tests.rs
@@ -124,12 +124,17 @@
     assert!(good.validate().is_ok());
     let mut bad = good.clone();
     bad.opens = time(9, 0, 0, 0);
-    assert!(bad.validate().unwrap_err().contains("opens-before"));
+    assert!(
+        bad.validate()
+            .unwrap_err()
+            .to_string()
+            .contains("opens-before")
+    );
     bad.opens_before = 200;
-    assert!(bad.validate().unwrap_err().contains("35"));
+    assert!(bad.validate().unwrap_err().to_string().contains("35"));
     bad = good;
     bad.name = String::new();
-    assert!(bad.validate().unwrap_err().contains("name"));
+    assert!(bad.validate().unwrap_err().to_string().contains("name"));
 }
 
 proptest! {
--- a/crates/tallygauge-scheduler/src/lib.rs
+++ b/crates/tallygauge-scheduler/src/lib.rs
@@ -39,7 +39,9 @@
 pub use progress::{Completion, Flush};
 pub use range_set::RangeSet;
 pub use scale_out::{MachineKind, Rental};
-pub use tallygauge_deadlines::{CutoffDays, CutoffRule, DeadlineTracker as CalendarBook};
+pub use tallygauge_deadlines::{
+    CutoffDays, CutoffRule, CutoffRuleError, DeadlineTracker as CalendarBook,
+};
 pub use tallygauge_fairness::{GroupKind, ServiceCountsRecord as FloorRecord};
 pub use tallygauge_health::{Reachability, SequenceMark};
 pub use tallygauge_locality::{ImageLocations as ImagesPart, ReplicaSpread};
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -554,7 +554,7 @@
                 .filter(|o| o.kind == "finished")
                 .filter_map(|o| Some((o.class.clone()?, o.within_s?)))
                 .collect(),
-            objectives: self.settings.loosest_aims(),
+            objectives: self.settings.loosest_completion_objectives(),
             minimum_share: MinimumShareConfig {
                 share: t.minimum_share.share,
                 start_within_s: t.minimum_share.start_within,
--- a/crates/tallygauge/src/deadline_settings.rs
+++ b/crates/tallygauge/src/deadline_settings.rs
@@ -1,6 +1,10 @@
-//! The operators' calendar and ranks: read from their settings (XML), and taken
-//! into force.
+//! The operators' cutoffs ("calendar") and ranks ("ledger"), as their settings
+//! (XML) have them, and their conversion to the scheduler's types.
+//!
+//! The names in the file and in the stored record are mapped here, once, by serde.
 
+use crate::settings_error::SettingsError;
+use jiff::{civil::Date, tz::TimeZone};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use tallygauge_records::{Durability, Record};
@@ -8,20 +12,24 @@
     ClusterState, CutoffDays, CutoffRule, DeclaredRules, MAX_RANK, RankRule,
 };
 
-/// The calendar, as operators write it, and as it is on record: while controllers
-/// have different settings files, the later version is in force under each.
+/// What a settings file's version must be.
+const VERSION_REQUIREMENT: &str = "have a version above 0, which grows with every change";
+
+/// Cutoffs as operators write them, and as they are on record: while controllers
+/// have different settings files, the higher version is in force under each leader.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct CutoffSettings {
-    /// Grows with every change: of two files the later one counts.
+    /// Version; it must grow with every change, as the higher one is in force.
     #[serde(rename = "@version")]
     pub version: u64,
-    /// Cutoffs that are drawn from jobs raise work as declared ones do.
+    /// Whether cutoffs inferred from the jobs' own deadlines boost jobs as declared
+    /// ones do.
     #[serde(rename = "act-on-drawn")]
     pub act_on_inferred: bool,
-    /// Days that are no working days.
+    /// Dates that are not working days, as `2026-12-25`.
     pub holiday: Vec<String>,
-    /// Cutoffs.
+    /// The cutoffs.
     pub cutoff: Vec<CutoffEntry>,
 }
 
@@ -31,168 +39,171 @@
     const DURABILITY: Durability = Durability::WriteAhead;
 }
 
-/// A cutoff, as operators write it.
+/// A cutoff as operators write it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CutoffEntry {
-    /// Name.
+    /// Name, unique among the cutoffs.
     #[serde(rename = "@name")]
     pub name: String,
-    /// Time zone, as `Asia/Seoul`.
+    /// IANA time zone of its times, as `Asia/Seoul`.
     #[serde(rename = "@zone")]
     pub zone: String,
-    /// `daily`, `weekdays` or `month-end`.
+    /// Days that have it: `daily`, `weekdays` or `month-end`.
     #[serde(rename = "@days")]
     pub days: String,
-    /// Working days before the last of the month.
+    /// With `month-end`: working days before the last working day of the month.
     #[serde(rename = "@before", default)]
     pub before: u8,
-    /// Time at which its window opens, as `18:00`.
+    /// Time of day at which its window opens, as `18:00`.
     #[serde(rename = "@opens")]
     pub opens: String,
-    /// Days before the cutoff's on which it opens.
+    /// Days from the day on which its window opens to that of the cutoff.
     #[serde(rename = "@opens-before", default)]
     pub opens_before: u8,
-    /// Time of the cutoff.
+    /// Time of day of the cutoff, as `08:00`.
     #[serde(rename = "@at")]
     pub at: String,
-    /// Classes that it is for, with blanks between; none: all.
+    /// Classes of jobs that count for it, separated by blanks; empty: all.
     #[serde(rename = "@classes", default)]
     pub classes: String,
-    /// Teams that it is for, with blanks between; none: all.
+    /// Teams whose jobs count for it, separated by blanks; empty: all.
     #[serde(rename = "@teams", default)]
     pub teams: String,
 }
 
-/// Ranks, as operators write them.
+/// Ranks as operators write them.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct RankSettings {
-    /// Grows with every change: of two files the later one counts.
+    /// Version; it must grow with every change, as the higher one is in force.
     #[serde(rename = "@version")]
     pub version: u64,
     /// The ranks.
     pub rank: Vec<RankEntry>,
 }
 
-/// A rank, as operators write it.
+/// A rank as operators write it.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RankEntry {
-    /// Class of jobs; none: any.
+    /// Class of jobs that has it; `None`: any.
     #[serde(rename = "@class", default)]
     pub class: Option<String>,
-    /// Team; none: any.
+    /// Team whose jobs have it; `None`: any.
     #[serde(rename = "@team", default)]
     pub team: Option<String>,
-    /// Only in the window of the cutoff of this name; none: always.
+    /// Name of the cutoff in whose window alone it holds; `None`: always.
     #[serde(rename = "@during", default)]
     pub during: Option<String>,
-    /// 0 to 100.
+    /// The rank, 0 to 100; the higher comes first.
     #[serde(rename = "@value")]
     pub value: u8,
 }
 
-fn words(text: &str) -> BTreeSet<String> {
-    text.split_whitespace().map(str::to_string).collect()
-}
-
 impl CutoffSettings {
-    /// Puts the cutoffs in force in a picture. They must be on record.
+    /// Gives the cutoffs to the cluster state. They must be on record before.
     pub fn apply_to(&self, cluster: &mut ClusterState) {
-        cluster.set_cutoff_rules(self.rules().unwrap_or_default(), self.act_on_inferred);
+        let rules = self.to_cutoff_rules().unwrap_or_default();
+        cluster.set_cutoff_rules(rules, self.act_on_inferred);
     }
 
-    /// The cutoffs, checked.
+    /// The cutoffs as the scheduler takes them, checked.
     ///
     /// # Errors
-    /// One line naming the element and what would be right.
-    pub fn rules(&self) -> Result<Vec<CutoffRule>, String> {
-        let mut holidays = BTreeSet::new();
-        for day in &self.holiday {
-            let date = day.trim().parse();
-            holidays.insert(date.map_err(|_| {
-                format!("calendar/holiday must be a date as 2026-12-25, not '{day}'")
-            })?);
-        }
+    /// [`SettingsError`], whose one line names the element and what would be right.
+    pub fn to_cutoff_rules(&self) -> Result<Vec<CutoffRule>, SettingsError> {
+        let holidays = self.parse_holidays()?;
         if self.version == 0 && !self.cutoff.is_empty() {
-            return Err(
-                "calendar must have a version above 0, which grows with every change".into(),
-            );
+            return Err(SettingsError::requirement("calendar", VERSION_REQUIREMENT));
         }
         let mut names = BTreeSet::new();
         let mut rules = Vec::new();
-        for cutoff in &self.cutoff {
-            let bad = |field: &str, what: &str| {
-                format!("calendar/cutoff '{}': {field} must be {what}", cutoff.name)
-            };
-            let days = match cutoff.days.as_str() {
-                "daily" => CutoffDays::Daily,
-                "weekdays" => CutoffDays::Weekdays,
-                "month-end" => CutoffDays::MonthEnd {
-                    before: cutoff.before,
-                },
-                _ => return Err(bad("days", "daily, weekdays or month-end")),
-            };
-            let zone = jiff::tz::TimeZone::get(&cutoff.zone);
-            let rule = CutoffRule {
-                name: cutoff.name.clone(),
-                zone: zone.map_err(|_| bad("zone", "a time zone as Asia/Seoul"))?,
-                classes: words(&cutoff.classes),
-                teams: words(&cutoff.teams),
-                days,
-                at: cutoff
-                    .at
-                    .parse()
-                    .map_err(|_| bad("at", "a time as 08:00"))?,
-                opens: cutoff
-                    .opens
-                    .parse()
-                    .map_err(|_| bad("opens", "a time as 18:00"))?,
-                opens_before: cutoff.opens_before,
-                holidays: holidays.clone(),
-            };
-            let named = |why| format!("calendar/cutoff '{}': {why}", cutoff.name);
-            rule.validate().map_err(named)?;
-            if !names.insert(cutoff.name.clone()) {
-                return Err(bad("name", "its own"));
+        for entry in &self.cutoff {
+            rules.push(entry.to_cutoff_rule(&holidays)?);
+            if !names.insert(&entry.name) {
+                return Err(entry.invalid("name", "its own"));
             }
-            rules.push(rule);
         }
         Ok(rules)
     }
+
+    fn parse_holidays(&self) -> Result<BTreeSet<Date>, SettingsError> {
+        let parse = |day: &String| {
+            day.trim().parse().map_err(|_| {
+                SettingsError::invalid(
+                    "calendar/holiday",
+                    "a date as 2026-12-25",
+                    format!("'{day}'"),
+                )
+            })
+        };
+        self.holiday.iter().map(parse).collect()
+    }
+}
+
+impl CutoffEntry {
+    fn to_cutoff_rule(&self, holidays: &BTreeSet<Date>) -> Result<CutoffRule, SettingsError> {
+        let days = self.parse_days()?;
+        let zone = TimeZone::get(&self.zone)
+            .map_err(|_| self.invalid("zone", "a time zone as Asia/Seoul"))?;
+        let at = self.at.parse();
+        let opens = self.opens.parse();
+        let rule = CutoffRule {
+            name: self.name.clone(),
+            zone,
+            classes: split_words(&self.classes),
+            teams: split_words(&self.teams),
+            days,
+            at: at.map_err(|_| self.invalid("at", "a time as 08:00"))?,
+            opens: opens.map_err(|_| self.invalid("opens", "a time as 18:00"))?,
+            opens_before: self.opens_before,
+            holidays: holidays.clone(),
+        };
+        rule.validate()
+            .map_err(|source| SettingsError::InvalidCutoffRule {
+                cutoff: self.name.clone(),
+                source,
+            })?;
+        Ok(rule)
+    }
+
+    fn parse_days(&self) -> Result<CutoffDays, SettingsError> {
+        match self.days.as_str() {
+            "daily" => Ok(CutoffDays::Daily),
+            "weekdays" => Ok(CutoffDays::Weekdays),
+            "month-end" => Ok(CutoffDays::MonthEnd {
+                before: self.before,
+            }),
+            _ => Err(self.invalid("days", "daily, weekdays or month-end")),
+        }
+    }
+
+    fn invalid(&self, attribute: &'static str, expected: &'static str) -> SettingsError {
+        SettingsError::InvalidCutoff {
+            cutoff: self.name.clone(),
+            attribute,
+            expected,
+        }
+    }
 }
 
 impl RankSettings {
-    /// The ranks, checked against the calendar's cutoffs.
+    /// The ranks as the scheduler takes them, checked against the cutoffs.
     ///
     /// # Errors
-    /// One line naming the element and what would be right.
-    pub fn declared(&self, calendar: &CutoffSettings) -> Result<DeclaredRules, String> {
-        let mut rules = Vec::new();
-        for entry in &self.rank {
-            if entry.value > MAX_RANK {
-                return Err(format!(
-                    "ledger/rank value must be 0 to {MAX_RANK}, not {}",
-                    entry.value
-                ));
-            }
-            if let Some(window) = &entry.during
-                && !calendar.cutoff.iter().any(|c| c.name == *window)
-            {
-                return Err(format!(
-                    "ledger/rank during '{window}' names no cutoff of the calendar"
-                ));
-            }
-            rules.push(RankRule {
-                class: entry.class.clone(),
-                team: entry.team.clone(),
-                window: entry.during.clone(),
-                rank: entry.value,
-            });
-        }
+    /// [`SettingsError`], whose one line names the element and what would be right.
+    pub fn to_declared_rules(
+        &self,
+        cutoffs: &CutoffSettings,
+    ) -> Result<DeclaredRules, SettingsError> {
+        let rules: Vec<RankRule> = self
+            .rank
+            .iter()
+            .map(|entry| entry.to_rank_rule(cutoffs))
+            .collect::<Result<_, _>>()?;
         if !rules.is_empty() && self.version == 0 {
-            return Err("ledger must have a version above 0, which grows with every change".into());
+            return Err(SettingsError::requirement("ledger", VERSION_REQUIREMENT));
         }
         Ok(DeclaredRules {
             version: self.version,
@@ -201,5 +212,35 @@
     }
 }
 
+impl RankEntry {
+    fn to_rank_rule(&self, cutoffs: &CutoffSettings) -> Result<RankRule, SettingsError> {
+        if self.value > MAX_RANK {
+            return Err(SettingsError::invalid(
+                "ledger/rank value",
+                format!("0 to {MAX_RANK}"),
+                self.value,
+            ));
+        }
+        if let Some(window) = &self.during
+            && !cutoffs.cutoff.iter().any(|cutoff| cutoff.name == *window)
+        {
+            return Err(SettingsError::UnknownCutoff {
+                cutoff: window.clone(),
+            });
+        }
+        Ok(RankRule {
+            class: self.class.clone(),
+            team: self.team.clone(),
+            window: self.during.clone(),
+            rank: self.value,
+        })
+    }
+}
+
+/// Words with blanks between.
+fn split_words(text: &str) -> BTreeSet<String> {
+    text.split_whitespace().map(str::to_string).collect()
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/tallygauge/src/deadline_settings/tests.rs
+++ b/crates/tallygauge/src/deadline_settings/tests.rs
@@ -1,6 +1,6 @@
 use crate::operator_settings::OperatorSettings;
 
-const SCHOOL: &str = r#"<tallygauge>
+const EXAMPLE: &str = r#"<tallygauge>
       <calendar version="4">
         <holiday>2026-12-25</holiday>
         <cutoff name="lectures" zone="Asia/Seoul" days="weekdays" opens="18:00" opens-before="1" at="08:00" classes="transcode-batch exam-rush"/>
@@ -13,17 +13,17 @@
     </tallygauge>"#;
 
 #[test]
-fn a_calendar_and_ranks_are_read() {
-    let tuning = OperatorSettings::parse(SCHOOL).unwrap();
-    let rules = tuning.cutoffs.rules().unwrap();
+fn cutoffs_and_ranks_are_converted_to_rules() {
+    let settings = OperatorSettings::parse(EXAMPLE).unwrap();
+    let rules = settings.cutoffs.to_cutoff_rules().unwrap();
     assert_eq!(rules.len(), 2);
     assert!(rules[0].applies_to("exam-rush", "x") && !rules[0].applies_to("archive", "x"));
-    let ranks = tuning.ranks.declared(&tuning.cutoffs).unwrap();
+    let ranks = settings.ranks.to_declared_rules(&settings.cutoffs).unwrap();
     assert_eq!((ranks.version, ranks.rules.len()), (3, 2));
 }
 
 #[test]
-fn bad_ones_are_refused_with_a_word_on_the_field() {
+fn invalid_cutoffs_and_ranks_are_refused_with_the_field_named() {
     for (from, to, word) in [
         ("2026-12-25", "christmas", "holiday"),
         ("Asia/Seoul", "Asia/Soul", "zone"),
@@ -46,9 +46,9 @@
         ),
         ("<ledger", "<ledger colour=\"red\"", "colour"),
     ] {
-        let text = SCHOOL.replacen(from, to, 1);
-        assert_ne!(text, SCHOOL);
-        let error = OperatorSettings::parse(&text).expect_err(to);
+        let text = EXAMPLE.replacen(from, to, 1);
+        assert_ne!(text, EXAMPLE);
+        let error = OperatorSettings::parse(&text).expect_err(to).to_string();
         assert!(error.contains(word), "{to}: {error}");
     }
 }
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -149,7 +149,7 @@
     let declared = controller
         .operator_settings
         .ranks
-        .declared(&controller.operator_settings.cutoffs);
+        .to_declared_rules(&controller.operator_settings.cutoffs);
     let at = controller.time_of_day();
     let change = declared.ok().and_then(|d| {
         let change = controller.with_cluster(|c| c.priority_rules().declare(&d, at))?;
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -21,6 +21,7 @@
 pub mod scheduling_loop;
 pub mod server;
 pub mod settings;
+pub mod settings_error;
 pub mod summary;
 pub mod user_api;
 pub mod wall_clock;
--- a/crates/tallygauge/src/main.rs
+++ b/crates/tallygauge/src/main.rs
@@ -2,7 +2,9 @@
 
 use clap::Parser;
 use std::{path::PathBuf, process::ExitCode};
-use tallygauge::{operator_settings::OperatorSettings, settings::Settings};
+use tallygauge::{
+    operator_settings::OperatorSettings, settings::Settings, settings_error::SettingsFileError,
+};
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::{Layer, filter::Targets, layer::SubscriberExt, util::SubscriberInitExt};
 
@@ -21,18 +23,19 @@
     check: bool,
 }
 
-fn load(arguments: &Arguments) -> Result<(Settings, OperatorSettings), String> {
+/// Reads and checks both settings files.
+fn load_settings(arguments: &Arguments) -> Result<(Settings, OperatorSettings), SettingsFileError> {
     let settings = Settings::load(&arguments.config)?;
-    let tuning = match &arguments.settings {
+    let operator_settings = match &arguments.settings {
         Some(path) => OperatorSettings::load(path)?,
         None => OperatorSettings::default(),
     };
-    Ok((settings, tuning))
+    Ok((settings, operator_settings))
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let (settings, tuning) = match load(&arguments) {
+    let (settings, operator_settings) = match load_settings(&arguments) {
         Ok(loaded) => loaded,
         Err(error) => {
             eprintln!("tallygauge: {error}");
@@ -65,7 +68,7 @@
         .enable_all()
         .build();
     let result = match runtime {
-        Ok(runtime) => runtime.block_on(tallygauge::run(settings, tuning)),
+        Ok(runtime) => runtime.block_on(tallygauge::run(settings, operator_settings)),
         Err(error) => Err(error.into()),
     };
     match result {
--- a/crates/tallygauge/src/operator_settings.rs
+++ b/crates/tallygauge/src/operator_settings.rs
@@ -1,54 +1,62 @@
-//! The operators' own settings (XML): the open values of the design.
+//! The operators' own settings (XML): tuning values, cutoffs and ranks.
+//!
+//! The names and forms in the file are the operators'. They are mapped to the
+//! field's terms here, once, by serde. Unknown elements are refused.
 
-use crate::deadline_settings::{CutoffSettings, RankSettings};
+use crate::{
+    deadline_settings::{CutoffSettings, RankSettings},
+    settings_error::{SettingsError, SettingsFile, SettingsFileError, require_positive},
+};
 use serde::Deserialize;
 use std::path::Path;
 
-/// What operators may set; everything has a default.
+/// The operators' own settings; every element has a default.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct OperatorSettings {
-    /// Longest time between two rounds, seconds; events bring them earlier.
+    /// Longest time between two scheduling rounds, seconds; events start them
+    /// earlier.
     pub round_interval: f64,
-    /// Least time between two rounds, as a part of the report interval.
+    /// Least time between two scheduling rounds, as a fraction of the heartbeat
+    /// interval.
     #[serde(rename = "round-gap")]
     pub min_round_interval: f64,
-    /// Floor of the remaining time, seconds.
+    /// Least remaining run time that a job is taken to have, seconds.
     #[serde(rename = "remaining-floor")]
     pub min_remaining: f64,
-    /// Worth of each priority.
+    /// Utility of a job by its priority.
     #[serde(rename = "worth")]
     pub utility: UtilitySettings,
-    /// Part of its worth that a job keeps after its deadline.
+    /// Fraction of its utility that a job has after its deadline, 0 to 1.
     #[serde(rename = "late-worth")]
     pub late_utility: f64,
-    /// Idle time before a machine is returned, in boot times of its type.
+    /// Idle time after which a machine is returned, in boot times of its type.
     pub idle_wait: f64,
-    /// Boot times that waiting work is spread over when machines are rented.
+    /// Time over which pending work is spread when scaling out, in boot times.
     pub rent_horizon: f64,
-    /// The floor under what each class and each team gets.
+    /// Minimum share of each class of jobs and of each team.
     #[serde(rename = "floor")]
     pub minimum_share: MinimumShareSettings,
-    /// Where models' weights and other images lie, and where replicas go.
+    /// Image locality against the spread of replicas.
     #[serde(rename = "weights")]
     pub locality: LocalitySettings,
-    /// Cutoffs.
+    /// Cutoffs of batches.
     #[serde(rename = "calendar")]
     pub cutoffs: CutoffSettings,
-    /// Ranks among what is equally urgent.
+    /// Ranks that order jobs which are equally urgent.
     #[serde(rename = "ledger")]
     pub ranks: RankSettings,
 }
 
-/// Where models' weights and other images lie, and where replicas go.
+/// Image locality against the spread of replicas.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct LocalitySettings {
-    /// Seconds of fetch that a replica is worth which one failure would take
-    /// along with others.
+    /// Seconds of image fetch that are accepted for each replica which would
+    /// otherwise be lost along with others by one failure.
     pub replica_risk: f64,
-    /// Seconds of fetch from which on it is remembered, beyond this leader's
-    /// term, where an image lies.
+    /// Fetch time from which on the location of an image is on record for the next
+    /// leader, seconds.
     pub remember_from: f64,
 }
 
@@ -61,14 +69,15 @@
     }
 }
 
-/// The floor under what each class of jobs and each team gets.
+/// Minimum share of each class of jobs and of each team.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct MinimumShareSettings {
-    /// Part of the jobs that are done or overdue which is to be done; 0: no
-    /// floor.
+    /// Fraction of the jobs done or overdue that is to be done, 0 to 1; 0: no
+    /// minimum share.
     pub share: f64,
-    /// Seconds after its acceptance by which every job has begun; 0: no bound.
+    /// Time after its acceptance by which every job is started, seconds; 0: no
+    /// bound.
     #[serde(rename = "begin-within")]
     pub start_within: f64,
 }
@@ -82,17 +91,17 @@
     }
 }
 
-/// Worth of each priority.
+/// Utility of a job by its priority; it must not fall from low to production.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct UtilitySettings {
-    /// Low.
+    /// Priority `low`.
     pub low: f64,
-    /// Normal.
+    /// Priority `normal`.
     pub normal: f64,
-    /// High (`urgent` on the wire).
+    /// Priority `high` (`urgent` in job submissions).
     pub high: f64,
-    /// Production.
+    /// Priority `production`.
     pub production: f64,
 }
 
@@ -129,64 +138,95 @@
     /// Reads and checks the file.
     ///
     /// # Errors
-    /// One line naming the element and what is wrong.
-    pub fn load(path: &Path) -> Result<Self, String> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|e| format!("{}: can't be read: {e}", path.display()))?;
-        Self::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
+    /// [`SettingsFileError`], whose one line names the file, the element and what is
+    /// wrong.
+    pub fn load(path: &Path) -> Result<Self, SettingsFileError> {
+        let file = SettingsFile::Operator;
+        let text =
+            std::fs::read_to_string(path).map_err(|source| SettingsFileError::Unreadable {
+                file,
+                path: path.to_path_buf(),
+                source,
+            })?;
+        Self::parse(&text).map_err(|source| SettingsFileError::Refused {
+            file,
+            path: path.to_path_buf(),
+            source,
+        })
     }
 
-    /// Parses and checks.
+    /// Parses and checks the settings.
     ///
     /// # Errors
-    /// One line naming the element and what is wrong.
-    pub fn parse(text: &str) -> Result<Self, String> {
-        let tuning: Self =
-            quick_xml::de::from_str(text).map_err(|e| e.to_string().replace('\n', " "))?;
-        for (name, value) in [
-            ("round-interval", tuning.round_interval),
-            ("round-gap", tuning.min_round_interval),
-            ("remaining-floor", tuning.min_remaining),
-            ("worth/low", tuning.utility.low),
-            ("worth/normal", tuning.utility.normal),
-            ("worth/high", tuning.utility.high),
-            ("worth/production", tuning.utility.production),
-            ("idle-wait", tuning.idle_wait),
-            ("rent-horizon", tuning.rent_horizon),
-        ] {
-            if !value.is_finite() || value <= 0.0 {
-                return Err(format!("{name} must be above 0, not {value}"));
-            }
-        }
-        if !(0.0..=1.0).contains(&tuning.late_utility) {
-            return Err("late-worth must be 0 to 1".into());
+    /// [`SettingsError`], whose one line names the element and what is wrong.
+    pub fn parse(text: &str) -> Result<Self, SettingsError> {
+        let settings: Self = quick_xml::de::from_str(text)?;
+        settings.validate()?;
+        Ok(settings)
+    }
+
+    /// Checks what the types alone don't rule out; the first fault is reported.
+    fn validate(&self) -> Result<(), SettingsError> {
+        self.validate_positive()?;
+        self.validate_fractions()?;
+        require_not_negative(&[
+            ("floor/begin-within", self.minimum_share.start_within),
+            ("weights/replica-risk", self.locality.replica_risk),
+            ("weights/remember-from", self.locality.remember_from),
+        ])?;
+        self.cutoffs.to_cutoff_rules()?;
+        self.ranks.to_declared_rules(&self.cutoffs)?;
+        self.utility.validate_order()
+    }
+
+    fn validate_positive(&self) -> Result<(), SettingsError> {
+        require_positive(&[
+            ("round-interval", self.round_interval),
+            ("round-gap", self.min_round_interval),
+            ("remaining-floor", self.min_remaining),
+            ("worth/low", self.utility.low),
+            ("worth/normal", self.utility.normal),
+            ("worth/high", self.utility.high),
+            ("worth/production", self.utility.production),
+            ("idle-wait", self.idle_wait),
+            ("rent-horizon", self.rent_horizon),
+        ])
+    }
+
+    fn validate_fractions(&self) -> Result<(), SettingsError> {
+        if !(0.0..=1.0).contains(&self.late_utility) {
+            return Err(SettingsError::requirement("late-worth", "be 0 to 1"));
         }
-        let share = tuning.minimum_share.share;
+        let share = self.minimum_share.share;
         if !(0.0..=1.0).contains(&share) {
-            return Err(format!("floor/share must be 0 to 1, not {share}"));
+            return Err(SettingsError::invalid("floor/share", "0 to 1", share));
         }
-        let within = tuning.minimum_share.start_within;
-        if !within.is_finite() || within < 0.0 {
-            return Err(format!(
-                "floor/begin-within must be 0 or more, not {within}"
-            ));
-        }
-        for (name, value) in [
-            ("weights/replica-risk", tuning.locality.replica_risk),
-            ("weights/remember-from", tuning.locality.remember_from),
-        ] {
-            if !value.is_finite() || value < 0.0 {
-                return Err(format!("{name} must be 0 or more, not {value}"));
-            }
+        Ok(())
+    }
+}
+
+impl UtilitySettings {
+    fn validate_order(&self) -> Result<(), SettingsError> {
+        let ascending = [self.low, self.normal, self.high, self.production];
+        if ascending.is_sorted() {
+            Ok(())
+        } else {
+            Err(SettingsError::requirement(
+                "worth",
+                "not fall from low to production",
+            ))
         }
-        tuning.cutoffs.rules()?;
-        tuning.ranks.declared(&tuning.cutoffs)?;
-        let w = &tuning.utility;
-        if w.low > w.normal || w.normal > w.high || w.high > w.production {
-            return Err("worth must not fall from low to production".into());
+    }
+}
+
+/// Refuses numbers below 0.
+fn require_not_negative(fields: &[(&'static str, f64)]) -> Result<(), SettingsError> {
+    for (field, value) in fields {
+        if !value.is_finite() || *value < 0.0 {
+            return Err(SettingsError::invalid(field, "0 or more", value));
         }
-        Ok(tuning)
     }
+    Ok(())
 }
 
 #[cfg(test)]
--- a/crates/tallygauge/src/operator_settings/tests.rs
+++ b/crates/tallygauge/src/operator_settings/tests.rs
@@ -1,13 +1,17 @@
 use super::*;
 
 #[test]
-fn defaults_and_errors() {
-    let some = OperatorSettings::parse(
+fn absent_elements_have_defaults_and_invalid_ones_are_refused() {
+    let settings = OperatorSettings::parse(
         "<tallygauge><worth><high>9</high></worth><idle-wait>2.5</idle-wait></tallygauge>",
     )
     .unwrap();
     assert_eq!(
-        (some.utility.high, some.utility.low, some.idle_wait),
+        (
+            settings.utility.high,
+            settings.utility.low,
+            settings.idle_wait
+        ),
         (9.0, 1.0, 2.5)
     );
     assert_eq!(
--- a/crates/tallygauge/src/settings/tests.rs
+++ b/crates/tallygauge/src/settings/tests.rs
@@ -22,7 +22,7 @@
 
 // A guest team, whose guarantee and limit are 0, was refused for good: 422.
 #[test]
-fn a_limit_of_0_is_none() {
+fn a_limit_of_zero_means_no_limit() {
     let mut guests = example();
     let none = serde_json::json!({"name": "g", "cpus": 0.0, "cpus_max": 0.0});
     guests["deployment"]["teams"]
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn bad_settings_are_named() {
+fn invalid_settings_are_refused_with_the_field_named() {
     Settings::parse(&example().to_string()).unwrap();
     for (pointer, value, word) in [
         (
@@ -65,7 +65,7 @@
     ] {
         let mut bad = example();
         *bad.pointer_mut(pointer).unwrap() = value;
-        let error = Settings::parse(&bad.to_string()).unwrap_err();
+        let error = Settings::parse(&bad.to_string()).unwrap_err().to_string();
         assert!(
             error.contains(word) && !error.contains('\n'),
             "{pointer}: {error}"
@@ -79,6 +79,7 @@
     assert!(
         Settings::parse(&missing.to_string())
             .unwrap_err()
+            .to_string()
             .contains("state")
     );
     assert!(Settings::parse("{").is_err());
--- a/crates/tallygauge/tests/golden.rs
+++ b/crates/tallygauge/tests/golden.rs
@@ -125,7 +125,7 @@
         },
     };
     let read = OperatorSettings::parse(include_str!("golden/settings.xml"));
-    assert_eq!(read, Ok(expected));
+    assert_eq!(read.unwrap(), expected);
 }
 
 #[test]
