--- a/crates/tallygauge-protocol/src/cloud.rs
+++ b/crates/tallygauge-protocol/src/cloud.rs
@@ -1,25 +1,29 @@
-//! What the cloud offers and is asked.
+//! Messages of the cloud, which rents out machines to the leader (HTTP with JSON
+//! bodies).
+//!
+//! The JSON names are given by the cloud and are not this code's terms (`benches`,
+//! `build`, `booking`, ...). They are mapped to the field's terms here, once, by serde.
 
 use serde::{Deserialize, Serialize};
 
 /// A machine type on offer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Name.
+    /// Name of the type.
     pub name: String,
-    /// CPUs.
+    /// CPUs of a machine.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs of a machine.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory, GB.
+    /// Memory of a machine, GB.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
-    /// Image cache, GB.
+    /// Size of a machine's image cache, GB.
     #[serde(rename = "cacheGb")]
     pub cache_gb: f64,
-    /// Image fetch rate, GB a second.
+    /// Rate at which a machine fetches images, GB a second.
     #[serde(rename = "pullGbPerS")]
     pub fetch_gb_per_s: f64,
     /// Price an hour.
@@ -28,10 +32,10 @@
     /// Spot price an hour, as of now.
     #[serde(rename = "lowPrice")]
     pub spot_price: f64,
-    /// Usual boot time.
+    /// Usual boot time, seconds.
     #[serde(rename = "readyS")]
     pub boot_s: f64,
-    /// Zones that may have it.
+    /// Zones in which it is offered.
     #[serde(rename = "sites")]
     pub zones: Vec<String>,
 }
@@ -39,15 +43,15 @@
 /// Answer of `GET /catalog`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Catalogue {
-    /// Machine types.
+    /// Machine types on offer.
     #[serde(rename = "builds")]
     pub types: Vec<MachineType>,
 }
 
-/// A rental request.
+/// Request for new machines (scale out).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Name of the request, never reused.
+    /// Idempotency key of the request, never reused.
     #[serde(rename = "booking")]
     pub request_id: String,
     /// Machine type.
@@ -56,10 +60,10 @@
     /// Zone.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Spot machines.
+    /// Whether spot instances are asked for.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines, at most [`MAX_MACHINES_PER_RENTAL`].
     #[serde(rename = "howMany")]
     pub count: u32,
 }
@@ -67,13 +71,13 @@
 /// Most machines that one rental request may ask for.
 pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
 
-/// Most names in one return.
+/// Most machines that one request may return (scale in).
 pub const MAX_MACHINES_PER_RETURN: usize = 100;
 
-/// Names of machines: rented, or to be returned.
+/// Names of machines: those that were rented, or those to return.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Names.
+    /// The names.
     #[serde(rename = "benches")]
     pub names: Vec<String>,
 }
@@ -82,24 +86,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Not up yet, or the list is old.
+    /// Not up yet when the list was made.
     Booting,
-    /// Up, or up until some seconds ago.
+    /// Up when the list was made, some seconds ago.
     Running,
-    /// Stopped by itself.
+    /// It stopped without being returned.
     Failed,
-    /// A word this version does not know.
+    /// A state that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// A listed machine.
+/// A machine in the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Name.
+    /// Name of the machine.
     #[serde(rename = "nameId")]
     pub name: String,
-    /// Where its worker takes direct commands.
+    /// Address on which its worker takes direct commands.
     pub endpoint: String,
     /// Machine type.
     #[serde(rename = "build")]
@@ -107,13 +111,13 @@
     /// Zone.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot instance.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// State.
+    /// State of the machine.
     #[serde(rename = "status")]
     pub state: MachineState,
-    /// Age since the rental request.
+    /// Time since it was asked for, seconds.
     #[serde(rename = "ageS")]
     pub age_s: f64,
 }
@@ -121,13 +125,13 @@
 /// One page of the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// Machines in the order of their names.
+    /// Machines in ascending order of their names.
     #[serde(rename = "benches")]
     pub machines: Vec<Machine>,
-    /// Whether more follow.
+    /// Whether there are further pages.
     #[serde(rename = "hasNext")]
     pub has_more: bool,
 }
 
-/// Largest page of the machine list.
+/// Most machines on one page of the machine list.
 pub const MAX_MACHINES_PER_PAGE: u32 = 500;
--- a/crates/tallygauge-protocol/src/lib.rs
+++ b/crates/tallygauge-protocol/src/lib.rs
@@ -1,20 +1,24 @@
-//! Wire formats of tallygauge.
+//! Message types of all interfaces of tallygauge.
 //!
-//! One module per counterpart. Rust names are the field's standard terms; the
-//! words on the wire are given by `serde(rename)`. Durations are seconds and
-//! amounts are decimal numbers unless the name says otherwise. Unknown fields
-//! are ignored everywhere, and a nullable field may be left out.
+//! One module for each counterpart: [`users`], [`workers`], the [`cloud`], the
+//! key-value store ([`state`]) and other controllers ([`peer`]). Rust names are the
+//! field's standard terms; the names in the JSON are mapped in these modules alone,
+//! by `serde(rename)`. Durations are seconds and amounts are decimal numbers unless
+//! the name says otherwise. Unknown fields are ignored everywhere, and an optional
+//! field may be left out.
 
 pub mod cloud;
 pub mod state;
 pub mod users;
 pub mod workers;
 
-/// The peer service between controllers (gRPC).
+/// Messages, client and server of the service between controllers (gRPC), generated
+/// from `proto/peer.proto`.
+// Generated code has the comments of the proto file, which leaves some items without.
 #[allow(missing_docs)]
 pub mod peer {
     tonic::include_proto!("tallygauge.peer.v1");
 }
 
-/// Largest request body that any interface takes, in bytes.
+/// Largest request body that any interface takes, bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
--- a/crates/tallygauge-protocol/src/state.rs
+++ b/crates/tallygauge-protocol/src/state.rs
@@ -1,9 +1,13 @@
-//! What the state service takes and gives.
+//! Messages of the consensus-backed key-value store ("state service"), which
+//! controllers call (HTTP with JSON bodies).
+//!
+//! The JSON names are given by the store and are not this code's terms (`path`,
+//! `stamp`, `epoch`, ...). They are mapped to the field's terms here, once, by serde.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key with its value.
+/// A key with its value: answer to a read, and a row of a listing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValue {
     /// Key.
@@ -11,15 +15,16 @@
     pub key: String,
     /// Value.
     pub value: Value,
-    /// Revision of its last change.
+    /// Version of the key: revision of its last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// Answer to a key that does not exist, or to a transaction that was made.
+/// Answer to a read of a key that does not exist, and to a transaction that was
+/// committed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionResponse {
-    /// Counts every change.
+    /// Revision of the store; it grows with every change.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
@@ -27,24 +32,24 @@
 /// One page of a listing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListResponse {
-    /// Rows in key order.
+    /// Entries in key order.
     #[serde(rename = "rows")]
     pub entries: Vec<KeyValue>,
-    /// Whether more follow.
+    /// Whether there are further pages.
     #[serde(rename = "hasNext")]
     pub has_more: bool,
-    /// Revision the page was read at.
+    /// Revision of the store at which the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// Condition of a transaction: the key has this version (0: does not exist).
+/// Condition of a transaction (compare-and-swap): the key has this version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
     /// Key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Version.
+    /// Version that the key must have; 0: the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -60,7 +65,7 @@
         key: String,
         /// Value.
         value: Value,
-        /// Lease to attach it to.
+        /// Id of the lease with which the key is removed.
         #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -72,25 +77,25 @@
     },
 }
 
-/// A transaction.
+/// A transaction: its writes are made if all its conditions hold, or none of them.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions.
+    /// Conditions that must hold.
     #[serde(rename = "guards")]
     pub conditions: Vec<Condition>,
-    /// Writes.
+    /// Writes to make.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub writes: Vec<Write>,
 }
 
-/// Body of a 409.
+/// Body of a 409: conditions of the transaction failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConflictResponse {
     /// Keys whose condition failed.
     pub failed: Vec<String>,
 }
 
-/// Asks for a lease.
+/// Request for a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Time to live, milliseconds.
@@ -98,15 +103,15 @@
     pub ttl_ms: u64,
 }
 
-/// A lease.
+/// Answer to a request for a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Its id.
+    /// Id of the lease.
     #[serde(rename = "permit")]
     pub id: u64,
 }
 
-/// One change seen by a watch.
+/// One change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
@@ -117,7 +122,7 @@
         key: String,
         /// Value.
         value: Value,
-        /// Version.
+        /// Version of the key.
         #[serde(rename = "stamp")]
         version: u64,
     },
@@ -135,10 +140,10 @@
 /// Answer of a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Go on from here.
+    /// Revision from which the next watch goes on.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// Changes in order.
+    /// Changes in the order in which they were made.
     #[serde(rename = "news")]
     pub events: Vec<WatchEvent>,
 }
--- a/crates/tallygauge-protocol/src/users.rs
+++ b/crates/tallygauge-protocol/src/users.rs
@@ -1,11 +1,16 @@
-//! What users send and receive.
+//! Messages of the users' interface: submissions of jobs and the answers to them
+//! (HTTP with JSON bodies), served by every controller.
+//!
+//! The JSON names are part of the published interface and are not this code's
+//! terms (`pieces`, `owner`, `bundle`, ...). They are mapped to the field's terms
+//! here, once, by serde.
 
 use serde::{Deserialize, Serialize};
 
-/// Seconds that a user waits for the state of a job.
+/// Time that a user waits for the answer to a request for a job's state, seconds.
 pub const POLL_TIMEOUT_S: f64 = 2.0;
 
-/// Seconds that a task must run for its start to count.
+/// Time that a task must run for its start to count as one, seconds.
 pub const MIN_COUNTED_RUN_S: f64 = 30.0;
 
 /// Whether tasks run to completion or until the job is cancelled.
@@ -23,30 +28,30 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Lowest.
+    /// Lowest priority.
     Low,
-    /// The usual.
+    /// Normal priority.
     Normal,
     /// Above normal.
     #[serde(rename = "urgent")]
     High,
-    /// Highest.
+    /// Highest priority.
     Production,
 }
 
-/// A submitted job.
+/// A submitted job: body of a submission.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Unique id chosen by the user.
+    /// Unique id chosen by the user, see [`is_valid_job_id`].
     #[serde(rename = "nameId")]
     pub id: String,
     /// Class of jobs, named by the objectives in the settings.
     #[serde(rename = "workload")]
     pub class: String,
-    /// Team whose guarantee and limit apply.
+    /// Team whose quota applies.
     #[serde(rename = "owner")]
     pub team: String,
-    /// Array or service.
+    /// Job array or service.
     pub shape: Shape,
     /// Priority.
     #[serde(rename = "urgency")]
@@ -62,7 +67,7 @@
     /// Memory of one task, GB.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
-    /// Image the machine must hold.
+    /// Image that a machine must have in its cache to run a task.
     #[serde(rename = "bundle")]
     pub image: String,
     /// Size of the image, GB.
@@ -74,24 +79,24 @@
     /// The only allowed zone; `None`: any.
     #[serde(rename = "site", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must be in one zone.
     #[serde(rename = "oneZone")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether a zone may have at most half of the tasks, rounded up.
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether tasks may run on spot instances.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time; 0 for services.
+    /// The owner's estimate of a task's run time, seconds; 0 for services.
     #[serde(rename = "expectedS")]
     pub expected_s: f64,
-    /// Interval of progress between checkpoints; 0: never saves.
+    /// Run time between two checkpoints, seconds; 0: no checkpoints.
     #[serde(rename = "snapshotEveryS")]
     pub checkpoint_every_s: f64,
-    /// Time to save when stopped.
+    /// Time that a task needs to write a checkpoint when it is stopped, seconds.
     #[serde(rename = "snapshotS")]
     pub checkpoint_s: f64,
-    /// Deadline measured from submission.
+    /// Deadline, seconds from submission; `None`: no deadline.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
@@ -107,19 +112,46 @@
     })
 }
 
+/// Longest name of a class, a team or an image, bytes.
+const MAX_NAME_BYTES: usize = 200;
+
+/// What is wrong with a submitted job. Displays as a sentence for the user that
+/// names the field as it is in the JSON.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum JobSpecError {
+    /// The id has not the form that [`is_valid_job_id`] asks for.
+    #[error("nameId must be 'req-' followed by digits")]
+    InvalidId,
+    /// No task, or more than [`MAX_TASKS`].
+    #[error("pieces must be 1 to {MAX_TASKS}")]
+    InvalidTaskCount,
+    /// An amount or a time is below 0, or not finite.
+    #[error("{field} must not be negative")]
+    Negative {
+        /// Name of the field in the JSON.
+        field: &'static str,
+    },
+    /// A name is empty or too long.
+    #[error("{field} must have 1 to {MAX_NAME_BYTES} bytes")]
+    InvalidNameLength {
+        /// Name of the field in the JSON.
+        field: &'static str,
+    },
+}
+
 impl JobSpec {
     /// Checks the values that the types alone do not rule out.
     ///
     /// # Errors
-    /// A sentence for the user naming the field.
-    pub fn validate(&self) -> Result<(), String> {
+    /// The first [`JobSpecError`] that applies.
+    pub fn validate(&self) -> Result<(), JobSpecError> {
         if !is_valid_job_id(&self.id) {
-            return Err("nameId must be 'req-' followed by digits".into());
+            return Err(JobSpecError::InvalidId);
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS {
-            return Err(format!("pieces must be 1 to {MAX_TASKS}"));
+            return Err(JobSpecError::InvalidTaskCount);
         }
-        for (name, value) in [
+        for (field, value) in [
             ("cores", self.cpus),
             ("gpus", self.gpus),
             ("memGb", self.memory_gb),
@@ -130,29 +162,29 @@
             ("dueS", self.deadline_s.unwrap_or(0.0)),
         ] {
             if !value.is_finite() || value < 0.0 {
-                return Err(format!("{name} must not be negative"));
+                return Err(JobSpecError::Negative { field });
             }
         }
-        for (name, text) in [
+        for (field, name) in [
             ("workload", &self.class),
             ("owner", &self.team),
             ("bundle", &self.image),
         ] {
-            if text.is_empty() || text.len() > 200 {
-                return Err(format!("{name} must have 1 to 200 bytes"));
+            if name.is_empty() || name.len() > MAX_NAME_BYTES {
+                return Err(JobSpecError::InvalidNameLength { field });
             }
         }
         Ok(())
     }
 }
 
-/// State of a job as told to users.
+/// State of a job as users see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStatus {
-    /// No task runs.
+    /// No task is running.
     Pending,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
     /// All tasks are done.
     Done,
@@ -166,12 +198,12 @@
     /// Job id.
     #[serde(rename = "nameId")]
     pub id: String,
-    /// Its state.
+    /// State of the job.
     pub status: JobStatus,
-    /// Tasks done.
+    /// Number of tasks done.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks running.
+    /// Number of tasks running.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/crates/tallygauge-protocol/src/users/tests.rs
+++ b/crates/tallygauge-protocol/src/users/tests.rs
@@ -33,7 +33,7 @@
         body[field] = value.clone();
         let verdict = serde_json::from_value::<JobSpec>(body)
             .map_err(|e| e.to_string())
-            .and_then(|s| s.validate());
+            .and_then(|spec| spec.validate().map_err(|e| e.to_string()));
         assert!(verdict.is_err(), "{field} = {value} was taken");
     }
 }
--- a/crates/tallygauge-protocol/src/workers.rs
+++ b/crates/tallygauge-protocol/src/workers.rs
@@ -1,23 +1,29 @@
-//! What workers and controllers say to each other.
+//! Messages between workers and controllers: heartbeats, which workers send, their
+//! responses with commands, and commands that the leader sends directly (HTTP with
+//! JSON bodies).
+//!
+//! The JSON names are given by the workers and are not this code's terms (`bench`,
+//! `shift`, `baton`, ...). They are mapped to the field's terms here, once, by serde.
 
 use serde::{Deserialize, Serialize};
 
-/// Seconds that a worker waits for the answer to a report.
+/// Time that a worker waits for the response to a heartbeat, seconds.
 pub const RESPONSE_TIMEOUT_S: f64 = 4.0;
 
 /// State of a task on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Waiting for its image.
+    /// Its image is being fetched.
     Fetching,
-    /// Running.
+    /// It runs.
     Running,
-    /// Was told to stop and is saving.
+    /// It was told to stop and writes its checkpoint.
     Saving,
-    /// Ended; see the cause.
+    /// It has ended, see [`TaskStatus::cause`].
     Ended,
-    /// A word this version does not know: held as if it were on the machine.
+    /// A state that this version does not know: the task counts as being on the
+    /// machine.
     #[serde(other)]
     Unknown,
 }
@@ -26,51 +32,51 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndCause {
-    /// Completed.
+    /// It completed.
     Done,
-    /// Stopped by command.
+    /// It was stopped by a command.
     Halted,
-    /// Failed.
+    /// It failed.
     Error,
-    /// Start refused: not enough free resources.
+    /// The start was refused: not enough free resources.
     NoRoom,
-    /// Start refused: the task is there with another attempt.
+    /// The start was refused: another attempt of the task is on the machine.
     Busy,
-    /// Start refused: no such job or task.
+    /// The start was refused: no such job or task.
     NoSuch,
-    /// A word this version does not know.
+    /// A cause that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// One task in a report.
+/// Status of one task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// Job id, a slash, and the task's number.
     #[serde(rename = "piece")]
     pub task: String,
-    /// Attempt.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// State.
+    /// State of the task.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Why it ended, if it has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<EndCause>,
-    /// Whether its progress was saved.
+    /// Whether it left a checkpoint when it ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "kept")]
     pub checkpointed: Option<bool>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat with the status of its tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Machine name.
     #[serde(rename = "bench")]
     pub machine: String,
-    /// Where the worker takes direct commands.
+    /// Address on which the worker takes direct commands.
     pub endpoint: String,
     /// Machine type.
     #[serde(rename = "build")]
@@ -78,22 +84,22 @@
     /// Zone.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Spot machine.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// Session; grows each time the worker's lease expires.
+    /// Agent incarnation; grows each time the worker's lease expires.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Grows with every message of the session.
+    /// Sequence number; grows with every message of the incarnation.
     #[serde(rename = "tick")]
     pub sequence: u64,
-    /// Highest token seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Seconds until the cloud takes the machine.
+    /// Seconds until the cloud reclaims the spot instance, once that is announced.
     #[serde(rename = "recallS", default, skip_serializing_if = "Option::is_none")]
     pub spot_notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// Status of all tasks on the machine.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -104,41 +110,41 @@
 pub enum Command {
     /// Start a task.
     Start {
-        /// The task.
+        /// Job id, a slash, and the task's number.
         #[serde(rename = "piece")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
     /// Stop a task.
     #[serde(rename = "kill")]
     Stop {
-        /// The task.
+        /// Job id, a slash, and the task's number.
         #[serde(rename = "piece")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time it is given to save.
+        /// Time that it has for its checkpoint, seconds.
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
-    /// Forget an ended task.
+    /// Forget a task that has ended.
     Clear {
-        /// The task.
+        /// Job id, a slash, and the task's number.
         #[serde(rename = "piece")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// Answer to a report.
+/// Response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Token of the controllers.
+    /// Fencing token of the leader.
     #[serde(rename = "baton")]
     pub token: u64,
     /// Commands, executed in order.
@@ -146,24 +152,24 @@
     pub commands: Vec<Command>,
 }
 
-/// Direct commands.
+/// Commands that the leader sends outside of a heartbeat's response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// Token of the controllers.
+    /// Fencing token of the leader.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The session they are meant for.
+    /// Agent incarnation that they are for.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Commands, executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Body of a 421.
+/// Body of a 421: the controller is not the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The node to report to.
+    /// Name of the leader, if it is known.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
--- a/crates/tallygauge-sim/src/machines.rs
+++ b/crates/tallygauge-sim/src/machines.rs
@@ -226,7 +226,7 @@
             return None;
         }
         w.sequence += 1;
-        if request.token < w.fencing_token || request.session != w.incarnation {
+        if request.token < w.fencing_token || request.incarnation != w.incarnation {
             self.rejected_commands += 1;
             return Some(status(409, self.report(worker)));
         }
--- a/crates/tallygauge/src/user_api.rs
+++ b/crates/tallygauge/src/user_api.rs
@@ -558,7 +558,7 @@
     let refusal = match serde_json::from_value::<JobSpec>(value) {
         Err(error) => Err((400, error.to_string())),
         Ok(spec) => match spec.validate() {
-            Err(error) => Err((400, error)),
+            Err(error) => Err((400, error.to_string())),
             Ok(()) => {
                 let types = controller.lock(&controller.catalogue).clone();
                 match types {
--- a/crates/tallygauge/src/worker_api.rs
+++ b/crates/tallygauge/src/worker_api.rs
@@ -156,7 +156,7 @@
 async fn deliver_direct_message(controller: &Controller, term: u64, message: DirectMessage) {
     let body = DirectCommands {
         token: term,
-        session: message.incarnation,
+        incarnation: message.incarnation,
         commands: message.commands.clone(),
     };
     let url = format!("http://{}/orders", message.endpoint);
