--- a/crates/tallygauge-health/src/lib.rs
+++ b/crates/tallygauge-health/src/lib.rs
@@ -1,11 +1,14 @@
-//! What a machine's words, and its silence, tell of it.
+//! Health of machines, as far as it shows in the messages of their workers and in
+//! those that are missing.
 //!
-//! Pure: no clock, no input or output. [`Order`] places a message among those
-//! that its worker has sent: new, overtaken by a direct answer, an old copy.
-//! [`Hearing`] weighs the signs that what is sent to a machine does not reach
-//! it. [`Departed`] remembers machines that are gone, whose late words must not
-//! bring them back. None of it frees a room or a task by itself: that rests on
-//! the proofs of `docs/design.md`, "Holding".
+//! Pure: no clock, no input or output; times are seconds of the caller's clock.
+//! [`MessageOrder`] classifies a message by its place among those that its worker
+//! has sent: new, overtaken by a direct response, or an old copy. [`Reachability`]
+//! weighs the evidence that messages to a machine don't arrive. [`Tombstones`]
+//! remember deregistered machines, which late messages must not register again.
+//!
+//! None of it frees capacity or a task by itself: that rests on the proofs of
+//! `docs/design.md`, "Holding". The cluster state of the scheduler calls it.
 
 mod message_order;
 mod reachability;
--- a/crates/tallygauge-health/src/message_order/tests.rs
+++ b/crates/tallygauge-health/src/message_order/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-fn mark(session: u64, seq: u64) -> SequenceMark {
+fn mark(incarnation: u64, sequence: u64) -> SequenceMark {
     SequenceMark {
-        incarnation: session,
-        sequence: seq,
+        incarnation,
+        sequence,
     }
 }
 
-// A copy was answered as if its sender waited, and a dead machine's tasks
-// were held for as long as copies of its reports came.
+// A copy was answered as if its sender waited, and a dead machine's attempts were
+// kept for as long as copies of its heartbeats arrived.
 #[test]
-fn only_what_a_direct_answer_overtook_is_still_waited_for() {
+fn only_a_message_overtaken_by_a_direct_reply_is_classified_as_overtaken() {
     let mut order = MessageOrder::default();
     order.advance(mark(2, 10), false, 100.0);
     assert_eq!(order.classify(mark(2, 11), 100.1, 4.0), Arrival::New);
@@ -28,12 +28,12 @@
     assert_eq!(
         order.classify(mark(2, 11), 105.1, 4.0),
         Arrival::Old,
-        "given up"
+        "the sender has given up"
     );
 }
 
 #[test]
-fn who_lives_is_asked_once_for_each_old_message_at_most() {
+fn an_old_message_requests_one_liveness_probe_at_most() {
     let mut order = MessageOrder::default();
     assert!(!order.needs_liveness_probe());
     order.request_liveness_probe();
--- a/crates/tallygauge-health/src/reachability.rs
+++ b/crates/tallygauge-health/src/reachability.rs
@@ -1,101 +1,122 @@
-//! Whether what is sent to a machine reaches it.
+//! Whether messages to a machine arrive.
 
-/// Something that speaks against a machine's hearing.
+/// Evidence that messages to a machine don't arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
-    /// A report that shows nothing of what the answer before it carried.
+    /// A heartbeat shows no effect of what the response before it carried.
     NotAcknowledged,
-    /// A question or command sent to it was not answered, though it reports.
+    /// A probe or command sent to it got no reply, though its heartbeats arrive.
     Unanswered,
-    /// Its session ended, though its reports were answered all the time: it has
-    /// taken none of the answers of a whole lease.
+    /// Its lease expired though all its heartbeats were answered: it has received
+    /// none of the responses of a whole lease.
     LeaseExpired,
 }
 
-/// How many signs tell, and for how long they are remembered.
+/// How much evidence it takes, and for how long evidence counts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReachabilityThresholds {
-    /// Signs in a row from which on nothing new is placed there.
+    /// Pieces of evidence in a row from which on a machine is suspected and gets no
+    /// new work.
     pub suspected: u32,
-    /// Signs in a row from which on it counts as deaf.
+    /// Pieces of evidence in a row from which on it is unreachable.
     pub unreachable: u32,
-    /// Seconds that a sign may be younger than the one before it and still be
-    /// the same event: one lost answer must not count twice.
+    /// Seconds within which two pieces of evidence count as one event: a single lost
+    /// response must not count twice.
     pub min_interval_s: f64,
-    /// Seconds after which a sign that was not followed by another is forgotten.
+    /// Seconds after which evidence is forgotten if no other follows.
     pub expiry_s: f64,
 }
 
-/// Whether what is sent to a machine reaches it, as far as can be told.
+/// Whether messages to a machine arrive, as far as can be told.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum Reachability {
-    /// Nothing speaks against it.
+    /// There is no evidence against it.
     #[default]
     Reachable,
-    /// So many signs in a row, the last of them at `at`.
+    /// There is evidence, but not enough of it to call the machine unreachable.
     Suspected {
-        /// Signs.
-        signs: u32,
-        /// When the last came.
-        at: f64,
+        /// Pieces of evidence in a row.
+        evidence_count: u32,
+        /// When the last of them came.
+        last_at: f64,
     },
-    /// It does not.
+    /// Messages don't arrive.
     Unreachable {
-        /// Since when that is held.
+        /// When the machine was first found unreachable.
         since: f64,
     },
 }
 
 impl Reachability {
-    /// It has shown that it hears: it answered, or did what it was told.
+    /// Records that a message arrived: the machine replied, or did what it was told.
     pub fn confirm(&mut self) {
         *self = Self::Reachable;
     }
 
-    /// Something speaks against it. Returns whether it counts as deaf from now
-    /// on and did not before.
-    pub fn record(&mut self, sign: Evidence, now: f64, limits: &ReachabilityThresholds) -> bool {
-        let weight = match sign {
+    /// Records evidence. Returns whether the machine has become unreachable by it.
+    pub fn record(
+        &mut self,
+        evidence: Evidence,
+        now: f64,
+        thresholds: &ReachabilityThresholds,
+    ) -> bool {
+        let weight = match evidence {
             Evidence::NotAcknowledged | Evidence::Unanswered => 1,
-            Evidence::LeaseExpired => limits.unreachable,
+            Evidence::LeaseExpired => thresholds.unreachable,
         };
-        let signs = match *self {
+        let evidence_count = match *self {
             Self::Unreachable { .. } => return false,
-            Self::Suspected { at, .. } if now - at > limits.expiry_s => weight,
-            Self::Suspected { signs, at } if now - at < limits.min_interval_s => signs.max(weight),
-            Self::Suspected { signs, .. } => signs + weight,
             Self::Reachable => weight,
+            Self::Suspected {
+                evidence_count,
+                last_at,
+            } => {
+                let since_last_s = now - last_at;
+                if since_last_s > thresholds.expiry_s {
+                    weight
+                } else if since_last_s < thresholds.min_interval_s {
+                    evidence_count.max(weight)
+                } else {
+                    evidence_count + weight
+                }
+            }
         };
-        *self = if signs >= limits.unreachable {
+        *self = if evidence_count >= thresholds.unreachable {
             Self::Unreachable { since: now }
         } else {
-            Self::Suspected { signs, at: now }
+            Self::Suspected {
+                evidence_count,
+                last_at: now,
+            }
         };
         matches!(self, Self::Unreachable { .. })
     }
 
-    /// Whether new work may go there.
+    /// Whether the machine may get new work.
     #[must_use]
-    pub fn accepts_work(&self, now: f64, limits: &ReachabilityThresholds) -> bool {
+    pub fn accepts_work(&self, now: f64, thresholds: &ReachabilityThresholds) -> bool {
         match *self {
             Self::Reachable => true,
-            Self::Suspected { signs, at } => signs < limits.suspected || now - at > limits.expiry_s,
+            Self::Suspected {
+                evidence_count,
+                last_at,
+            } => evidence_count < thresholds.suspected || now - last_at > thresholds.expiry_s,
             Self::Unreachable { .. } => false,
         }
     }
 
-    /// Whether it should be asked if it hears.
+    /// Whether the machine should be probed, as there is evidence against it.
     #[must_use]
     pub fn needs_probe(&self) -> bool {
         !matches!(self, Self::Reachable)
     }
 
-    /// For how long it has been deaf.
+    /// Seconds since the machine was found unreachable; `None` if it is not.
     #[must_use]
     pub fn unreachable_for(&self, now: f64) -> Option<f64> {
         match *self {
             Self::Unreachable { since } => Some(now - since),
-            _ => None,
+            Self::Reachable | Self::Suspected { .. } => None,
         }
     }
 }
--- a/crates/tallygauge-health/src/reachability/tests.rs
+++ b/crates/tallygauge-health/src/reachability/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-const LIMITS: ReachabilityThresholds = ReachabilityThresholds {
+const THRESHOLDS: ReachabilityThresholds = ReachabilityThresholds {
     suspected: 2,
     unreachable: 3,
     min_interval_s: 0.5,
@@ -9,76 +9,77 @@
 };
 
 #[test]
-fn signs_in_a_row_tell_and_one_word_to_the_contrary_is_enough() {
-    let mut hearing = Reachability::default();
-    assert!(!hearing.record(Evidence::NotAcknowledged, 10.0, &LIMITS));
-    assert!(hearing.accepts_work(10.0, &LIMITS) && hearing.needs_probe());
-    assert!(!hearing.record(Evidence::Unanswered, 15.0, &LIMITS));
-    assert!(!hearing.accepts_work(15.0, &LIMITS));
-    assert!(hearing.record(Evidence::NotAcknowledged, 20.0, &LIMITS));
+fn evidence_in_a_row_makes_unreachable_and_one_confirmation_resets_it() {
+    let mut reachability = Reachability::default();
+    assert!(!reachability.record(Evidence::NotAcknowledged, 10.0, &THRESHOLDS));
+    assert!(reachability.accepts_work(10.0, &THRESHOLDS) && reachability.needs_probe());
+    assert!(!reachability.record(Evidence::Unanswered, 15.0, &THRESHOLDS));
+    assert!(!reachability.accepts_work(15.0, &THRESHOLDS));
+    assert!(reachability.record(Evidence::NotAcknowledged, 20.0, &THRESHOLDS));
     assert!(
-        !hearing.record(Evidence::NotAcknowledged, 25.0, &LIMITS),
+        !reachability.record(Evidence::NotAcknowledged, 25.0, &THRESHOLDS),
         "known already"
     );
-    assert_eq!(hearing.unreachable_for(26.0), Some(6.0));
-    hearing.confirm();
-    assert!(hearing.accepts_work(26.0, &LIMITS) && !hearing.needs_probe());
-    assert!(hearing.record(Evidence::LeaseExpired, 30.0, &LIMITS));
+    assert_eq!(reachability.unreachable_for(26.0), Some(6.0));
+    reachability.confirm();
+    assert!(reachability.accepts_work(26.0, &THRESHOLDS) && !reachability.needs_probe());
+    assert!(reachability.record(Evidence::LeaseExpired, 30.0, &THRESHOLDS));
 }
 
-/// The signs as they are worded: those that count, each more than `apart`
-/// after the one before it, none longer than the memory after it.
-fn plain(events: &[(f64, Option<Evidence>)]) -> u32 {
-    let (mut row, mut last, mut deaf): (u32, Option<f64>, bool) = (0, None, false);
-    for (at, sign) in events {
-        let Some(sign) = sign else {
-            (row, last, deaf) = (0, None, false);
+/// The evidence in a row after all events, counted as the documentation words it:
+/// pieces closer than the least interval are one event, expired ones are forgotten,
+/// and a confirmation (`None`) forgets all.
+fn plain_evidence_count(events: &[(f64, Option<Evidence>)]) -> u32 {
+    let (mut row, mut last, mut unreachable): (u32, Option<f64>, bool) = (0, None, false);
+    for (at, evidence) in events {
+        let Some(evidence) = evidence else {
+            (row, last, unreachable) = (0, None, false);
             continue;
         };
-        if deaf {
+        if unreachable {
             continue;
         }
-        let weight = if *sign == Evidence::LeaseExpired {
+        let weight = if *evidence == Evidence::LeaseExpired {
             3
         } else {
             1
         };
         match last {
-            Some(before) if at - before > LIMITS.expiry_s => row = weight,
-            Some(before) if at - before < LIMITS.min_interval_s => row = row.max(weight),
+            Some(before) if at - before > THRESHOLDS.expiry_s => row = weight,
+            Some(before) if at - before < THRESHOLDS.min_interval_s => row = row.max(weight),
             _ => row += weight,
         }
         last = Some(*at);
-        deaf = row >= LIMITS.unreachable;
+        unreachable = row >= THRESHOLDS.unreachable;
     }
-    row.min(LIMITS.unreachable)
+    row.min(THRESHOLDS.unreachable)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn the_judgement_is_that_of_the_plain_model(steps in prop::collection::vec((0.1f64..40.0, 0u8..6), 0..30)) {
-        let mut hearing = Reachability::default();
+    fn the_evidence_count_is_that_of_the_plain_model(steps in prop::collection::vec((0.1f64..40.0, 0u8..6), 0..30)) {
+        let mut reachability = Reachability::default();
         let (mut now, mut events) = (0.0, Vec::new());
         for (pause, what) in steps {
             now += pause;
-            let sign = match what {
+            let evidence = match what {
                 0 => None,
                 1 => Some(Evidence::LeaseExpired),
                 2 | 3 => Some(Evidence::Unanswered),
                 _ => Some(Evidence::NotAcknowledged),
             };
-            match sign {
-                Some(sign) => { hearing.record(sign, now, &LIMITS); }
-                None => hearing.confirm(),
+            match evidence {
+                Some(evidence) => { reachability.record(evidence, now, &THRESHOLDS); }
+                None => reachability.confirm(),
             }
-            events.push((now, sign));
-            let real = match hearing {
+            events.push((now, evidence));
+            let real = match reachability {
                 Reachability::Reachable => 0,
-                Reachability::Suspected { signs, .. } => signs,
-                Reachability::Unreachable { .. } => LIMITS.unreachable,
+                Reachability::Suspected { evidence_count, .. } => evidence_count,
+                Reachability::Unreachable { .. } => THRESHOLDS.unreachable,
             };
-            prop_assert_eq!(real, plain(&events));
+            prop_assert_eq!(real, plain_evidence_count(&events));
         }
     }
 }
--- a/crates/tallygauge-health/src/tombstones.rs
+++ b/crates/tallygauge-health/src/tombstones.rs
@@ -1,56 +1,61 @@
-//! Machines that are gone.
+//! Tombstones of machines that were deregistered.
 
 use std::collections::BTreeMap;
 
-/// Names of machines that are gone, and when they went, for as long as late
-/// words of them may come. Bounded: the oldest names go first, as names are in
-/// the order of creation.
+/// Names of deregistered machines with the time of their departure, kept for as
+/// long as late messages of them may arrive.
+///
+/// Bounded: beyond the limit the lowest names are dropped, which are the oldest, as
+/// names ascend in the order of creation.
 #[derive(Debug, Clone)]
 pub struct Tombstones {
-    names: BTreeMap<String, f64>,
-    most: usize,
-    memory_s: f64,
+    departed_at: BTreeMap<String, f64>,
+    max_names: usize,
+    retention_s: f64,
 }
 
 impl Tombstones {
-    /// Remembers at most so many, for so many seconds.
+    /// Keeps at most `max_names` tombstones, each for `retention_s` seconds.
     #[must_use]
-    pub fn new(most: usize, memory_s: f64) -> Self {
+    pub fn new(max_names: usize, retention_s: f64) -> Self {
         Self {
-            names: BTreeMap::new(),
-            most,
-            memory_s,
+            departed_at: BTreeMap::new(),
+            max_names,
+            retention_s,
         }
     }
 
-    /// A machine is gone.
+    /// Records that a machine was deregistered at `now`.
     pub fn record_departure(&mut self, name: &str, now: f64) {
-        self.names.insert(name.to_string(), now);
-        while self.names.len() > self.most {
-            self.names.pop_first();
+        self.departed_at.insert(name.to_string(), now);
+        while self.departed_at.len() > self.max_names {
+            self.departed_at.pop_first();
         }
     }
 
-    /// Forgets those that went long ago.
+    /// Drops the tombstones that are older than the retention time.
     pub fn expire(&mut self, now: f64) {
-        let memory_s = self.memory_s;
-        self.names.retain(|_, at| now - *at <= memory_s);
+        let retention_s = self.retention_s;
+        self.departed_at
+            .retain(|_, departed_at| now - *departed_at <= retention_s);
     }
 
-    /// Whether a machine is gone, as far as is remembered.
+    /// Whether there is a tombstone of a machine.
     #[must_use]
     pub fn contains(&self, name: &str) -> bool {
-        self.names.contains_key(name)
+        self.departed_at.contains_key(name)
     }
 
-    /// A list that shows all that there was at `sure`, and nothing gone by then,
-    /// shows the machine. Whether that is out of date: it went after that. One
-    /// that went before is there after all.
-    pub fn is_newer_than(&mut self, name: &str, sure: f64) -> bool {
-        match self.names.get(name) {
-            Some(at) if *at > sure => true,
+    /// Whether the machine departed after `listed_at`, so that a machine list which
+    /// shows it as of that time is out of date.
+    ///
+    /// A machine that departed before, and is listed all the same, exists: its
+    /// tombstone is removed.
+    pub fn overrules_listing(&mut self, name: &str, listed_at: f64) -> bool {
+        match self.departed_at.get(name) {
+            Some(departed_at) if *departed_at > listed_at => true,
             Some(_) => {
-                self.names.remove(name);
+                self.departed_at.remove(name);
                 false
             }
             None => false,
--- a/crates/tallygauge-health/src/tombstones/tests.rs
+++ b/crates/tallygauge-health/src/tombstones/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-// Copies of a returned machine's reports, a lease late, made it a room that
-// nobody has.
+// Copies of a returned machine's heartbeats, a lease late, registered it again: it was
+// capacity that did not exist.
 #[test]
-fn who_went_stays_gone_unless_a_later_list_shows_it() {
-    let mut departed = Tombstones::new(3, 100.0);
-    departed.record_departure("host-1", 10.0);
-    assert!(departed.contains("host-1"));
-    assert!(departed.is_newer_than("host-1", 9.0), "an old list");
-    assert!(departed.contains("host-1"));
-    assert!(!departed.is_newer_than("host-1", 11.0));
-    assert!(!departed.contains("host-1"));
+fn a_departed_machine_stays_departed_unless_a_later_list_shows_it() {
+    let mut tombstones = Tombstones::new(3, 100.0);
+    tombstones.record_departure("host-1", 10.0);
+    assert!(tombstones.contains("host-1"));
+    assert!(tombstones.overrules_listing("host-1", 9.0), "an old list");
+    assert!(tombstones.contains("host-1"));
+    assert!(!tombstones.overrules_listing("host-1", 11.0));
+    assert!(!tombstones.contains("host-1"));
     for n in 2..9 {
-        departed.record_departure(&format!("host-{n}"), 20.0 + f64::from(n));
+        tombstones.record_departure(&format!("host-{n}"), 20.0 + f64::from(n));
     }
-    assert!(departed.contains("host-8") && !departed.contains("host-4"));
-    departed.expire(127.5);
-    assert!(departed.contains("host-8") && !departed.contains("host-7"));
+    assert!(tombstones.contains("host-8") && !tombstones.contains("host-4"));
+    tombstones.expire(127.5);
+    assert!(tombstones.contains("host-8") && !tombstones.contains("host-7"));
 }
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -93,7 +93,7 @@
         let mut listed = BTreeSet::new();
         for m in machines {
             listed.insert(m.name.as_str());
-            if self.tombstones.is_newer_than(&m.name, sure) {
+            if self.tombstones.overrules_listing(&m.name, sure) {
                 continue;
             }
             self.register_machine(&m.name, &m.machine_type, &m.zone, m.spot, &m.endpoint, now);
