--- a/crates/tallygauge-fairness/src/selection.rs
+++ b/crates/tallygauge-fairness/src/selection.rs
@@ -1,209 +1,278 @@
-//! Who has fallen behind, and whose jobs come first for it.
+//! Selection of the jobs that come first for groups (classes and teams) which have
+//! fallen behind their share.
 
-use crate::service_counts::{GroupIds, ServiceCounts};
+use crate::service_counts::{GroupIds, ServiceCounts, WINDOW_COUNT};
+use std::cmp::Ordering;
 
-/// An open job, as far as the floor looks at it.
+/// Overdue jobs from which on a group may be behind; fewer may be chance.
+const MIN_OVERDUE_JOBS: u32 = 4;
+
+/// An open job, as far as the selection looks at it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// Places of its class and its team, and of its class's largest jobs.
+    /// Groups that it counts for.
     pub groups: GroupIds,
     /// CPU-seconds until its last task is done.
     pub remaining_cpu_s: f64,
     /// Seconds since it should have been served; `None`: it need not be yet.
     pub overdue_s: Option<f64>,
-    /// It can't be done by its loosest aim any more.
+    /// Whether it can't meet its loosest service-level objective any more.
     pub late: bool,
-    /// It should have been served so long ago that it alone shows that its
-    /// class and team are behind.
+    /// Whether it is overdue for so long that it shows by itself that its groups
+    /// are behind.
     pub long_overdue: bool,
-    /// Whether a task of it fits on any machine that there is or that can be
-    /// had.
+    /// Whether a task of it fits on any machine that there is or that can be rented.
     pub fits: bool,
-    /// Open and served all the same: a service whose replicas all run.
+    /// Whether it is served though it is open: a service whose replicas all run.
     pub served: bool,
 }
 
-/// The part that is to be served of those jobs that are done or overdue.
+/// Fractions of the jobs done or overdue that are to be done, 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ShareTarget {
-    /// What nobody may fall below: those that have come first.
+    /// Minimum share: jobs that a group needs to reach it come first.
     pub min_share: f64,
-    /// What is aimed at.
+    /// Share to reach.
     pub share: f64,
 }
 
-/// What a class or a team is short of.
+/// How far a group is behind, in jobs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Shortfall {
     /// Open jobs.
     pub open: u32,
     /// Open jobs that should have been served by now.
     pub overdue: u32,
-    /// Open jobs that fit nowhere.
+    /// Open jobs that fit on no machine.
     pub unfit: u32,
-    /// Jobs that must yet be done for the least part to be reached.
+    /// Jobs that must yet be done to reach the minimum share.
     pub to_min_share: u32,
-    /// Jobs that must yet be done for the part aimed at to be reached.
+    /// Jobs that must yet be done to reach the target share.
     pub to_target_share: u32,
 }
 
-/// A job that comes first, on behalf of its class.
+/// A job that comes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SelectedJob {
-    /// The candidate.
+    /// Index of the candidate.
     pub candidate: usize,
-    /// The least part is not reached without it.
+    /// Whether a group doesn't reach its minimum share without it.
     pub for_min_share: bool,
 }
 
-/// Who comes first now.
+/// Result of a selection.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Selection {
-    /// By place of a class or team.
+    /// Shortfalls by group id.
     pub shortfalls: Vec<Shortfall>,
-    /// Jobs that come first, in the order in which they should.
+    /// Jobs that come first, in this order.
     pub selected: Vec<SelectedJob>,
 }
 
-/// Elects, for each class and each team that is behind, those of its open jobs
-/// that are nearest to their end, as many as it is short of. Beyond the least
-/// part, the largest of a class that has that come next, as many as those are
-/// short of, and then those that can still be done in time.
+/// Selects, for each class and each team that is behind, those of its open jobs that
+/// have the least work left, as many as it is short of. After those for the minimum
+/// share come the largest jobs of a class that has reached it, as many as those are
+/// short of, and then jobs for the target share, those that are not late first.
+///
+/// A group is behind if it has served less than the target's share of its jobs done
+/// or overdue, within either window of `counts`. A few overdue jobs don't count unless
+/// one is long overdue. Jobs that need not be served yet don't count, so that no group
+/// is behind while work is done in time. A job counts for all its groups alike.
 ///
-/// Behind is who has served less than the level's share of those jobs that are
-/// done or overdue, within the day or within the shorter window; a few overdue
-/// jobs don't tell, unless they have waited for long. Jobs that need
-/// not be served yet do not count, so that nobody is behind while work is done
-/// in time. A job counts for its class and for its team alike.
+/// `at` is the time of day in seconds. Called by the scheduler's minimum share.
 #[must_use]
 pub fn select_underserved(
-    book: &ServiceCounts,
-    jobs: &[Candidate],
-    level: ShareTarget,
+    counts: &ServiceCounts,
+    candidates: &[Candidate],
+    target: ShareTarget,
     at: f64,
 ) -> Selection {
-    let demands = shortfalls(book, jobs, level, at);
-    let mut seats = Vec::new();
-    if demands.iter().all(|d| d.to_target_share == 0) {
+    let shortfalls = compute_shortfalls(counts, candidates, target, at);
+    if shortfalls.iter().all(|s| s.to_target_share == 0) {
         return Selection {
-            shortfalls: demands,
-            selected: seats,
+            shortfalls,
+            selected: Vec::new(),
         };
     }
-    let mut order: Vec<usize> = (0..jobs.len())
-        .filter(|j| jobs[*j].fits && !jobs[*j].served)
-        .collect();
-    let work = |a: &usize, b: &usize| {
-        jobs[*a]
-            .remaining_cpu_s
-            .total_cmp(&jobs[*b].remaining_cpu_s)
-            .then(a.cmp(b))
-    };
-    order.sort_by(work);
-    let mut least: Vec<u32> = demands.iter().map(|d| d.to_min_share).collect();
-    let mut need: Vec<u32> = demands.iter().map(|d| d.to_target_share).collect();
-    let mut rest = Vec::new();
-    for candidate in order {
-        let places = jobs[candidate].groups;
-        if least[places.class] == 0 && least[places.team] == 0 {
-            rest.push(candidate);
-            continue;
+    let mut selector = Selector::new(candidates, &shortfalls);
+    selector.select_for_min_share();
+    selector.select_largest();
+    selector.select_for_target_share();
+    let selected = selector.selected;
+    Selection {
+        shortfalls,
+        selected,
+    }
+}
+
+/// A selection in progress.
+struct Selector<'a> {
+    candidates: &'a [Candidate],
+    shortfalls: &'a [Shortfall],
+    /// Indices of the candidates that may yet be selected, in the order in which
+    /// they are looked at.
+    unselected: Vec<usize>,
+    /// By group id: jobs that must yet be selected to reach the minimum share.
+    missing_to_min_share: Vec<u32>,
+    /// By group id: jobs that must yet be selected to reach the target share.
+    missing_to_target_share: Vec<u32>,
+    selected: Vec<SelectedJob>,
+}
+
+impl<'a> Selector<'a> {
+    fn new(candidates: &'a [Candidate], shortfalls: &'a [Shortfall]) -> Self {
+        let mut unselected: Vec<usize> = (0..candidates.len())
+            .filter(|index| candidates[*index].fits && !candidates[*index].served)
+            .collect();
+        unselected.sort_by(|a, b| compare_remaining_work(candidates, *a, *b));
+        Self {
+            candidates,
+            shortfalls,
+            unselected,
+            missing_to_min_share: shortfalls.iter().map(|s| s.to_min_share).collect(),
+            missing_to_target_share: shortfalls.iter().map(|s| s.to_target_share).collect(),
+            selected: Vec::new(),
+        }
+    }
+
+    fn select_for_min_share(&mut self) {
+        for candidate in std::mem::take(&mut self.unselected) {
+            let groups = self.candidates[candidate].groups;
+            if is_missing_job(&self.missing_to_min_share, groups) {
+                self.select(candidate, true);
+            } else {
+                self.unselected.push(candidate);
+            }
         }
-        seats.push(SelectedJob {
-            candidate,
-            for_min_share: true,
-        });
-        deduct_selected(places, &mut need);
-        deduct_selected(places, &mut least);
     }
-    // Then what the largest are short of.
-    rest.retain(|candidate| {
-        let places = jobs[*candidate].groups;
-        // They cost most: the class itself must have its least part.
-        if places.largest.is_none_or(|p| least[p] == 0) || demands[places.class].to_min_share > 0 {
-            return true;
+
+    /// Selects the largest jobs of classes. They cost most: the class itself must
+    /// have its minimum share.
+    fn select_largest(&mut self) {
+        for candidate in std::mem::take(&mut self.unselected) {
+            let groups = self.candidates[candidate].groups;
+            let is_missing = groups
+                .largest
+                .is_some_and(|group| self.missing_to_min_share[group] > 0);
+            if is_missing && self.shortfalls[groups.class].to_min_share == 0 {
+                self.select(candidate, false);
+            } else {
+                self.unselected.push(candidate);
+            }
         }
-        seats.push(SelectedJob {
-            candidate: *candidate,
-            for_min_share: false,
+    }
+
+    fn select_for_target_share(&mut self) {
+        let candidates = self.candidates;
+        self.unselected.sort_by(|a, b| {
+            let by_lateness = candidates[*a].late.cmp(&candidates[*b].late);
+            by_lateness.then_with(|| compare_remaining_work(candidates, *a, *b))
         });
-        deduct_selected(places, &mut need);
-        deduct_selected(places, &mut least);
-        false
-    });
-    rest.sort_by(|a, b| jobs[*a].late.cmp(&jobs[*b].late).then(work(a, b)));
-    for candidate in rest {
-        let places = jobs[candidate].groups;
-        if need[places.class] == 0 && need[places.team] == 0 {
-            continue;
+        for candidate in std::mem::take(&mut self.unselected) {
+            let groups = self.candidates[candidate].groups;
+            if is_missing_job(&self.missing_to_target_share, groups) {
+                self.select(candidate, false);
+            }
         }
-        seats.push(SelectedJob {
+    }
+
+    fn select(&mut self, candidate: usize, for_min_share: bool) {
+        self.selected.push(SelectedJob {
             candidate,
-            for_min_share: false,
+            for_min_share,
         });
-        deduct_selected(places, &mut need);
-    }
-    Selection {
-        shortfalls: demands,
-        selected: seats,
+        for group in self.candidates[candidate].groups.iter() {
+            for missing in [
+                &mut self.missing_to_min_share[group],
+                &mut self.missing_to_target_share[group],
+            ] {
+                *missing = missing.saturating_sub(1);
+            }
+        }
     }
 }
 
-/// One that comes first is one that its class, its team and its class's largest
-/// are short of no more.
-fn deduct_selected(places: GroupIds, short: &mut [u32]) {
-    for place in places.iter() {
-        short[place] = short[place].saturating_sub(1);
-    }
+/// Whether the class or the team of a job misses jobs.
+fn is_missing_job(missing: &[u32], groups: GroupIds) -> bool {
+    missing[groups.class] > 0 || missing[groups.team] > 0
 }
 
-/// Overdue jobs that show that a class or team is behind; fewer may be chance.
-const TELLING: u32 = 4;
+/// The candidate with less work left first; of equal ones, the lower index.
+fn compare_remaining_work(candidates: &[Candidate], a: usize, b: usize) -> Ordering {
+    candidates[a]
+        .remaining_cpu_s
+        .total_cmp(&candidates[b].remaining_cpu_s)
+        .then(a.cmp(&b))
+}
 
-fn shortfalls(
-    book: &ServiceCounts,
-    jobs: &[Candidate],
-    level: ShareTarget,
+/// What the open jobs of a group contribute to its shortfall.
+#[derive(Debug, Clone, Copy, Default)]
+struct OpenJobs {
+    /// Open jobs that are served: services whose replicas all run.
+    served: u32,
+    /// Jobs that became overdue within each window.
+    overdue_in_windows: [u32; WINDOW_COUNT],
+    has_long_overdue: bool,
+}
+
+/// Shortfalls by group id.
+fn compute_shortfalls(
+    counts: &ServiceCounts,
+    candidates: &[Candidate],
+    target: ShareTarget,
     at: f64,
 ) -> Vec<Shortfall> {
-    let count = book.keys().len();
-    let spans = book.window_lengths_s();
-    let mut demands = vec![Shortfall::default(); count];
-    let mut overdue = vec![[0u32; 2]; count];
-    let mut serving = vec![0u32; count];
-    let mut long = vec![false; count];
-    for job in jobs {
-        for place in job.groups.iter() {
-            let demand = &mut demands[place];
-            demand.open += 1;
-            if job.served {
-                serving[place] += 1;
-                continue;
-            }
-            demand.unfit += u32::from(!job.fits);
-            if let Some(since) = job.overdue_s {
-                demand.overdue += 1;
-                long[place] |= job.long_overdue;
-                for (window, span) in spans.iter().enumerate() {
-                    overdue[place][window] += u32::from(since < *span);
-                }
-            }
+    let window_lengths_s = counts.window_lengths_s();
+    let group_count = counts.keys().len();
+    let mut shortfalls = vec![Shortfall::default(); group_count];
+    let mut open_jobs = vec![OpenJobs::default(); group_count];
+    for candidate in candidates {
+        for group in candidate.groups.iter() {
+            count_open_job(
+                candidate,
+                window_lengths_s,
+                &mut shortfalls[group],
+                &mut open_jobs[group],
+            );
         }
     }
-    for (place, demand) in demands.iter_mut().enumerate() {
-        if demand.overdue < TELLING && !long[place] {
+    for (group, (shortfall, open)) in shortfalls.iter_mut().zip(&open_jobs).enumerate() {
+        if shortfall.overdue < MIN_OVERDUE_JOBS && !open.has_long_overdue {
             continue;
         }
-        let served = book.done_in_windows(place, at);
-        for window in 0..spans.len() {
-            let served = served[window] + serving[place];
-            let total = f64::from(served) + f64::from(overdue[place][window]);
-            let short = |share: f64| ((total * share).ceil() as u32).saturating_sub(served);
-            demand.to_min_share = demand.to_min_share.max(short(level.min_share));
-            demand.to_target_share = demand.to_target_share.max(short(level.share));
+        let done_in_windows = counts.done_in_windows(group, at);
+        for (done, overdue) in done_in_windows.into_iter().zip(open.overdue_in_windows) {
+            let served = done + open.served;
+            let total = f64::from(served) + f64::from(overdue);
+            let missing = |share: f64| ((total * share).ceil() as u32).saturating_sub(served);
+            shortfall.to_min_share = shortfall.to_min_share.max(missing(target.min_share));
+            shortfall.to_target_share = shortfall.to_target_share.max(missing(target.share));
         }
     }
-    demands
+    shortfalls
+}
+
+/// Counts an open job for one of its groups.
+fn count_open_job(
+    candidate: &Candidate,
+    window_lengths_s: [f64; WINDOW_COUNT],
+    shortfall: &mut Shortfall,
+    open: &mut OpenJobs,
+) {
+    shortfall.open += 1;
+    if candidate.served {
+        open.served += 1;
+        return;
+    }
+    shortfall.unfit += u32::from(!candidate.fits);
+    let Some(overdue_s) = candidate.overdue_s else {
+        return;
+    };
+    shortfall.overdue += 1;
+    open.has_long_overdue |= candidate.long_overdue;
+    for (overdue, window_s) in open.overdue_in_windows.iter_mut().zip(window_lengths_s) {
+        *overdue += u32::from(overdue_s < window_s);
+    }
 }
 
 #[cfg(test)]
--- a/crates/tallygauge-fairness/src/selection/tests.rs
+++ b/crates/tallygauge-fairness/src/selection/tests.rs
@@ -2,73 +2,88 @@
 use crate::{GroupKind, JobEnd};
 use proptest::prelude::*;
 
-const LEVEL: ShareTarget = ShareTarget {
+const TARGET: ShareTarget = ShareTarget {
     min_share: 0.55,
     share: 0.65,
 };
 
-/// The least number of jobs that must yet be done, tried one by one.
-fn plain_short(served: u32, overdue: u32, share: f64) -> u32 {
-    let enough =
+/// Jobs that must yet be done, of one group: to the minimum share, to the target share.
+type Missing = [u32; 2];
+
+const TO_MIN_SHARE: usize = 0;
+const TO_TARGET_SHARE: usize = 1;
+
+/// The least number of jobs that must yet be done for a share, tried one by one.
+fn plain_missing(served: u32, overdue: u32, share: f64) -> u32 {
+    let is_enough =
         |more: &u32| f64::from(served + more) + 1e-9 >= f64::from(served + overdue) * share;
-    (0..).find(enough).unwrap()
+    (0..).find(is_enough).unwrap()
 }
 
-/// The election as it is worded: over and over, of all jobs that a class or
-/// team below the least part could use, the one with the least work left;
-/// then of those that one in need could use, the one that can still be in
-/// time and has the least work left.
-fn plain(book: &ServiceCounts, jobs: &[Candidate], at: f64) -> (Vec<[u32; 2]>, Vec<SelectedJob>) {
-    let mut needs = Vec::new();
-    for place in 0..book.keys().len() {
-        let here = |j: &&Candidate| j.groups.iter().any(|p| p == place);
-        let late = |j: &&Candidate| here(j) && !j.served && j.overdue_s.is_some();
-        let tells = jobs.iter().filter(late).count() >= 4
-            || jobs.iter().filter(late).any(|j| j.long_overdue);
-        let mut need = [0; 2];
-        for (window, span) in book.window_lengths_s().iter().enumerate().filter(|_| tells) {
-            let open = jobs.iter().filter(|j| here(j) && j.served).count() as u32;
-            let served = book.done_in_windows(place, at)[window] + open;
-            let within = |j: &&Candidate| late(j) && j.overdue_s < Some(*span);
+/// Missing jobs of each group as the documentation words them.
+fn plain_shortfalls(counts: &ServiceCounts, jobs: &[Candidate], at: f64) -> Vec<Missing> {
+    let mut shortfalls = Vec::new();
+    for group in 0..counts.keys().len() {
+        let is_member = |j: &&Candidate| j.groups.iter().any(|g| g == group);
+        let is_overdue = |j: &&Candidate| is_member(j) && !j.served && j.overdue_s.is_some();
+        let may_be_behind = jobs.iter().filter(is_overdue).count() >= 4
+            || jobs.iter().filter(is_overdue).any(|j| j.long_overdue);
+        let mut missing = [0; 2];
+        let windows = counts.window_lengths_s();
+        for (window, window_s) in windows.iter().enumerate().filter(|_| may_be_behind) {
+            let open = jobs.iter().filter(|j| is_member(j) && j.served).count() as u32;
+            let served = counts.done_in_windows(group, at)[window] + open;
+            let within = |j: &&Candidate| is_overdue(j) && j.overdue_s < Some(*window_s);
             let overdue = jobs.iter().filter(within).count() as u32;
-            for (n, share) in [LEVEL.min_share, LEVEL.share].into_iter().enumerate() {
-                need[n] = need[n].max(plain_short(served, overdue, share));
+            for (n, share) in [TARGET.min_share, TARGET.share].into_iter().enumerate() {
+                missing[n] = missing[n].max(plain_missing(served, overdue, share));
             }
         }
-        needs.push(need);
+        shortfalls.push(missing);
     }
-    let (mut left, mut seats) = (needs.clone(), Vec::<SelectedJob>::new());
+    shortfalls
+}
+
+/// The selection as the documentation words it: over and over, of all jobs that a class
+/// or team below its minimum share could use, the one with the least work left; then
+/// the same of the largest jobs of a class that has reached it; then, of those that a
+/// group below the target share could use, the one that can still be in time and has
+/// the least work left.
+fn plain_selection(shortfalls: &[Missing], jobs: &[Candidate]) -> Vec<SelectedJob> {
+    let mut missing = shortfalls.to_vec();
+    let mut selected = Vec::<SelectedJob>::new();
     loop {
-        let taken = |n: usize| seats.iter().any(|s| s.candidate == n);
-        let able = |n: &usize| !taken(*n) && jobs[*n].fits && !jobs[*n].served;
-        let short = |n: usize, level: usize| {
-            let places = jobs[n].groups;
-            left[places.class][level] > 0 || left[places.team][level] > 0
+        let is_selected = |n: usize| selected.iter().any(|s| s.candidate == n);
+        let is_eligible = |n: &usize| !is_selected(*n) && jobs[*n].fits && !jobs[*n].served;
+        let is_missing = |n: usize, share: usize| {
+            let groups = jobs[n].groups;
+            missing[groups.class][share] > 0 || missing[groups.team][share] > 0
         };
-        let large = |n: &usize| {
-            let places = jobs[*n].groups;
-            needs[places.class][0] == 0 && places.largest.is_some_and(|p| left[p][0] > 0)
+        let is_missing_largest = |n: &usize| {
+            let groups = jobs[*n].groups;
+            shortfalls[groups.class][TO_MIN_SHARE] == 0
+                && groups.largest.is_some_and(|g| missing[g][TO_MIN_SHARE] > 0)
         };
-        let all = || (0..jobs.len()).filter(able);
-        let best = |late: bool, which: &dyn Fn(&usize) -> bool| {
-            all().filter(which).min_by(|a, b| {
-                let key = |n: usize| (late && jobs[n].late, jobs[n].remaining_cpu_s);
+        let best = |late_last: bool, is_useful: &dyn Fn(&usize) -> bool| {
+            let useful = (0..jobs.len()).filter(is_eligible).filter(is_useful);
+            useful.min_by(|a, b| {
+                let key = |n: usize| (late_last && jobs[n].late, jobs[n].remaining_cpu_s);
                 key(*a).partial_cmp(&key(*b)).unwrap()
             })
         };
-        let first = best(false, &|n| short(*n, 0));
-        let next = first.or(best(false, &large));
-        let Some(candidate) = next.or(best(true, &|n| short(*n, 1))) else {
-            return (needs, seats);
+        let first = best(false, &|n| is_missing(*n, TO_MIN_SHARE));
+        let next = first.or(best(false, &is_missing_largest));
+        let next = next.or(best(true, &|n| is_missing(*n, TO_TARGET_SHARE)));
+        let Some(candidate) = next else {
+            return selected;
         };
-        let least = first.is_some();
-        let places = jobs[candidate].groups;
-        for place in places.iter() {
-            left[place] = left[place].map(|n| n.saturating_sub(1));
+        let for_min_share = first.is_some();
+        for group in jobs[candidate].groups.iter() {
+            missing[group] = missing[group].map(|n| n.saturating_sub(1));
         }
-        seats.push(SelectedJob {
+        selected.push(SelectedJob {
             candidate,
-            for_min_share: least,
+            for_min_share,
         });
     }
 }
@@ -81,11 +96,11 @@
         (any::<bool>(), 0u8..20, 0u8..8, 0u8..12),
     )
         .prop_map(
-            |(places, work, overdue_s, (late, long, fits, served))| Candidate {
+            |((class, team, is_large), work, overdue_s, (late, long, fits, served))| Candidate {
                 groups: GroupIds {
-                    class: places.0,
-                    team: places.1,
-                    largest: places.2.then_some(5 + places.0),
+                    class,
+                    team,
+                    largest: is_large.then_some(5 + class),
                 },
                 remaining_cpu_s: f64::from(work),
                 overdue_s,
@@ -97,42 +112,56 @@
         )
 }
 
+/// Counts with three classes (ids 0 to 2), two teams (3 and 4) and the largest jobs of
+/// the classes (5 to 7).
+fn counts_of_eight_groups() -> ServiceCounts {
+    let mut counts = ServiceCounts::new(200.0);
+    for (kind, name) in [
+        (GroupKind::Class, "a"),
+        (GroupKind::Class, "b"),
+        (GroupKind::Class, "c"),
+        (GroupKind::Team, "x"),
+        (GroupKind::Team, "y"),
+        (GroupKind::Largest, "a"),
+        (GroupKind::Largest, "b"),
+        (GroupKind::Largest, "c"),
+    ] {
+        counts.group_id(kind, name);
+    }
+    counts
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn the_election_is_that_of_the_plain_model(
+    fn the_selection_is_that_of_the_plain_model(
         jobs in prop::collection::vec(any_candidate(), 0..40),
-        over in prop::collection::vec((0usize..3, 3usize..5, 0.0f64..500.0), 0..30),
+        ended in prop::collection::vec((0usize..3, 3usize..5, 0.0f64..500.0), 0..30),
     ) {
-        let mut book = ServiceCounts::new(200.0);
-        for (kind, name) in [(GroupKind::Class, "a"), (GroupKind::Class, "b"), (GroupKind::Class, "c"), (GroupKind::Team, "x"), (GroupKind::Team, "y"), (GroupKind::Largest, "a"), (GroupKind::Largest, "b"), (GroupKind::Largest, "c")] {
-            book.group_id(kind, name);
-        }
+        let mut counts = counts_of_eight_groups();
         let now = 1e9;
-        for (class, team, ago) in over {
-            let places = GroupIds { class, team, largest: (ago > 400.0).then_some(5 + class) };
-            book.record_end(places, JobEnd::Done { late: false }, now - ago);
+        for (class, team, ago_s) in ended {
+            let groups = GroupIds { class, team, largest: (ago_s > 400.0).then_some(5 + class) };
+            counts.record_end(groups, JobEnd::Done { late: false }, now - ago_s);
         }
-        let election = select_underserved(&book, &jobs, LEVEL, now);
-        let (needs, seats) = plain(&book, &jobs, now);
-        let real: Vec<[u32; 2]> = election.shortfalls.iter().map(|d| [d.to_min_share, d.to_target_share]).collect();
-        prop_assert_eq!(real, needs);
-        prop_assert_eq!(election.selected, seats);
+        let selection = select_underserved(&counts, &jobs, TARGET, now);
+        let shortfalls = plain_shortfalls(&counts, &jobs, now);
+        let found: Vec<Missing> = selection.shortfalls.iter().map(|s| [s.to_min_share, s.to_target_share]).collect();
+        prop_assert_eq!(found, &shortfalls[..]);
+        prop_assert_eq!(selection.selected, plain_selection(&shortfalls, &jobs));
     }
 }
 
-// A class whose tasks fit nowhere is shown as that, and nobody makes room
-// for it; a service whose replicas all run is served.
 #[test]
-fn what_fits_nowhere_is_said_and_has_no_seat() {
-    let mut book = ServiceCounts::new(200.0);
-    let places = GroupIds {
-        class: book.group_id(GroupKind::Class, "giant"),
-        team: book.group_id(GroupKind::Team, "t"),
+fn a_job_that_fits_nowhere_is_reported_but_not_selected() {
+    let mut counts = ServiceCounts::new(200.0);
+    let groups = GroupIds {
+        class: counts.group_id(GroupKind::Class, "giant"),
+        team: counts.group_id(GroupKind::Team, "t"),
         largest: None,
     };
     let job = Candidate {
-        groups: places,
+        groups,
         remaining_cpu_s: 5.0,
         overdue_s: Some(50.0),
         late: true,
@@ -140,15 +169,11 @@
         fits: false,
         served: false,
     };
-    let election = select_underserved(&book, &[job.clone(), job.clone()], LEVEL, 1e9);
-    assert_eq!(
-        (
-            election.shortfalls[0].unfit,
-            election.shortfalls[0].to_target_share
-        ),
-        (2, 2)
-    );
-    assert!(election.selected.is_empty());
+    let selection = select_underserved(&counts, &[job.clone(), job.clone()], TARGET, 1e9);
+    let class = selection.shortfalls[0];
+    assert_eq!((class.unfit, class.to_target_share), (2, 2));
+    assert!(selection.selected.is_empty());
+    // A service whose replicas all run is served.
     let fits = Candidate {
         fits: true,
         ..job.clone()
@@ -157,6 +182,6 @@
         served: true,
         ..job
     };
-    let election = select_underserved(&book, &[served.clone(), served, fits], LEVEL, 1e9);
-    assert!(election.selected.is_empty(), "two of three are served");
+    let selection = select_underserved(&counts, &[served.clone(), served, fits], TARGET, 1e9);
+    assert!(selection.selected.is_empty(), "two of three are served");
 }
--- a/crates/tallygauge-fairness/src/service_counts.rs
+++ b/crates/tallygauge-fairness/src/service_counts.rs
@@ -1,355 +1,376 @@
-//! What is over, by class of jobs and by team.
+//! Counts of the jobs that have ended, by class, by team, and for the largest jobs of
+//! each class.
 
 use crate::{
+    service_counts_record::{
+        ClassSizesRecord, FORMAT_VERSION, GroupRecord, GroupTotals, ServiceCountsRecord,
+    },
     size_histogram::{JobSize, LARGEST_FRACTION, SizeHistogram, SizeThresholds},
-    sliding_window::{BUCKETS, SlidingWindow},
+    sliding_window::SlidingWindow,
 };
-use serde::{Deserialize, Serialize};
-use std::{collections::HashMap, sync::Arc};
+use std::{cmp::Reverse, collections::HashMap, sync::Arc};
 
-/// What jobs are told apart by.
+/// What jobs are grouped by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum GroupKind {
-    /// Class of jobs.
+    /// Their class.
     Class,
-    /// Team.
+    /// Their team.
     Team,
     /// The largest jobs of a class.
     Largest,
 }
 
-/// Where a job counts: for its class, its team, and, if it is among them, for
-/// the largest of its class.
+/// Ids of the groups that a job counts for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupIds {
-    /// Class.
+    /// Its class.
     pub class: usize,
-    /// Team.
+    /// Its team.
     pub team: usize,
-    /// The largest of its class.
+    /// The largest jobs of its class, if it is one of them.
     pub largest: Option<usize>,
 }
 
 impl GroupIds {
-    /// All of them.
+    /// The ids, class and team first.
     pub fn iter(self) -> impl Iterator<Item = usize> {
         [self.class, self.team].into_iter().chain(self.largest)
     }
 }
 
-/// A class or a team.
+/// Name of a group.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupKey {
-    /// Which of them.
+    /// What its jobs have in common.
     pub kind: GroupKind,
-    /// Its name.
+    /// Name of the class or team.
     pub name: Arc<str>,
 }
 
-/// How a job came to its end.
+/// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobEnd {
-    /// All its tasks are done; `late` when that was after its loosest aim.
+    /// All its tasks are done.
     Done {
-        /// After its loosest aim.
+        /// Whether that was after its loosest service-level objective.
         late: bool,
     },
-    /// Its user gave it up; `started` when a task of it had run.
+    /// Its user cancelled it.
     Cancelled {
-        /// A task of it had run.
+        /// Whether a task of it had run.
         started: bool,
     },
 }
 
-/// Jobs of a class or of a team that are over.
+/// Numbers of jobs of a group that have ended.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Done.
+    /// Jobs done.
     pub done: u64,
-    /// Done, after their loosest aim.
+    /// Those of `done` that were after their loosest service-level objective.
     pub late: u64,
-    /// Cancelled.
+    /// Jobs cancelled.
     pub cancelled: u64,
-    /// Cancelled, with tasks that had run.
+    /// Those of `cancelled` of which a task had run.
     pub cancelled_after_start: u64,
-    day: SlidingWindow,
-    recent: SlidingWindow,
+    /// Jobs done in the longer window.
+    done_in_day: SlidingWindow,
+    /// Jobs done in the shorter window.
+    done_recently: SlidingWindow,
 }
 
-/// Seconds of the longer window.
+/// Number of windows over which jobs done are counted.
+pub(crate) const WINDOW_COUNT: usize = 2;
+
+/// Length of the longer window, seconds.
 const DAY_S: f64 = 86_400.0;
 
-/// Most classes that are told apart; jobs of further ones are counted together.
-const MAX_CLASSES: usize = 200;
+/// Length of the shorter window at the least, seconds.
+const MIN_RECENT_S: f64 = 1.0;
 
-/// Name under which classes beyond the most are counted.
-const OTHERS: &str = "(others)";
-
-/// The record's format.
-const VERSION: u32 = 1;
-
-/// What is kept of a book, small and bounded. Lost, counting begins anew.
-#[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServiceCountsRecord {
-    /// Format.
-    #[serde(rename = "v")]
-    pub version: u32,
-    /// Classes.
-    #[serde(rename = "c")]
-    classes: Vec<GroupRecord>,
-    /// Teams.
-    #[serde(rename = "t")]
-    teams: Vec<GroupRecord>,
-    /// The largest of classes. Versions that don't know them pass them over.
-    #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
-    largest: Vec<GroupRecord>,
-    /// Sizes of classes' jobs.
-    #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
-    sizes: Vec<(String, SizeHistogram)>,
-}
+/// Most classes that are counted apart; jobs of further ones are counted together.
+const MAX_CLASSES: usize = 200;
 
-impl tallygauge_records::Record for ServiceCountsRecord {
-    const NAME: &'static str = "floor";
-    const VERSION: u32 = VERSION;
-    const DURABILITY: tallygauge_records::Durability = tallygauge_records::Durability::WriteBehind;
-}
+/// Name under which the classes beyond [`MAX_CLASSES`] are counted.
+const OTHER_CLASSES: &str = "(others)";
 
-/// Name; done, late, cancelled, stopped; by day, of late.
-type GroupRecord = (String, [u64; 4], SlidingWindow, SlidingWindow);
+/// Bytes around the entries of a record.
+const RECORD_OVERHEAD_BYTES: usize = 32;
 
-/// Bytes of a kept tally, at most: numbers of up to ten digits.
-fn max_record_bytes(kept: &GroupRecord) -> usize {
-    // A name is written with escapes: at worst six bytes for one.
-    kept.0.len() * 6 + 64 + 2 * (BUCKETS * 26 + 2)
+/// Sizes of the jobs of a class.
+#[derive(Debug, Clone, Default)]
+struct ClassSizes {
+    /// Jobs that have ended.
+    closed: SizeHistogram,
+    /// Open jobs.
+    open: SizeHistogram,
 }
 
-/// Bytes of a class's sizes, at most.
-fn max_sizes_bytes(kept: &(String, SizeHistogram)) -> usize {
-    kept.0.len() * 6 + 24 + kept.1.bucket_count() * 18
+impl ClassSizes {
+    fn thresholds(&self, fraction: f64) -> SizeThresholds {
+        self.closed.thresholds(&self.open, fraction)
+    }
 }
 
-/// Counts by class and by team. Places of classes and teams never change.
+/// Numbers of jobs that have ended, by group, and sizes of jobs, by class. The ids of
+/// groups are indices that never change.
 #[derive(Debug, Clone)]
 pub struct ServiceCounts {
+    /// By group id.
     keys: Vec<GroupKey>,
+    /// By group id.
     counts: Vec<Counts>,
     group_ids: HashMap<GroupKey, usize>,
-    classes: usize,
+    class_count: usize,
+    /// Length of the shorter window, seconds.
     recent_s: f64,
-    /// By place of a class: sizes of jobs that are over, and of open ones.
-    sizes: HashMap<usize, [SizeHistogram; 2]>,
+    /// By group id of the class.
+    sizes: HashMap<usize, ClassSizes>,
 }
 
 impl ServiceCounts {
-    /// An empty book whose shorter window has `recent_s` seconds.
+    /// No counts; the shorter window has `recent_s` seconds.
     #[must_use]
     pub fn new(recent_s: f64) -> Self {
         Self {
             keys: Vec::new(),
             counts: Vec::new(),
             group_ids: HashMap::new(),
-            classes: 0,
-            recent_s: recent_s.clamp(1.0, DAY_S),
+            class_count: 0,
+            recent_s: recent_s.clamp(MIN_RECENT_S, DAY_S),
             sizes: HashMap::new(),
         }
     }
 
-    /// The place of a class or team, made if it is new.
+    /// Id of a group, which is added if it is new.
     pub fn group_id(&mut self, kind: GroupKind, name: &str) -> usize {
         let mut key = GroupKey {
             kind,
             name: name.into(),
         };
-        if let Some(place) = self.group_ids.get(&key) {
-            return *place;
+        if let Some(id) = self.group_ids.get(&key) {
+            return *id;
         }
-        if kind != GroupKind::Team && name != OTHERS {
-            let known = kind == GroupKind::Largest || self.classes < MAX_CLASSES;
-            if !known {
-                key.name = OTHERS.into();
-                if let Some(place) = self.group_ids.get(&key) {
-                    return *place;
+        if kind != GroupKind::Team && name != OTHER_CLASSES {
+            let is_counted_apart = kind == GroupKind::Largest || self.class_count < MAX_CLASSES;
+            if !is_counted_apart {
+                key.name = OTHER_CLASSES.into();
+                if let Some(id) = self.group_ids.get(&key) {
+                    return *id;
                 }
             } else if kind == GroupKind::Class {
-                self.classes += 1;
+                self.class_count += 1;
             }
         }
+        let id = self.keys.len();
         self.keys.push(key.clone());
         self.counts.push(Counts::default());
-        self.group_ids.insert(key, self.keys.len() - 1);
-        self.keys.len() - 1
+        self.group_ids.insert(key, id);
+        id
     }
 
-    /// A job of the class at a place is open.
+    /// Counts the size of a job that was opened; `class` is the id of its class.
     pub fn record_opened(&mut self, class: usize, size: JobSize) {
-        self.sizes.entry(class).or_default()[1].add(size);
+        self.sizes.entry(class).or_default().open.add(size);
     }
 
-    /// An open job of the class at a place is over.
+    /// Counts the size of an open job as that of one that has ended.
     pub fn record_closed(&mut self, class: usize, size: JobSize) {
-        let [over, open] = self.sizes.entry(class).or_default();
-        open.remove(size);
-        over.add(size);
+        let sizes = self.sizes.entry(class).or_default();
+        sizes.open.remove(size);
+        sizes.closed.add(size);
     }
 
-    /// Where the largest jobs of the class at a place count, if a job of this
-    /// size is one of them.
+    /// Id of the group of a class's largest jobs, if a job of this size is one of
+    /// them.
     pub fn largest_group_of_job(&mut self, class: usize, size: JobSize) -> Option<usize> {
-        let large = self.is_large(class, size, LARGEST_FRACTION);
-        large.then(|| self.largest_group_id(class))
+        let is_large = self.is_large(class, size, LARGEST_FRACTION);
+        is_large.then(|| self.largest_group_id(class))
     }
 
-    /// Where the largest jobs of the class at a place count.
+    /// Id of the group of a class's largest jobs.
     pub fn largest_group_id(&mut self, class: usize) -> usize {
         let name = self.keys[class].name.clone();
         self.group_id(GroupKind::Largest, &name)
     }
 
-    /// From which sizes on jobs are among such a part of the largest of their
-    /// class, by its place.
+    /// Size thresholds of the largest `fraction` of jobs, by the id of their class.
     #[must_use]
-    pub fn size_thresholds(&self, part: f64) -> HashMap<usize, SizeThresholds> {
+    pub fn size_thresholds(&self, fraction: f64) -> HashMap<usize, SizeThresholds> {
         let sizes = self.sizes.iter();
         sizes
-            .map(|(class, [over, open])| (*class, over.thresholds(open, part)))
+            .map(|(class, sizes)| (*class, sizes.thresholds(fraction)))
             .collect()
     }
 
-    /// Whether a job of this size is among such a part of the largest jobs of the
-    /// class at a place, by any reading.
+    /// Whether a job of this size is among the largest `fraction` of its class by any
+    /// dimension.
     #[must_use]
-    pub fn is_large(&self, class: usize, size: JobSize, part: f64) -> bool {
+    pub fn is_large(&self, class: usize, size: JobSize, fraction: f64) -> bool {
         let sizes = self.sizes.get(&class);
-        sizes.is_some_and(|[over, open]| over.thresholds(open, part).is_at_least(size))
+        sizes.is_some_and(|sizes| sizes.thresholds(fraction).is_at_least(size))
     }
 
-    /// All classes and teams, by place.
+    /// Keys of all groups, by group id.
     #[must_use]
     pub fn keys(&self) -> &[GroupKey] {
         &self.keys
     }
 
-    /// What is over of the class or team at a place.
+    /// Counts of a group.
+    ///
+    /// # Panics
+    /// If the id is not one of [`group_id`](Self::group_id).
     #[must_use]
-    pub fn counts(&self, place: usize) -> &Counts {
-        &self.counts[place]
+    pub fn counts(&self, group: usize) -> &Counts {
+        &self.counts[group]
     }
 
-    /// Seconds of the windows, longer first.
+    /// Lengths of the windows in seconds, the longer first.
     #[must_use]
-    pub fn window_lengths_s(&self) -> [f64; 2] {
+    pub fn window_lengths_s(&self) -> [f64; WINDOW_COUNT] {
         [DAY_S, self.recent_s]
     }
 
-    /// Jobs done within each window before a time of day, longer first.
+    /// Jobs of a group that were done within each window before the time of day `at`,
+    /// in the order of [`window_lengths_s`](Self::window_lengths_s).
+    ///
+    /// # Panics
+    /// If the id is not one of [`group_id`](Self::group_id).
     #[must_use]
-    pub fn done_in_windows(&self, place: usize, at: f64) -> [u32; 2] {
-        let tally = &self.counts[place];
+    pub fn done_in_windows(&self, group: usize, at: f64) -> [u32; WINDOW_COUNT] {
+        let counts = &self.counts[group];
         [
-            tally.day.sum(at, DAY_S),
-            tally.recent.sum(at, self.recent_s),
+            counts.done_in_day.sum(at, DAY_S),
+            counts.done_recently.sum(at, self.recent_s),
         ]
     }
 
-    /// A job with these places is over, at a time of day.
-    pub fn record_end(&mut self, places: GroupIds, end: JobEnd, at: f64) {
-        for place in places.iter() {
-            let tally = &mut self.counts[place];
+    /// Counts a job that ended at the time of day `at`, in seconds, for its groups.
+    pub fn record_end(&mut self, groups: GroupIds, end: JobEnd, at: f64) {
+        for group in groups.iter() {
+            let counts = &mut self.counts[group];
             match end {
                 JobEnd::Done { late } => {
-                    tally.done += 1;
-                    tally.late += u64::from(late);
-                    tally.day.add(at, DAY_S);
-                    tally.recent.add(at, self.recent_s);
+                    counts.done += 1;
+                    counts.late += u64::from(late);
+                    counts.done_in_day.add(at, DAY_S);
+                    counts.done_recently.add(at, self.recent_s);
                 }
                 JobEnd::Cancelled { started } => {
-                    tally.cancelled += 1;
-                    tally.cancelled_after_start += u64::from(started);
+                    counts.cancelled += 1;
+                    counts.cancelled_after_start += u64::from(started);
                 }
             }
         }
     }
 
-    /// What is to be kept, at most so many bytes as JSON: those with the most
-    /// jobs first.
+    /// The record to store, of at most `max_bytes` bytes as JSON: groups with the most
+    /// jobs first, then sizes of classes.
     #[must_use]
-    pub fn to_record(&self, most_bytes: usize) -> ServiceCountsRecord {
-        let mut order: Vec<usize> = (0..self.keys.len()).collect();
-        let weight = |at: &usize| self.counts[*at].done + self.counts[*at].cancelled;
-        order.retain(|at| weight(at) > 0);
-        order.sort_by_key(|at| (std::cmp::Reverse(weight(at)), &self.keys[*at]));
+    pub fn to_record(&self, max_bytes: usize) -> ServiceCountsRecord {
         let mut record = ServiceCountsRecord {
-            version: VERSION,
+            version: FORMAT_VERSION,
             ..ServiceCountsRecord::default()
         };
-        let mut left = most_bytes.saturating_sub(32);
-        for at in order {
-            let tally = &self.counts[at];
-            let kept: GroupRecord = (
-                self.keys[at].name.to_string(),
-                [
-                    tally.done,
-                    tally.late,
-                    tally.cancelled,
-                    tally.cancelled_after_start,
-                ],
-                tally.day.clone(),
-                tally.recent.clone(),
-            );
-            let Some(rest) = left.checked_sub(max_record_bytes(&kept)) else {
+        let mut free_bytes = max_bytes.saturating_sub(RECORD_OVERHEAD_BYTES);
+        for group in self.groups_by_jobs() {
+            let entry = self.group_record(group);
+            let Some(rest) = free_bytes.checked_sub(entry.max_bytes()) else {
                 continue;
             };
-            left = rest;
-            match self.keys[at].kind {
-                GroupKind::Class => record.classes.push(kept),
-                GroupKind::Team => record.teams.push(kept),
-                GroupKind::Largest => record.largest.push(kept),
+            free_bytes = rest;
+            match self.keys[group].kind {
+                GroupKind::Class => record.classes.push(entry),
+                GroupKind::Team => record.teams.push(entry),
+                GroupKind::Largest => record.largest.push(entry),
             }
         }
-        let mut sizes: Vec<(String, SizeHistogram)> = self
-            .sizes
-            .iter()
-            .filter(|(_, s)| s[0].total() > 0)
-            .map(|(class, s)| (self.keys[*class].name.to_string(), s[0].clone()))
-            .collect();
-        sizes.sort_by(|a, b| b.1.total().cmp(&a.1.total()).then(a.0.cmp(&b.0)));
-        for kept in sizes {
-            if let Some(rest) = left.checked_sub(max_sizes_bytes(&kept)) {
-                left = rest;
-                record.sizes.push(kept);
+        for entry in self.sizes_by_jobs() {
+            if let Some(rest) = free_bytes.checked_sub(entry.max_bytes()) {
+                free_bytes = rest;
+                record.sizes.push(entry);
             }
         }
         record
     }
 
-    /// Takes up what an earlier leader kept, on top of what is counted already.
-    /// `false`: a format that this version doesn't know.
+    /// Ids of groups of which jobs have ended, those with the most first.
+    fn groups_by_jobs(&self) -> Vec<usize> {
+        let jobs = |group: &usize| self.counts[*group].done + self.counts[*group].cancelled;
+        let mut groups: Vec<usize> = (0..self.keys.len()).collect();
+        groups.retain(|group| jobs(group) > 0);
+        groups.sort_by_key(|group| (Reverse(jobs(group)), &self.keys[*group]));
+        groups
+    }
+
+    fn group_record(&self, group: usize) -> GroupRecord {
+        let counts = &self.counts[group];
+        GroupRecord {
+            name: self.keys[group].name.to_string(),
+            totals: GroupTotals {
+                done: counts.done,
+                late: counts.late,
+                cancelled: counts.cancelled,
+                cancelled_after_start: counts.cancelled_after_start,
+            },
+            done_in_day: counts.done_in_day.clone(),
+            done_recently: counts.done_recently.clone(),
+        }
+    }
+
+    /// Sizes of classes of which jobs have ended, those with the most first.
+    fn sizes_by_jobs(&self) -> Vec<ClassSizesRecord> {
+        let mut entries: Vec<ClassSizesRecord> = self
+            .sizes
+            .iter()
+            .filter(|(_, sizes)| sizes.closed.total() > 0)
+            .map(|(class, sizes)| ClassSizesRecord {
+                class: self.keys[*class].name.to_string(),
+                sizes: sizes.closed.clone(),
+            })
+            .collect();
+        entries.sort_by(|a, b| {
+            let by_total = b.sizes.total().cmp(&a.sizes.total());
+            by_total.then_with(|| a.class.cmp(&b.class))
+        });
+        entries
+    }
+
+    /// Adds the counts that an earlier leader stored. Returns whether their format is
+    /// known; nothing is added if it is not.
     pub fn restore(&mut self, record: ServiceCountsRecord) -> bool {
-        if record.version != VERSION {
+        if record.version != FORMAT_VERSION {
             return false;
         }
-        for (name, sizes) in record.sizes {
-            let class = self.group_id(GroupKind::Class, &name);
-            self.sizes.entry(class).or_default()[0] = sizes;
+        for entry in record.sizes {
+            let class = self.group_id(GroupKind::Class, &entry.class);
+            self.sizes.entry(class).or_default().closed = entry.sizes;
         }
-        let kinds = [
+        let entries_by_kind = [
             (GroupKind::Class, record.classes),
             (GroupKind::Team, record.teams),
             (GroupKind::Largest, record.largest),
         ];
-        for (kind, kept) in kinds {
-            for (name, [done, late, cancelled, stopped], day, recent) in kept {
-                let place = self.group_id(kind, &name);
-                let tally = &mut self.counts[place];
-                tally.done += done;
-                tally.late += late;
-                tally.cancelled += cancelled;
-                tally.cancelled_after_start += stopped;
-                (tally.day, tally.recent) = (day, recent);
+        for (kind, entries) in entries_by_kind {
+            for entry in entries {
+                self.restore_group(kind, entry);
             }
         }
         true
     }
+
+    fn restore_group(&mut self, kind: GroupKind, entry: GroupRecord) {
+        let group = self.group_id(kind, &entry.name);
+        let counts = &mut self.counts[group];
+        counts.done += entry.totals.done;
+        counts.late += entry.totals.late;
+        counts.cancelled += entry.totals.cancelled;
+        counts.cancelled_after_start += entry.totals.cancelled_after_start;
+        counts.done_in_day = entry.done_in_day;
+        counts.done_recently = entry.done_recently;
+    }
 }
 
 #[cfg(test)]
--- a/crates/tallygauge-fairness/src/size_histogram.rs
+++ b/crates/tallygauge-fairness/src/size_histogram.rs
@@ -1,44 +1,46 @@
-//! Which jobs of a class are its largest.
+//! Histograms of job sizes, which tell the largest jobs of a class.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Steps of a size that are told apart, for each doubling.
-const STEPS: f64 = 4.0;
+/// Buckets for each doubling of a size.
+const BUCKETS_PER_DOUBLING: f64 = 4.0;
 
-/// Sizes beyond this many steps from 1 are taken as equal.
-const FURTHEST: f64 = 100.0;
+/// Buckets on either side of size 1; sizes beyond the last count as equal.
+const MAX_BUCKET: f64 = 100.0;
 
-/// Part of a class's jobs that are its largest, by one reading.
+/// Fraction of a class's jobs that are its largest, by each dimension of size.
 pub const LARGEST_FRACTION: f64 = 0.1;
 
-/// How large a job is, by each reading: tasks, CPU-seconds, CPUs of a task.
-pub type JobSize = [f64; 3];
+/// Dimensions of a job's size.
+const DIMENSIONS: usize = 3;
 
-/// Sizes of a class's jobs: by reading, how many jobs by step. Bounded, as steps
-/// are.
+/// Size of a job by each dimension: tasks, CPU-seconds of all tasks, CPUs of a task.
+pub type JobSize = [f64; DIMENSIONS];
+
+/// Histograms of the sizes of a class's jobs, one for each dimension: number of jobs
+/// by bucket. Bounded, as the buckets are.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct SizeHistogram([BTreeMap<i8, u32>; 3]);
+pub struct SizeHistogram([BTreeMap<i8, u32>; DIMENSIONS]);
 
-/// From which step on jobs are large, by reading.
+/// Lowest bucket of the largest jobs, by dimension.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SizeThresholds([i8; 3]);
+pub struct SizeThresholds([i8; DIMENSIONS]);
 
 impl SizeThresholds {
-    /// Whether a job of this size is large by any reading.
+    /// Whether a job of this size is among the largest by any dimension.
     #[must_use]
     pub fn is_at_least(&self, size: JobSize) -> bool {
-        let readings = self.0.iter().zip(size);
-        readings
-            .into_iter()
-            .any(|(limit, size)| bucket_of(size) >= *limit)
+        let mut dimensions = self.0.iter().zip(size);
+        dimensions.any(|(threshold, size)| bucket_of(size) >= *threshold)
     }
 }
 
+/// Bucket that a size falls into.
 fn bucket_of(size: f64) -> i8 {
-    let steps = size.max(f64::MIN_POSITIVE).log2() * STEPS;
-    steps.clamp(-FURTHEST, FURTHEST) as i8
+    let bucket = size.max(f64::MIN_POSITIVE).log2() * BUCKETS_PER_DOUBLING;
+    bucket.clamp(-MAX_BUCKET, MAX_BUCKET) as i8
 }
 
 impl SizeHistogram {
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Counts a job no more.
+    /// Removes a job that was counted with [`add`](Self::add).
     pub fn remove(&mut self, size: JobSize) {
         for (counts, size) in self.0.iter_mut().zip(size) {
             if let Some(count) = counts.get_mut(&bucket_of(size)) {
@@ -62,40 +64,44 @@
         }
     }
 
-    /// Jobs that are counted.
+    /// Number of jobs counted.
     #[must_use]
     pub fn total(&self) -> u32 {
-        self.0[0].values().fold(0, |a, b| a.saturating_add(*b))
+        self.0[0]
+            .values()
+            .fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// Steps that are told apart now, of all readings.
+    /// Number of buckets in use, of all dimensions.
     #[must_use]
     pub fn bucket_count(&self) -> usize {
         self.0.iter().map(BTreeMap::len).sum()
     }
 
-    /// By reading, the least step from which on those counted here and in `more`
-    /// are such a part of all at most, or the only one.
+    /// Thresholds of the largest jobs among those counted here and in `other`: by
+    /// dimension, the lowest bucket from which on there are at most `fraction` of all
+    /// jobs, rounded up to at least one.
     #[must_use]
-    pub fn thresholds(&self, more: &Self, part: f64) -> SizeThresholds {
-        let total = f64::from(self.total()) + f64::from(more.total());
-        let most = (total * part).ceil().max(1.0);
-        let mut limits = [i8::MAX; 3];
-        for (limit, (own, more)) in limits.iter_mut().zip(self.0.iter().zip(&more.0)) {
-            let mut steps: BTreeMap<i8, f64> = BTreeMap::new();
-            for (step, count) in own.iter().chain(more) {
-                *steps.entry(*step).or_default() += f64::from(*count);
+    pub fn thresholds(&self, other: &Self, fraction: f64) -> SizeThresholds {
+        let total = f64::from(self.total()) + f64::from(other.total());
+        let max_largest = (total * fraction).ceil().max(1.0);
+        let mut thresholds = [i8::MAX; DIMENSIONS];
+        let dimensions = self.0.iter().zip(&other.0);
+        for (threshold, (own, others)) in thresholds.iter_mut().zip(dimensions) {
+            let mut counts: BTreeMap<i8, f64> = BTreeMap::new();
+            for (bucket, count) in own.iter().chain(others) {
+                *counts.entry(*bucket).or_default() += f64::from(*count);
             }
-            let mut above = 0.0;
-            for (step, count) in steps.iter().rev() {
-                above += count;
-                if above > most {
+            let mut largest = 0.0;
+            for (bucket, count) in counts.iter().rev() {
+                largest += count;
+                if largest > max_largest {
                     break;
                 }
-                *limit = *step;
+                *threshold = *bucket;
             }
         }
-        SizeThresholds(limits)
+        SizeThresholds(thresholds)
     }
 }
 
--- a/crates/tallygauge-fairness/src/sliding_window.rs
+++ b/crates/tallygauge-fairness/src/sliding_window.rs
@@ -1,47 +1,82 @@
-//! Counts over a sliding window.
+//! Counts of events over a sliding window.
 
 use serde::{Deserialize, Serialize};
 
-/// Parts that a window is cut into.
+/// Buckets that a window is divided into.
 pub const BUCKETS: usize = 8;
 
-/// A count over a sliding window of fixed length, by time of day, in parts of
-/// an eighth. What fell into a part that is over by a window is forgotten.
+/// Shortest bucket, seconds.
+const MIN_BUCKET_S: f64 = 1e-3;
+
+/// Number of events in a sliding window of fixed length, counted in [`BUCKETS`]
+/// buckets by time of day. Buckets that have left the window are dropped.
+///
+/// The window's length is not stored: all calls for one counter must pass the same.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct SlidingWindow(Vec<(u64, u32)>);
+pub struct SlidingWindow(Vec<Bucket>);
 
-impl SlidingWindow {
-    fn bucket_at(at: f64, span: f64) -> u64 {
-        (at.max(0.0) / (span / BUCKETS as f64).max(1e-3)) as u64
+/// Events in one bucket. Stored as the pair (number, count).
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(from = "(u64, u32)", into = "(u64, u32)")]
+struct Bucket {
+    /// Time of day, in buckets.
+    number: u64,
+    count: u32,
+}
+
+impl From<(u64, u32)> for Bucket {
+    fn from((number, count): (u64, u32)) -> Self {
+        Self { number, count }
     }
+}
 
-    /// Counts one at a time of day.
-    pub fn add(&mut self, at: f64, span: f64) {
-        let part = Self::bucket_at(at, span);
-        // Clocks of nodes differ a little: a part may come up again.
-        match self.0.iter_mut().find(|p| p.0 == part) {
-            Some(found) => found.1 = found.1.saturating_add(1),
-            None => self.0.push((part, 1)),
+impl From<Bucket> for (u64, u32) {
+    fn from(bucket: Bucket) -> Self {
+        (bucket.number, bucket.count)
+    }
+}
+
+/// Number of the bucket that a time of day falls into.
+fn bucket_number(at: f64, window_s: f64) -> u64 {
+    (at.max(0.0) / (window_s / BUCKETS as f64).max(MIN_BUCKET_S)) as u64
+}
+
+/// Number of the oldest bucket in the window that ends at a time of day.
+fn oldest_bucket_number(at: f64, window_s: f64) -> u64 {
+    bucket_number(at, window_s).saturating_sub(BUCKETS as u64 - 1)
+}
+
+impl SlidingWindow {
+    /// Counts an event at the time of day `at`. All arguments are seconds.
+    pub fn add(&mut self, at: f64, window_s: f64) {
+        let number = bucket_number(at, window_s);
+        // The clocks of controllers differ a little: an earlier bucket may come up
+        // again.
+        match self.0.iter_mut().find(|bucket| bucket.number == number) {
+            Some(bucket) => bucket.count = bucket.count.saturating_add(1),
+            None => self.0.push(Bucket { number, count: 1 }),
         }
-        self.expire(at, span);
+        self.expire(at, window_s);
     }
 
-    fn expire(&mut self, at: f64, span: f64) {
-        let oldest = Self::bucket_at(at, span).saturating_sub(BUCKETS as u64 - 1);
-        self.0.retain(|p| p.0 >= oldest);
+    fn expire(&mut self, at: f64, window_s: f64) {
+        let oldest = oldest_bucket_number(at, window_s);
+        self.0.retain(|bucket| bucket.number >= oldest);
         self.0.sort_unstable();
-        // Times of day that leap ahead must not make it grow.
-        let over = self.0.len().saturating_sub(BUCKETS);
-        self.0.drain(..over);
+        // A time of day that leaps ahead leaves buckets in the future, which must
+        // not accumulate.
+        let excess = self.0.len().saturating_sub(BUCKETS);
+        self.0.drain(..excess);
     }
 
-    /// How many were counted within the window before a time of day.
+    /// Number of events in the window that ends at the time of day `at`. All arguments
+    /// are seconds.
     #[must_use]
-    pub fn sum(&self, at: f64, span: f64) -> u32 {
-        let oldest = Self::bucket_at(at, span).saturating_sub(BUCKETS as u64 - 1);
-        let within = self.0.iter().filter(|p| p.0 >= oldest);
-        within.fold(0u32, |sum, p| sum.saturating_add(p.1))
+    pub fn sum(&self, at: f64, window_s: f64) -> u32 {
+        let oldest = oldest_bucket_number(at, window_s);
+        let in_window = self.0.iter().filter(|bucket| bucket.number >= oldest);
+        in_window.fold(0, |sum, bucket| sum.saturating_add(bucket.count))
     }
 }
 
