--- /dev/null
+++ b/crates/tallygauge/src/operator_settings/tests.rs
@@ -0,0 +1,33 @@
+use super::*;
+
+#[test]
+fn absent_elements_have_defaults_and_invalid_ones_are_refused() {
+    let settings = OperatorSettings::parse(
+        "<tallygauge><worth><high>9</high></worth><idle-wait>2.5</idle-wait></tallygauge>",
+    )
+    .unwrap();
+    assert_eq!(
+        (
+            settings.utility.high,
+            settings.utility.low,
+            settings.idle_wait
+        ),
+        (9.0, 1.0, 2.5)
+    );
+    assert_eq!(
+        OperatorSettings::parse("<tallygauge/>").unwrap(),
+        OperatorSettings::default()
+    );
+    for bad in [
+        "<tallygauge><idel-wait>2</idel-wait></tallygauge>",
+        "<tallygauge><idle-wait>long</idle-wait></tallygauge>",
+        "<tallygauge><idle-wait>-1</idle-wait></tallygauge>",
+        "<tallygauge><late-worth>2</late-worth></tallygauge>",
+        "<tallygauge><floor><share>1.5</share></floor></tallygauge>",
+        "<tallygauge><floor><begin-within>-1</begin-within></floor></tallygauge>",
+        "<tallygauge><weights><replica-risk>-1</replica-risk></weights></tallygauge>",
+        "<tallygauge><worth><high>1</high></worth></tallygauge>",
+    ] {
+        assert!(OperatorSettings::parse(bad).is_err(), "{bad} was taken");
+    }
+}
