--- a/crates/tallygauge-sim/tests/failures.rs
+++ b/crates/tallygauge-sim/tests/failures.rs
@@ -110,7 +110,7 @@
         .transact(RequestPriority::Placement, &late)
         .await
         .unwrap();
-    assert!(matches!(outcome, TransactionOutcome::Conflict(_)));
+    assert!(matches!(outcome, TransactionOutcome::Conflict { .. }));
     tokio::time::sleep(Duration::from_secs(20)).await;
     // What ran went on: nothing was started a second time.
     assert_eq!(world.state.lock().unwrap().starts.len(), 2);
--- a/crates/tallygauge-store/src/budget.rs
+++ b/crates/tallygauge-store/src/budget.rs
@@ -1,267 +1,202 @@
-//! This node's share of the state service's request limits.
+//! This controller's share of the key-value store's rate limits.
 
+use crate::RequestPriority;
 use std::{sync::Mutex, time::Duration};
 use tokio::time::Instant;
 
-/// What a request is for, most important first. A class may only use tokens
-/// that the classes above it have left over.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RequestPriority {
-    /// Terms, leases and watches: never waits.
-    Leadership,
-    /// Submissions and cancellations.
-    Users,
-    /// Placements.
-    Placement,
-    /// Finished tasks and cleaning up.
-    Progress,
-    /// What can be done without.
-    Maintenance,
-    /// Users' polls: as many as users like, so that they must never take what
-    /// the others need. They come last, and have all that is left; besides, a
-    /// small part of the requests is theirs alone, so that each is answered in
-    /// the end however long the others have enough to do.
-    Polls,
-}
+/// Part of the requests that is reserved for polls.
+const POLLS_SHARE: f64 = 0.05;
 
-impl RequestPriority {
-    /// Part of the burst that this class leaves to the classes above it.
-    fn reserve(self) -> f64 {
-        match self {
-            RequestPriority::Leadership => f64::NEG_INFINITY,
-            RequestPriority::Users => 0.1,
-            RequestPriority::Placement => 0.25,
-            RequestPriority::Progress => 0.4,
-            RequestPriority::Maintenance => 0.5,
-            RequestPriority::Polls => 0.6,
-        }
-    }
+/// Requests a second that are reserved for polls at the least ...
+const MIN_POLLS_PER_S: f64 = 1.0;
 
-    /// How long a request of this class may wait for its turn.
-    fn patience(self) -> Duration {
-        match self {
-            RequestPriority::Leadership => Duration::ZERO,
-            RequestPriority::Users | RequestPriority::Polls => Duration::from_millis(800),
-            RequestPriority::Placement
-            | RequestPriority::Progress
-            | RequestPriority::Maintenance => Duration::from_millis(1500),
-        }
-    }
-}
+/// ... unless that is more than this part of the requests.
+const MAX_POLLS_SHARE: f64 = 0.25;
+
+/// Requests that may wait for a permit, in seconds of the rate.
+const MAX_WAITING_S: f64 = 4.0;
 
-/// Part of the requests that polls have whatever else there is to do, and the
-/// least of them a second, as far as that is a quarter at most.
-const POLLS_OWN: f64 = 0.05;
-const POLLS_LEAST: f64 = 1.0;
+/// Pause between two tries of a request that waits for a permit.
+const ACQUIRE_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Requests a second that polls have whatever else there is to do.
-fn reserved_for_polls(requests: f64) -> f64 {
-    (requests * POLLS_OWN).max(POLLS_LEAST.min(requests * 0.25))
+/// Requests a second that are reserved for polls.
+fn reserved_for_polls(requests_per_s: f64) -> f64 {
+    (requests_per_s * POLLS_SHARE).max(MIN_POLLS_PER_S.min(requests_per_s * MAX_POLLS_SHARE))
 }
 
-struct Bucket {
-    rate: f64,
+/// Token bucket with a burst of one second.
+struct TokenBucket {
+    rate_per_s: f64,
     tokens: f64,
 }
 
-impl Bucket {
-    fn refill(&mut self, seconds: f64) {
-        self.tokens = (self.tokens + seconds * self.rate).min(self.rate);
+impl TokenBucket {
+    fn full(rate_per_s: f64) -> Self {
+        Self {
+            rate_per_s,
+            tokens: rate_per_s,
+        }
+    }
+
+    fn refill(&mut self, elapsed_s: f64, max_tokens: f64) {
+        self.tokens = (self.tokens + elapsed_s * self.rate_per_s).min(max_tokens);
     }
 
-    fn has(&self, count: f64, class: RequestPriority) -> bool {
-        // A transaction larger than what the class may ever gather must still
+    fn has_tokens(&self, count: f64, priority: RequestPriority) -> bool {
+        // A transaction larger than what its priority can ever accumulate must still
         // pass once the bucket is full.
-        let floor = (class.reserve() * self.rate).min(self.rate - count);
-        class == RequestPriority::Leadership || self.tokens - count >= floor
+        let reserve = (priority.reserved_share() * self.rate_per_s).min(self.rate_per_s - count);
+        priority == RequestPriority::Leadership || self.tokens - count >= reserve
     }
 }
 
 struct BudgetState {
-    requests: Bucket,
-    writes: Bucket,
-    /// What polls have of the requests whatever else there is to do. A second
-    /// of it at most is saved up, or one request.
-    polls: Bucket,
-    at: Instant,
+    requests: TokenBucket,
+    writes: TokenBucket,
+    /// Reserve of polls, used when the other requests leave nothing over. It holds at
+    /// most one second's worth, or one request.
+    polls: TokenBucket,
+    refilled_at: Instant,
     waiting: usize,
 }
 
-/// Two token buckets, for requests and for writes, with one second's burst.
+impl BudgetState {
+    fn refill(&mut self, now: Instant) {
+        let elapsed_s = now.duration_since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        self.requests.refill(elapsed_s, self.requests.rate_per_s);
+        self.writes.refill(elapsed_s, self.writes.rate_per_s);
+        self.polls.refill(elapsed_s, self.polls.rate_per_s.max(1.0));
+    }
+
+    fn has_tokens(&self, priority: RequestPriority, writes: usize) -> bool {
+        self.requests.has_tokens(1.0, priority)
+            && (writes == 0 || self.writes.has_tokens(writes as f64, priority))
+    }
+
+    /// Takes one request from the reserve of polls, if it has one.
+    fn take_poll_reserve(&mut self) -> bool {
+        let has_reserve = self.polls.tokens >= 1.0;
+        if has_reserve {
+            self.polls.tokens -= 1.0;
+        }
+        has_reserve
+    }
+}
+
+/// Rate limiter of requests and writes: two token buckets with a burst of one second.
 pub struct RequestBudget {
     state: Mutex<BudgetState>,
-    most_waiting: usize,
+    max_waiting: usize,
 }
 
 impl RequestBudget {
-    /// A budget of so many requests and writes a second.
+    /// A budget of this many requests and writes a second.
     #[must_use]
-    pub fn new(requests: f64, writes: f64) -> Self {
+    pub fn new(requests_per_s: f64, writes_per_s: f64) -> Self {
         Self {
             state: Mutex::new(BudgetState {
-                requests: Bucket {
-                    rate: requests,
-                    tokens: requests,
-                },
-                writes: Bucket {
-                    rate: writes,
-                    tokens: writes,
-                },
-                polls: Bucket {
-                    rate: reserved_for_polls(requests),
+                requests: TokenBucket::full(requests_per_s),
+                writes: TokenBucket::full(writes_per_s),
+                polls: TokenBucket {
+                    rate_per_s: reserved_for_polls(requests_per_s),
                     tokens: 1.0,
                 },
-                at: Instant::now(),
+                refilled_at: Instant::now(),
                 waiting: 0,
             }),
-            most_waiting: (requests * 4.0) as usize,
+            max_waiting: (requests_per_s * MAX_WAITING_S) as usize,
         }
     }
 
-    /// Changes the share, as when the node starts or stops leading.
-    pub fn set_rates(&self, requests: f64, writes: f64) {
+    /// Changes the rates, as when the controller is elected leader or steps down.
+    pub fn set_rates(&self, requests_per_s: f64, writes_per_s: f64) {
         let mut state = self.state.lock().expect("budget lock");
-        state.requests.rate = requests;
-        state.writes.rate = writes;
-        state.polls.rate = reserved_for_polls(requests);
+        state.requests.rate_per_s = requests_per_s;
+        state.writes.rate_per_s = writes_per_s;
+        state.polls.rate_per_s = reserved_for_polls(requests_per_s);
     }
 
-    /// Requests a second that this node may make.
+    /// Requests a second that this controller may make.
     #[must_use]
     pub fn request_rate(&self) -> f64 {
-        self.state.lock().expect("budget lock").requests.rate
+        self.state.lock().expect("budget lock").requests.rate_per_s
     }
 
-    /// Requests that wait for their turn.
+    /// Requests that wait for a permit.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.state.lock().expect("budget lock").waiting
     }
 
-    /// The service said that the limit is passed: what was saved up is void.
+    /// The store answered that the limit is exceeded: saved tokens are void.
     pub fn record_refusal(&self) {
         let mut state = self.state.lock().expect("budget lock");
         state.requests.tokens = state.requests.tokens.min(0.0);
         state.writes.tokens = state.writes.tokens.min(0.0);
     }
 
-    /// A comparison failed: the service counts it as a write.
+    /// A comparison failed: the store counts it as a write.
     pub fn charge_failed_comparison(&self) {
         self.state.lock().expect("budget lock").writes.tokens -= 1.0;
     }
 
-    /// Takes one request with so many writes if its turn is now.
-    pub fn try_acquire(&self, class: RequestPriority, writes: usize) -> bool {
+    /// Takes one request with this many writes if the budget has it now.
+    pub fn try_acquire(&self, priority: RequestPriority, writes: usize) -> bool {
         let mut state = self.state.lock().expect("budget lock");
-        let now = Instant::now();
-        let passed = now.duration_since(state.at).as_secs_f64();
-        state.at = now;
-        state.requests.refill(passed);
-        state.writes.refill(passed);
-        let most = state.polls.rate.max(1.0);
-        state.polls.tokens = (state.polls.tokens + passed * state.polls.rate).min(most);
-        let count = writes as f64;
-        let mut fits =
-            state.requests.has(1.0, class) && (writes == 0 || state.writes.has(count, class));
-        if class == RequestPriority::Polls && writes == 0 && !fits && state.polls.tokens >= 1.0 {
-            state.polls.tokens -= 1.0;
-            fits = true;
-        }
-        if fits {
+        state.refill(Instant::now());
+        let is_plain_poll = priority == RequestPriority::Polls && writes == 0;
+        let is_granted =
+            state.has_tokens(priority, writes) || (is_plain_poll && state.take_poll_reserve());
+        if is_granted {
             state.requests.tokens -= 1.0;
-            state.writes.tokens -= count;
+            state.writes.tokens -= writes as f64;
         }
-        fits
+        is_granted
     }
 
-    /// Takes one request with so many writes, waiting a little for its turn;
-    /// `false` when the turn did not come. The number that wait is bounded.
-    pub async fn acquire(&self, class: RequestPriority, writes: usize) -> bool {
-        if self.try_acquire(class, writes) {
+    /// Takes one request with this many writes, waiting for it as long as the priority
+    /// allows; `false` when the wait ended without it, or too many wait already.
+    pub async fn acquire(&self, priority: RequestPriority, writes: usize) -> bool {
+        if self.try_acquire(priority, writes) {
             return true;
         }
-        {
-            let mut state = self.state.lock().expect("budget lock");
-            if state.waiting >= self.most_waiting {
-                return false;
-            }
-            state.waiting += 1;
-        }
-        let _left = Permit(self);
-        let until = Instant::now() + class.patience();
+        let Some(_waiting) = self.enter_queue() else {
+            return false;
+        };
+        let deadline = Instant::now() + priority.max_wait();
         loop {
-            tokio::time::sleep(Duration::from_millis(25)).await;
-            if self.try_acquire(class, writes) {
+            tokio::time::sleep(ACQUIRE_INTERVAL).await;
+            if self.try_acquire(priority, writes) {
                 return true;
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return false;
             }
         }
     }
+
+    /// Counts a request as waiting until the guard is dropped; `None` when too many
+    /// wait already.
+    fn enter_queue(&self) -> Option<WaitingGuard<'_>> {
+        let mut state = self.state.lock().expect("budget lock");
+        if state.waiting >= self.max_waiting {
+            return None;
+        }
+        state.waiting += 1;
+        Some(WaitingGuard(self))
+    }
 }
 
-/// Counts a waiting request out, also when its caller gave up.
-struct Permit<'a>(&'a RequestBudget);
+/// Guard of one waiting request: dropping it, also when the caller is cancelled, ends
+/// the wait.
+struct WaitingGuard<'a>(&'a RequestBudget);
 
-impl Drop for Permit<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.state.lock().expect("budget lock").waiting -= 1;
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn lower_classes_leave_room_for_higher_ones() {
-        let budget = RequestBudget::new(10.0, 10.0);
-        // What is kept for polls alone is used up.
-        budget.state.lock().unwrap().polls.tokens = 0.0;
-        let mut taken = [0; 4];
-        let classes = [
-            RequestPriority::Polls,
-            RequestPriority::Progress,
-            RequestPriority::Placement,
-            RequestPriority::Users,
-        ];
-        for (i, class) in classes.into_iter().enumerate() {
-            while budget.try_acquire(class, 1) {
-                taken[i] += 1;
-            }
-        }
-        assert_eq!(taken, [4, 2, 1, 2]);
-        assert!(
-            budget.try_acquire(RequestPriority::Leadership, 1),
-            "leadership never waits"
-        );
-        budget.charge_failed_comparison();
-        budget.record_refusal();
-        assert!(!budget.try_acquire(RequestPriority::Users, 0));
-    }
-
-    // Polls came last and nothing said that any would ever be taken while the
-    // others had enough to do.
-    #[tokio::test(start_paused = true)]
-    async fn polls_are_taken_however_much_else_there_is_to_do() {
-        let budget = RequestBudget::new(40.0, 40.0);
-        let (mut polls, mut users, mut refused) = (0, 0, 0);
-        for tick in 0..6000 {
-            tokio::time::advance(Duration::from_millis(10)).await;
-            while budget.try_acquire(RequestPriority::Users, 0) {
-                users += 1;
-            }
-            if tick % 10 == 0 {
-                match budget.try_acquire(RequestPriority::Polls, 0) {
-                    true => polls += 1,
-                    false => refused += 1,
-                }
-            }
-        }
-        // 60 s: a twentieth of 40 a second, out of what there is.
-        assert!((110..=125).contains(&polls) && refused > 0, "{polls}");
-        assert!(users + polls <= 40 * 61, "{users}");
-        assert!((reserved_for_polls(2.0), reserved_for_polls(400.0)) == (0.5, 20.0));
-    }
-}
+mod tests;
--- a/crates/tallygauge-store/src/commit.rs
+++ b/crates/tallygauge-store/src/commit.rs
@@ -1,242 +1,196 @@
-//! Settling a transaction whose answer may be lost: the same guarded transaction
-//! is sent again until an answer tells what became of it.
+//! Commits a transaction whose answer may be lost: the same transaction is sent
+//! again, as a hedged request, until an answer tells its outcome.
 //!
-//! Sending again is safe only because every transaction of this project is
-//! guarded on the versions that it was worked out from: of several copies one at
-//! most is executed, whichever comes first, and one that arrives later finds its
-//! guards broken. A conflict after an unanswered copy therefore says "an earlier
-//! copy was executed, or it never will be"; [`Settled::in_doubt`] tells the caller
-//! that it has to read which.
+//! Sending again is safe only because every transaction of this project carries
+//! conditions on the versions it was computed from: of several attempts at most one
+//! is executed, whichever arrives first, and the conditions of one that arrives later
+//! fail. A conflict after an unanswered attempt therefore says "an earlier attempt was
+//! executed, or none ever will be"; [`CommitResult::in_doubt`] tells the caller that
+//! it has to read which.
 
 use crate::{
-    RequestPriority, StoreClient, StoreError, TransactionOutcome, round_trip::RoundTripEstimator,
+    RequestPriority, StoreClient, StoreError, TransactionOutcome,
+    client::describe_transaction,
+    error::{InDoubtReason, NotExecutedReason},
+    in_doubt::InDoubtGuard,
 };
-use backon::{BackoffBuilder, ExponentialBuilder};
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use std::{
-    collections::BTreeMap,
-    sync::{Arc, Mutex},
-    time::Duration,
-};
+use std::time::Duration;
 use tallygauge_protocol::state::Transaction;
 use tokio::time::Instant;
-use tower::retry::budget::{Budget as _, TpsBudget};
-
-/// Growth of the time-out from one copy of a write to the next. A service that is
-/// slower than it was is answered for in the end; lost answers cost little.
-const WRITE_TIMEOUT_GROWTH: f32 = 1.25;
-
-/// The same for comparisons, which write nothing and whose askers soon give up.
-const COMPARE_TIMEOUT_GROWTH: f32 = 1.0;
-
-/// Growth of the pause after a refusal.
-const PAUSE_GROWTH: f32 = 2.0;
-
-/// Copies allowed for each transaction over a window, on average. With two
-/// answers in five lost, two thirds of a copy are needed.
-const RETRY_SHARE: f32 = 1.0;
 
-/// Copies a second that are allowed however few transactions there are.
-const LEAST_RETRIES_PER_S: u32 = 2;
-
-/// Window over which copies are counted against transactions.
-const RETRY_WINDOW: Duration = Duration::from_secs(10);
-
-/// What became of a transaction that was sent as often as needed.
-#[derive(Debug, Clone, PartialEq, Eq)]
+/// Result of a transaction that was sent as often as needed.
+#[derive(Debug, Clone)]
 pub struct CommitResult {
     /// The last answer, or why there is none.
     pub outcome: Result<TransactionOutcome, StoreError>,
-    /// Whether an earlier copy got no answer: it may have been executed.
+    /// Whether another attempt got no answer: it may have been executed.
     pub in_doubt: bool,
-    /// When the copy that was answered was sent: the answer is no older.
+    /// When the attempt that was answered was sent: the answer is no older.
     pub sent_at: Instant,
 }
 
-/// Requests without an answer yet whose outcome somebody waits for.
-#[derive(Debug, Default)]
-pub(crate) struct InDoubtWrites {
-    next: u64,
-    since: BTreeMap<u64, Instant>,
-}
-
-/// One request in doubt, for as long as this is held.
-struct InDoubtGuard {
-    all: Arc<Mutex<InDoubtWrites>>,
-    number: u64,
-}
-
-impl InDoubtGuard {
-    fn new(all: &Arc<Mutex<InDoubtWrites>>, since: Instant) -> Self {
-        let mut doubts = all.lock().expect("doubts lock");
-        let number = doubts.next;
-        doubts.next += 1;
-        doubts.since.insert(number, since);
-        drop(doubts);
+impl CommitResult {
+    /// The request budget had no permit: nothing was sent.
+    fn not_sent(transaction: &Transaction) -> Self {
         Self {
-            all: all.clone(),
-            number,
+            outcome: Err(StoreError::not_executed(
+                describe_transaction(transaction),
+                NotExecutedReason::BudgetExhausted,
+            )),
+            in_doubt: false,
+            sent_at: Instant::now(),
         }
     }
-}
 
-impl Drop for InDoubtGuard {
-    fn drop(&mut self) {
-        let mut doubts = self.all.lock().expect("doubts lock");
-        doubts.since.remove(&self.number);
+    /// The caller's patience ended with attempts unanswered.
+    fn deadline_exceeded(transaction: &Transaction, first_sent_at: Instant) -> Self {
+        Self {
+            outcome: Err(StoreError::in_doubt(
+                describe_transaction(transaction),
+                InDoubtReason::DeadlineExceeded,
+            )),
+            in_doubt: true,
+            sent_at: first_sent_at,
+        }
     }
 }
 
-/// What a client shares for repeating requests.
-pub(crate) struct RetryPolicy {
-    pub(crate) round_trip: Mutex<RoundTripEstimator>,
-    doubts: Arc<Mutex<InDoubtWrites>>,
-    allowed: TpsBudget,
-    /// Seed of the next transaction's jitter; if there is none, jitter is random.
-    next_jitter_seed: Mutex<Option<u64>>,
-    /// Shortest and longest time-out of a copy.
-    floor: Duration,
-    cap: Duration,
+/// One sending of a transaction that was answered or given up.
+struct Attempt {
+    sent_at: Instant,
+    outcome: Result<TransactionOutcome, StoreError>,
 }
 
-impl RetryPolicy {
-    pub(crate) fn new(floor: Duration, cap: Duration) -> Self {
-        Self {
-            round_trip: Mutex::default(),
-            doubts: Arc::default(),
-            allowed: TpsBudget::new(RETRY_WINDOW, LEAST_RETRIES_PER_S, RETRY_SHARE),
-            next_jitter_seed: Mutex::default(),
-            floor,
-            cap,
-        }
-    }
-
-    /// Time-out of a copy that is sent now.
-    fn timeout(&self) -> Duration {
-        let round_trip = *self.round_trip.lock().expect("round-trip lock");
-        round_trip.timeout(self.floor, self.cap)
-    }
+/// When the next attempt of a transaction is due.
+struct AttemptSchedule<T, B> {
+    timeouts: T,
+    backoffs: B,
+    max_delay: Duration,
+    next_attempt_at: Instant,
+}
 
-    /// Time-outs of a transaction's copies, one after the other.
-    fn timeouts(&self, txn: &Transaction) -> impl Iterator<Item = Duration> + use<> {
-        let growth = if txn.writes.is_empty() {
-            COMPARE_TIMEOUT_GROWTH
-        } else {
-            WRITE_TIMEOUT_GROWTH
+impl<T, B> AttemptSchedule<T, B>
+where
+    T: Iterator<Item = Duration>,
+    B: Iterator<Item = Duration>,
+{
+    /// The schedule of a transaction whose first attempt is sent at `first_sent_at`.
+    fn new(timeouts: T, backoffs: B, max_delay: Duration, first_sent_at: Instant) -> Self {
+        let mut schedule = Self {
+            timeouts,
+            backoffs,
+            max_delay,
+            next_attempt_at: first_sent_at,
         };
-        ExponentialBuilder::default()
-            .with_min_delay(self.timeout())
-            .with_max_delay(self.cap)
-            .with_factor(growth)
-            .without_max_times()
-            .build()
+        schedule.await_timeout(first_sent_at);
+        schedule
     }
 
-    /// Pauses before a copy after a refusal, so that an outage brings no storm.
-    fn pauses(&self) -> impl Iterator<Item = Duration> + use<> {
-        let pauses = ExponentialBuilder::default()
-            .with_min_delay(self.floor)
-            .with_max_delay(self.cap)
-            .with_factor(PAUSE_GROWTH)
-            .with_jitter()
-            .without_max_times();
-        match self.take_jitter_seed() {
-            Some(seed) => pauses.with_jitter_seed(seed).build(),
-            None => pauses.build(),
-        }
+    /// An attempt was sent: the next is due when it times out.
+    fn await_timeout(&mut self, now: Instant) {
+        self.next_attempt_at = now + self.timeouts.next().unwrap_or(self.max_delay);
     }
 
-    /// Makes jitter follow from a seed.
-    pub(crate) fn seed_jitter(&self, seed: u64) {
-        *self.next_jitter_seed.lock().expect("jitter lock") = Some(seed);
+    /// An attempt was refused, or must not be sent yet.
+    fn back_off(&mut self, now: Instant) {
+        self.next_attempt_at = now + self.backoffs.next().unwrap_or(self.max_delay);
     }
 
-    fn take_jitter_seed(&self) -> Option<u64> {
-        let mut next = self.next_jitter_seed.lock().expect("jitter lock");
-        let seed = *next;
-        *next = seed.map(|seed| seed.wrapping_add(1));
-        seed
+    /// When to act without an answer: at the next attempt or the deadline.
+    fn next_wake(&self, deadline: Option<Instant>) -> Instant {
+        deadline.map_or(self.next_attempt_at, |deadline| {
+            deadline.min(self.next_attempt_at)
+        })
     }
 }
 
-/// A copy that was sent: when, and what became of it.
-type Copy = (Instant, Result<TransactionOutcome, StoreError>);
-
 impl StoreClient {
-    /// Sends a transaction until it is known what became of it, until `patience`
-    /// is over if one is given. Every write of the transaction must be guarded so
-    /// that it can be executed once at most.
+    /// Sends a transaction until its outcome is known, or until `patience` is over if
+    /// one is given. The transaction's conditions must make sure that it can be
+    /// executed at most once.
     ///
-    /// A copy goes out whenever the last has had no answer for a time-out; the
-    /// first answer to any of them counts. A refusal is final while no other copy
-    /// may have been executed.
+    /// An additional attempt is sent whenever the last has had no answer for a
+    /// time-out; the first answer to any of them counts. A refusal is final while no
+    /// other attempt may have been executed.
     pub async fn commit_with_retries(
         &self,
-        class: RequestPriority,
-        txn: &Transaction,
+        priority: RequestPriority,
+        transaction: &Transaction,
         patience: Option<Duration>,
     ) -> CommitResult {
-        let retries = &self.retries;
-        let until = patience.map(|p| Instant::now() + p);
-        let writes = txn.writes.len();
-        if !self.budget.acquire(class, writes).await {
-            return CommitResult {
-                outcome: Err(StoreError::Refused),
-                in_doubt: false,
-                sent_at: Instant::now(),
-            };
+        let deadline = patience.map(|patience| Instant::now() + patience);
+        if !self.acquire_permit(priority, transaction).await {
+            return CommitResult::not_sent(transaction);
         }
-        retries.allowed.deposit();
-        let began = Instant::now();
-        let (mut timeouts, mut pauses) = (retries.timeouts(txn), retries.pauses());
-        let copy = || async move {
-            let sent = Instant::now();
-            (sent, self.send(txn).await)
-        };
-        let mut under_way = FuturesUnordered::new();
-        under_way.push(copy());
-        let mut next_copy = began + timeouts.next().unwrap_or(retries.cap);
-        let mut doubt: Option<InDoubtGuard> = None;
-        let mut unanswered = false;
+        self.retries.deposit();
+        self.send_until_answered(priority, transaction, deadline)
+            .await
+    }
+
+    /// Sends the first attempt, which the budget has been charged for, and further
+    /// ones until an answer is final or the deadline passes.
+    async fn send_until_answered(
+        &self,
+        priority: RequestPriority,
+        transaction: &Transaction,
+        deadline: Option<Instant>,
+    ) -> CommitResult {
+        let retries = &self.retries;
+        let first_sent_at = Instant::now();
+        let (timeouts, backoffs) = (retries.timeouts(transaction), retries.backoffs());
+        let mut schedule =
+            AttemptSchedule::new(timeouts, backoffs, retries.max_timeout(), first_sent_at);
+        let mut attempts = FuturesUnordered::new();
+        attempts.push(self.attempt(transaction));
+        let mut in_doubt_guard: Option<InDoubtGuard> = None;
+        let mut has_unanswered_attempt = false;
         loop {
-            let wake = until.map_or(next_copy, |until| until.min(next_copy));
+            let wake_at = schedule.next_wake(deadline);
             tokio::select! {
                 biased;
-                Some((sent, outcome)) = under_way.next(), if !under_way.is_empty() => {
-                    let (sent, outcome): Copy = (sent, outcome);
-                    let in_doubt = unanswered || !under_way.is_empty();
+                Some(Attempt { sent_at, outcome }) = attempts.next(), if !attempts.is_empty() => {
+                    let in_doubt = has_unanswered_attempt || !attempts.is_empty();
                     match outcome {
-                        Err(StoreError::Unknown) => unanswered = true,
-                        Err(StoreError::Refused) if in_doubt => {
-                            next_copy = Instant::now() + pauses.next().unwrap_or(retries.cap);
-                        }
-                        outcome => return CommitResult { outcome, in_doubt, sent_at: sent },
+                        Err(error) if error.may_have_executed() => has_unanswered_attempt = true,
+                        Err(_) if in_doubt => schedule.back_off(Instant::now()),
+                        outcome => return CommitResult { outcome, in_doubt, sent_at },
                     }
                 }
-                () = tokio::time::sleep_until(wake) => {
+                () = tokio::time::sleep_until(wake_at) => {
                     let now = Instant::now();
-                    doubt.get_or_insert_with(|| InDoubtGuard::new(&retries.doubts, began));
-                    if until.is_some_and(|until| now >= until) {
-                        let outcome = Err(StoreError::Unknown);
-                        return CommitResult { outcome, in_doubt: true, sent_at: began };
+                    in_doubt_guard.get_or_insert_with(|| retries.in_doubt.enter(first_sent_at));
+                    if deadline.is_some_and(|deadline| now >= deadline) {
+                        return CommitResult::deadline_exceeded(transaction, first_sent_at);
                     }
-                    if self.budget.try_acquire(class, writes) && retries.allowed.withdraw() {
-                        under_way.push(copy());
-                        next_copy = now + timeouts.next().unwrap_or(retries.cap);
+                    if self.may_hedge(priority, transaction) {
+                        attempts.push(self.attempt(transaction));
+                        schedule.await_timeout(now);
                     } else {
-                        next_copy = now + pauses.next().unwrap_or(retries.cap);
+                        schedule.back_off(now);
                     }
                 }
             }
         }
     }
 
-    /// How many transactions are in doubt, and for how long the oldest has been.
+    async fn attempt(&self, transaction: &Transaction) -> Attempt {
+        let sent_at = Instant::now();
+        let outcome = self.send_transaction(transaction).await;
+        Attempt { sent_at, outcome }
+    }
+
+    /// Takes what an additional attempt needs from both budgets, if they have it.
+    fn may_hedge(&self, priority: RequestPriority, transaction: &Transaction) -> bool {
+        self.budget()
+            .try_acquire(priority, transaction.writes.len())
+            && self.retries.withdraw()
+    }
+
+    /// Number of transactions in doubt, and the age of the oldest. For the
+    /// operators' summary.
     #[must_use]
     pub fn in_doubt_writes(&self) -> (usize, Duration) {
-        let doubts = self.retries.doubts.lock().expect("doubts lock");
-        let oldest = doubts.since.values().min();
-        let longest = oldest.map_or(Duration::ZERO, |since| since.elapsed());
-        (doubts.since.len(), longest)
+        self.retries.in_doubt.count_and_oldest_age()
     }
 }
--- a/crates/tallygauge-store/src/connection_count.rs
+++ b/crates/tallygauge-store/src/connection_count.rs
@@ -1,22 +1,22 @@
-//! Connections that are open, counted.
+//! Count of open connections.
 
 use std::sync::{
     Arc,
     atomic::{AtomicUsize, Ordering::Relaxed},
 };
 
-/// A count of open connections. Clones share it.
+/// Number of open connections. Clones share the count.
 #[derive(Debug, Clone, Default)]
 pub struct ConnectionCount(Arc<AtomicUsize>);
 
 impl ConnectionCount {
-    /// How many there are.
+    /// Number of connections that are open now.
     #[must_use]
     pub fn get(&self) -> usize {
         self.0.load(Relaxed)
     }
 
-    /// Counts one in, for as long as the answer is held.
+    /// Counts a connection as open until the guard is dropped.
     #[must_use]
     pub fn acquire(&self) -> ConnectionGuard {
         self.0.fetch_add(1, Relaxed);
@@ -24,7 +24,7 @@
     }
 }
 
-/// One connection in a count.
+/// Guard of one counted connection: dropping it counts the connection as closed.
 #[derive(Debug)]
 pub struct ConnectionGuard(ConnectionCount);
 
--- /dev/null
+++ b/crates/tallygauge-store/src/in_doubt.rs
@@ -0,0 +1,56 @@
+//! Transactions in doubt: sent, not answered yet, and awaited by a caller.
+
+use std::{
+    collections::BTreeMap,
+    sync::{Arc, Mutex},
+    time::Duration,
+};
+use tokio::time::Instant;
+
+/// The transactions in doubt of one client. Clones share them.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct InDoubtWrites(Arc<Mutex<InDoubtSet>>);
+
+#[derive(Debug, Default)]
+struct InDoubtSet {
+    next_id: u64,
+    first_sent_at: BTreeMap<u64, Instant>,
+}
+
+impl InDoubtWrites {
+    /// Counts a transaction first sent at `first_sent_at` as in doubt until the
+    /// guard is dropped.
+    pub(crate) fn enter(&self, first_sent_at: Instant) -> InDoubtGuard {
+        let mut set = self.0.lock().expect("in-doubt lock");
+        let id = set.next_id;
+        set.next_id += 1;
+        set.first_sent_at.insert(id, first_sent_at);
+        drop(set);
+        InDoubtGuard {
+            writes: self.clone(),
+            id,
+        }
+    }
+
+    /// Number of transactions in doubt, and the age of the oldest.
+    pub(crate) fn count_and_oldest_age(&self) -> (usize, Duration) {
+        let set = self.0.lock().expect("in-doubt lock");
+        let oldest = set.first_sent_at.values().min();
+        let oldest_age = oldest.map_or(Duration::ZERO, |sent_at| sent_at.elapsed());
+        (set.first_sent_at.len(), oldest_age)
+    }
+}
+
+/// Guard of one transaction in doubt: dropping it, also when the caller is
+/// cancelled, ends the doubt.
+pub(crate) struct InDoubtGuard {
+    writes: InDoubtWrites,
+    id: u64,
+}
+
+impl Drop for InDoubtGuard {
+    fn drop(&mut self) {
+        let mut set = self.writes.0.lock().expect("in-doubt lock");
+        set.first_sent_at.remove(&self.id);
+    }
+}
--- a/crates/tallygauge-store/src/log_once.rs
+++ b/crates/tallygauge-store/src/log_once.rs
@@ -3,13 +3,14 @@
 use std::{collections::BTreeSet, sync::Mutex};
 
 /// Causes that this process has logged.
-static SEEN: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
+static LOGGED_CAUSES: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
 
-/// Most causes that are told apart.
-const MOST: usize = 100;
+/// Causes that are told apart; later ones count as logged.
+const MAX_CAUSES: usize = 100;
 
-/// Whether this cause was not seen before.
+/// Whether this is the first occurrence of a cause in this process. Callers log the
+/// cause only then.
 pub fn is_first_occurrence(cause: &str) -> bool {
-    let mut seen = SEEN.lock().expect("causes lock");
-    seen.len() < MOST && seen.insert(cause.to_string())
+    let mut logged = LOGGED_CAUSES.lock().expect("logged causes lock");
+    logged.len() < MAX_CAUSES && logged.insert(cause.to_string())
 }
--- a/crates/tallygauge-store/src/round_trip.rs
+++ b/crates/tallygauge-store/src/round_trip.rs
@@ -1,5 +1,5 @@
-//! Estimate of the round-trip time to a service, and the time-out that follows
-//! from it (RFC 6298: smoothed mean and mean deviation).
+//! Estimate of the round-trip time to the store, and the time-out derived from it
+//! (RFC 6298: smoothed mean and mean deviation).
 
 use std::time::Duration;
 
@@ -7,38 +7,51 @@
 const MEAN_GAIN: f64 = 1.0 / 8.0;
 /// Weight of a new sample in the mean deviation.
 const DEVIATION_GAIN: f64 = 1.0 / 4.0;
-/// Mean deviations above the mean at which a request is given up.
-const DEVIATIONS: f64 = 4.0;
+/// Mean deviations above the mean at which a request times out.
+const TIMEOUT_DEVIATIONS: f64 = 4.0;
 
-/// Round-trip times of answered requests.
+/// Estimator of the round-trip time of answered requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RoundTripEstimator {
-    /// Smoothed mean and mean deviation, seconds; `None` before the first sample.
-    estimate: Option<(f64, f64)>,
+    /// `None` before the first sample.
+    estimate: Option<Estimate>,
+}
+
+#[derive(Debug, Clone, Copy, PartialEq)]
+struct Estimate {
+    mean_s: f64,
+    deviation_s: f64,
 }
 
 impl RoundTripEstimator {
-    /// Takes up how long an answered request took.
+    /// Adds the round-trip time of an answered request.
     pub fn observe(&mut self, sample: Duration) {
-        let sample = sample.as_secs_f64();
+        let sample_s = sample.as_secs_f64();
         self.estimate = Some(match self.estimate {
-            None => (sample, sample / 2.0),
-            Some((mean, deviation)) => (
-                mean + MEAN_GAIN * (sample - mean),
-                deviation + DEVIATION_GAIN * ((sample - mean).abs() - deviation),
-            ),
+            None => Estimate {
+                mean_s: sample_s,
+                deviation_s: sample_s / 2.0,
+            },
+            Some(Estimate {
+                mean_s,
+                deviation_s,
+            }) => Estimate {
+                mean_s: mean_s + MEAN_GAIN * (sample_s - mean_s),
+                deviation_s: deviation_s
+                    + DEVIATION_GAIN * ((sample_s - mean_s).abs() - deviation_s),
+            },
         });
     }
 
     /// How long to wait for an answer before the request counts as unanswered,
-    /// between `floor` and `cap`. Before the first sample: their geometric mean.
+    /// between `min` and `max`. Before the first sample: their geometric mean.
     #[must_use]
-    pub fn timeout(&self, floor: Duration, cap: Duration) -> Duration {
-        let (floor, cap) = (floor.as_secs_f64(), cap.as_secs_f64());
-        let wait = match self.estimate {
-            Some((mean, deviation)) => mean + DEVIATIONS * deviation,
-            None => (floor * cap).sqrt(),
+    pub fn timeout(&self, min: Duration, max: Duration) -> Duration {
+        let (min_s, max_s) = (min.as_secs_f64(), max.as_secs_f64());
+        let timeout_s = match self.estimate {
+            Some(estimate) => estimate.mean_s + TIMEOUT_DEVIATIONS * estimate.deviation_s,
+            None => (min_s * max_s).sqrt(),
         };
-        Duration::from_secs_f64(wait.max(floor).min(cap))
+        Duration::from_secs_f64(timeout_s.max(min_s).min(max_s))
     }
 }
--- /dev/null
+++ b/crates/tallygauge-store/tests/commit_with_retries.rs
@@ -0,0 +1,265 @@
+//! Committing transactions whose answers are lost, late or refused, against a plain
+//! store that executes conditional writes.
+
+use bytes::Bytes;
+use hyper::{Method, StatusCode};
+use std::{
+    collections::VecDeque,
+    pin::Pin,
+    sync::{Arc, Mutex},
+    time::Duration,
+};
+use tallygauge_protocol::state::{Condition, Transaction, Write};
+use tallygauge_store::{
+    InDoubtReason, NotExecutedReason, RequestBudget, RequestPriority, StoreClient, StoreError,
+    TransactionOutcome,
+    http::{HttpClient, HttpResult, RequestError, Transport},
+    round_trip::RoundTripEstimator,
+};
+use tokio::time::Instant;
+
+const MIN_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// What happens to one request.
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum RequestOutcome {
+    /// Executed and answered.
+    Answered,
+    /// Executed, the answer is lost.
+    AnswerLost,
+    /// Neither executed nor answered.
+    Lost,
+    /// Answered 503.
+    Refused,
+    /// Executed and answered after so many milliseconds.
+    Slow(u64),
+}
+
+/// A store with one key, written at most once.
+#[derive(Default)]
+struct FakeStore {
+    request_outcomes: VecDeque<RequestOutcome>,
+    /// Outcome of all requests beyond those listed.
+    default_outcome: Option<RequestOutcome>,
+    executed: u32,
+    requests: u32,
+}
+
+struct FakeTransport(Arc<Mutex<FakeStore>>);
+
+impl Transport for FakeTransport {
+    fn send(
+        &self,
+        _: Method,
+        _: String,
+        _: Bytes,
+    ) -> Pin<Box<dyn Future<Output = HttpResult> + Send>> {
+        let store = self.0.clone();
+        Box::pin(async move {
+            tokio::time::sleep(Duration::from_millis(2)).await;
+            let (request_outcome, answer) = {
+                let mut store = store.lock().unwrap();
+                store.requests += 1;
+                let default_outcome = store.default_outcome.unwrap_or(RequestOutcome::Answered);
+                let request_outcome = store
+                    .request_outcomes
+                    .pop_front()
+                    .unwrap_or(default_outcome);
+                let executes = !matches!(
+                    request_outcome,
+                    RequestOutcome::Lost | RequestOutcome::Refused
+                );
+                let is_first = store.executed == 0;
+                store.executed += u32::from(executes && is_first);
+                let answer = if is_first {
+                    (StatusCode::OK, Bytes::from_static(b"{\"epoch\":7}"))
+                } else {
+                    let body = b"{\"failed\":[\"k\"],\"epoch\":7}";
+                    (StatusCode::CONFLICT, Bytes::from_static(body))
+                };
+                (request_outcome, answer)
+            };
+            match request_outcome {
+                RequestOutcome::Answered => Ok(answer),
+                RequestOutcome::Refused => Ok((StatusCode::SERVICE_UNAVAILABLE, Bytes::new())),
+                RequestOutcome::Slow(ms) => {
+                    tokio::time::sleep(Duration::from_millis(ms)).await;
+                    Ok(answer)
+                }
+                RequestOutcome::Lost | RequestOutcome::AnswerLost => {
+                    tokio::time::sleep(Duration::from_secs(3600)).await;
+                    Err(RequestError::NoResponse)
+                }
+            }
+        })
+    }
+}
+
+fn client(
+    request_outcomes: &[RequestOutcome],
+    default_outcome: Option<RequestOutcome>,
+) -> (StoreClient, Arc<Mutex<FakeStore>>) {
+    let store = Arc::new(Mutex::new(FakeStore {
+        request_outcomes: request_outcomes.iter().copied().collect(),
+        default_outcome,
+        ..FakeStore::default()
+    }));
+    let http = HttpClient::over(Arc::new(FakeTransport(store.clone())));
+    let budget = Arc::new(RequestBudget::new(100.0, 100.0));
+    (
+        StoreClient::new(http, "store", budget, MIN_TIMEOUT, MAX_TIMEOUT),
+        store,
+    )
+}
+
+fn transaction() -> Transaction {
+    Transaction {
+        conditions: vec![Condition {
+            key: "k".into(),
+            version: 0,
+        }],
+        writes: vec![Write::Set {
+            key: "k".into(),
+            value: serde_json::Value::Null,
+            lease: None,
+        }],
+    }
+}
+
+// A lost answer must not cost a whole request time-out.
+#[tokio::test(start_paused = true)]
+async fn lost_answers_are_result_by_copies_and_the_write_is_made_once() {
+    use RequestOutcome::{AnswerLost, Answered, Lost};
+    for (request_outcomes, conflict) in [
+        (vec![Answered], false),
+        (vec![Lost, Answered], false),
+        (vec![AnswerLost, Answered], true),
+        (vec![Lost, AnswerLost, Lost, Answered], true),
+    ] {
+        let (client, store) = client(&request_outcomes, None);
+        let started_at = Instant::now();
+        let result = client
+            .commit_with_retries(RequestPriority::Users, &transaction(), None)
+            .await;
+        assert_eq!(
+            matches!(result.outcome, Ok(TransactionOutcome::Conflict { .. })),
+            conflict
+        );
+        // After a lost answer a conflict leaves open which attempt was executed.
+        assert_eq!(result.in_doubt, request_outcomes.len() > 1);
+        assert_eq!(store.lock().unwrap().executed, 1);
+        assert!(
+            started_at.elapsed() < MAX_TIMEOUT * 2,
+            "{request_outcomes:?}: {:?}",
+            started_at.elapsed()
+        );
+        assert_eq!(client.in_doubt_writes().0, 0);
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_slow_answer_counts_after_a_hedged_attempt_was_sent() {
+    let (client, store) = client(&[RequestOutcome::Slow(600)], Some(RequestOutcome::Lost));
+    let result = client
+        .commit_with_retries(RequestPriority::Users, &transaction(), None)
+        .await;
+    assert_eq!(result.outcome.unwrap(), TransactionOutcome::Committed(7));
+    assert!(store.lock().unwrap().requests > 1);
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_refusal_is_final_only_if_no_attempt_may_have_executed() {
+    let (client, store) = client(&[RequestOutcome::Refused], None);
+    let result = client
+        .commit_with_retries(RequestPriority::Users, &transaction(), None)
+        .await;
+    assert!(matches!(
+        result.outcome,
+        Err(StoreError::NotExecuted {
+            reason: NotExecutedReason::Unavailable,
+            ..
+        })
+    ));
+    assert!(!result.in_doubt && store.lock().unwrap().executed == 0);
+    // Lost, then refused by an outage: it may have been executed, and was.
+    use RequestOutcome::{AnswerLost, Answered, Refused};
+    let (client, _) = self::client(&[AnswerLost, Refused, Refused, Answered], None);
+    let result = client
+        .commit_with_retries(RequestPriority::Users, &transaction(), None)
+        .await;
+    assert!(matches!(result.outcome, Ok(TransactionOutcome::Conflict { .. })) && result.in_doubt);
+}
+
+#[tokio::test(start_paused = true)]
+async fn deadline_ends_in_doubt_and_the_oldest_in_doubt_write_is_reported() {
+    let (client, _) = client(&[], Some(RequestOutcome::Lost));
+    let patience = Some(Duration::from_secs(3));
+    let started_at = Instant::now();
+    let other = client.clone();
+    let commit = tokio::spawn(async move {
+        other
+            .commit_with_retries(RequestPriority::Users, &transaction(), patience)
+            .await
+    });
+    tokio::time::sleep(Duration::from_secs(2)).await;
+    let (count, longest) = client.in_doubt_writes();
+    assert!(count == 1 && longest >= Duration::from_millis(1900));
+    let result = commit.await.unwrap();
+    assert!(matches!(
+        result.outcome,
+        Err(StoreError::InDoubt {
+            reason: InDoubtReason::DeadlineExceeded,
+            ..
+        })
+    ));
+    assert!(result.in_doubt);
+    assert!(started_at.elapsed() < Duration::from_millis(3100));
+    assert_eq!(client.in_doubt_writes().0, 0);
+}
+
+// Additional attempts are bounded by a share of the transactions.
+#[tokio::test(start_paused = true)]
+async fn an_outage_without_answers_brings_no_retry_storm() {
+    let (client, store) = client(&[], Some(RequestOutcome::Lost));
+    let commits: Vec<_> = (0..40)
+        .map(|_| {
+            let client = client.clone();
+            tokio::spawn(async move {
+                let patience = Some(Duration::from_secs(20));
+                client
+                    .commit_with_retries(RequestPriority::Users, &transaction(), patience)
+                    .await
+            })
+        })
+        .collect();
+    for commit in commits {
+        assert!(commit.await.unwrap().in_doubt);
+    }
+    let requests = store.lock().unwrap().requests;
+    // One attempt each, one retry each, and two retries a second.
+    assert!(
+        (80..=40 * 2 + 20 * 2 + 40).contains(&requests),
+        "{requests}"
+    );
+}
+
+#[test]
+fn the_timeout_follows_the_round_trip_times() {
+    let mut round_trip = RoundTripEstimator::default();
+    let timeout = |r: &RoundTripEstimator| r.timeout(MIN_TIMEOUT, MAX_TIMEOUT).as_secs_f64();
+    assert!((timeout(&round_trip) - 0.447).abs() < 0.01, "before any");
+    for _ in 0..100 {
+        round_trip.observe(Duration::from_millis(10));
+    }
+    assert!((timeout(&round_trip) - 0.1).abs() < 1e-6, "the minimum");
+    for n in 0..100 {
+        round_trip.observe(Duration::from_millis(200 + n % 2 * 400));
+    }
+    let with_jitter = timeout(&round_trip);
+    assert!((0.8..=2.0).contains(&with_jitter), "{with_jitter}");
+    for _ in 0..100 {
+        round_trip.observe(Duration::from_secs(9));
+    }
+    assert!((timeout(&round_trip) - 2.0).abs() < 1e-6, "the maximum");
+}
--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -63,9 +63,10 @@
                 c.completion_pages.mark_written(page, revision);
             }
         }
-        Ok(TransactionOutcome::Conflict(_)) | Err(StoreError::Unknown) => {
+        Ok(TransactionOutcome::Conflict { .. })
+        | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => {
             c.completion_pages.mark_in_doubt(&pages)
         }
-        Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::Refused) => {}
+        Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => {}
     });
 }
--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -55,7 +55,10 @@
         } else if row.key == TERM_KEY {
             let record: TermRecord = serde_json::from_value(row.value).map_err(|error| {
                 tracing::error!(%error, "the term can't be read");
-                StoreError::Unknown
+                StoreError::Malformed {
+                    key: TERM_KEY.into(),
+                    source: Arc::new(error),
+                }
             })?;
             terms.term = record.term;
             terms.term_version = row.version;
@@ -299,7 +302,10 @@
 ) -> Result<T, StoreError> {
     serde_json::from_value(value).map_err(|error| {
         tracing::error!(%error, key, "a record can't be read");
-        StoreError::Unknown
+        StoreError::Malformed {
+            key: key.into(),
+            source: Arc::new(error),
+        }
     })
 }
 
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -238,7 +238,8 @@
             shelf.mark_written(parcel, controller.now());
         }
         // An unanswered write may have been made: what is there is read again.
-        Ok(TransactionOutcome::Conflict(_)) | Err(StoreError::Unknown) => {
+        Ok(TransactionOutcome::Conflict { .. })
+        | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => {
             if let Ok((rows, _)) = controller
                 .store
                 .list(RequestPriority::Maintenance, PREFIX)
@@ -250,7 +251,7 @@
                     .collect();
             }
         }
-        Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::Refused) => {}
+        Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => {}
     }
 }
 
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -132,7 +132,9 @@
             }
             true
         }
-        Ok(TransactionOutcome::Conflict(failed)) => {
+        Ok(TransactionOutcome::Conflict {
+            failed_keys: failed,
+        }) => {
             if failed.iter().any(|k| k == TERM_KEY) {
                 controller.step_down("a write found another term");
                 return;
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -136,7 +136,9 @@
             }
             controller.wake_scheduler.notify_one();
         }
-        Ok(TransactionOutcome::Conflict(failed)) => {
+        Ok(TransactionOutcome::Conflict {
+            failed_keys: failed,
+        }) => {
             if failed.iter().any(|k| k == TERM_KEY) {
                 controller.step_down("a write found another term");
                 return due;
@@ -189,7 +191,9 @@
         .commit_with_retries(RequestPriority::Progress, &txn, None)
         .await;
     let outcome = settled.outcome;
-    if let Ok(TransactionOutcome::Conflict(failed)) = &outcome
+    if let Ok(TransactionOutcome::Conflict {
+        failed_keys: failed,
+    }) = &outcome
         && failed.iter().any(|k| k == TERM_KEY)
     {
         controller.step_down("a write found another term");
@@ -197,10 +201,11 @@
     }
     controller.with_cluster(|c| match outcome {
         Ok(TransactionOutcome::Committed(revision)) => c.record_flushed(flush, revision),
-        Ok(TransactionOutcome::Conflict(_)) | Err(StoreError::Unknown) => {
+        Ok(TransactionOutcome::Conflict { .. })
+        | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => {
             c.completion_pages.mark_flush_failed(&flush.pages, true)
         }
-        Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::Refused) => {
+        Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => {
             c.completion_pages.mark_flush_failed(&flush.pages, false)
         }
     });
--- a/crates/tallygauge/src/user_api.rs
+++ b/crates/tallygauge/src/user_api.rs
@@ -325,7 +325,7 @@
         as_of = as_of.min(controller.instant_to_seconds(settled.sent_at));
         match settled.outcome {
             Ok(TransactionOutcome::Committed(_)) => break,
-            Ok(TransactionOutcome::Conflict(keys)) if !keys.is_empty() => {
+            Ok(TransactionOutcome::Conflict { failed_keys: keys }) if !keys.is_empty() => {
                 guards.retain(|g| !keys.contains(&g.key));
                 broken.extend(keys);
             }
@@ -629,7 +629,7 @@
             return Reply::Job(201, answer(id, JobStatus::Pending));
         }
         // Known already, perhaps by an earlier copy of this submission.
-        Ok(TransactionOutcome::Conflict(_)) => {
+        Ok(TransactionOutcome::Conflict { .. }) => {
             return match read_job_records(controller, id)
                 .await
                 .and_then(|w| job_response(controller, id, w))
