--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -3,9 +3,8 @@
 use crate::{
     cleanup, cloud,
     controller::{Controller, LEADER_KEY, Leadership, TERM_KEY},
-    job_watch, leader_records, progress, reconciliation, scheduling_loop, summary,
+    direct_messages, job_watch, leader_records, progress, reconciliation, scheduling_loop, summary,
     user_api::{self, ActiveJobRecord},
-    worker_api,
 };
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::{collections::HashMap, sync::Arc, time::Duration};
@@ -277,7 +276,7 @@
             }
         }
     };
-    worker_api::send_direct_messages(controller);
+    direct_messages::send_direct_messages(controller);
     controller.wake_scheduler.notify_one();
     tokio::join!(
         watch_jobs(controller, revision),
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     controller::{Controller, TERM_KEY, active_job_key, placement_batch_key},
-    worker_api,
+    direct_messages,
 };
 use futures_util::{
     future::BoxFuture,
@@ -163,7 +163,7 @@
     if !made {
         controller.wake_scheduler.notify_one();
     }
-    worker_api::send_direct_messages(controller);
+    direct_messages::send_direct_messages(controller);
 }
 
 /// Whether a batch is on record.
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -1,6 +1,6 @@
 //! The control loop: rounds, one after the other.
 
-use crate::{controller::Controller, placements::PlacementWriter, worker_api};
+use crate::{controller::Controller, direct_messages, placements::PlacementWriter};
 use std::{sync::Arc, time::Duration};
 use tallygauge_protocol::{BODY_LIMIT, state::Condition};
 use tallygauge_scheduler::PlacementBatch;
@@ -68,7 +68,7 @@
         }
         log_events(controller);
         // Stops need nothing durable and go out first.
-        worker_api::send_direct_messages(controller);
+        direct_messages::send_direct_messages(controller);
         placements.push(batches);
         controller.wake_cloud.notify_one();
         let pause = Duration::from_secs_f64(gap.max(took * (1.0 / ROUND_SHARE - 1.0)));
--- a/crates/tallygauge/src/worker_api.rs
+++ b/crates/tallygauge/src/worker_api.rs
@@ -1,207 +1,169 @@
-//! Dealings with workers: check-ins and direct commands.
+//! The workers' interface: heartbeats, which workers send to the leader.
 
-use crate::controller::Controller;
-use std::{sync::Arc, time::Duration};
-use tallygauge_protocol::workers::{DirectCommands, Heartbeat, HeartbeatResponse, Redirect};
-use tallygauge_scheduler::{DirectMessage, HeartbeatOutcome, HeartbeatSource};
-use tallygauge_store::{http::RequestError, is_first_occurrence};
+use crate::controller::{Controller, Leadership};
+use tallygauge_protocol::workers::{Heartbeat, HeartbeatResponse, Redirect};
+use tallygauge_scheduler::{HeartbeatOutcome, HeartbeatSource};
+use tallygauge_store::is_first_occurrence;
 
-/// An answer to a check-in.
+/// Part of a worker's lease without any heartbeat after which the leader suspects
+/// that workers can't reach it, and their leases are in danger.
+const MAX_SILENCE_LEASE_FRACTION: f64 = 0.3;
+
+/// Heartbeat intervals after the last heartbeat for which a follower counts as called
+/// on by workers.
+const RECENT_HEARTBEAT_INTERVALS: f64 = 2.0;
+
+/// Reply to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatReply {
-    /// 200.
+    /// 200: applied to the cluster state. Renews the worker's lease and carries
+    /// commands for it.
     Accepted(HeartbeatResponse),
-    /// 421, with the leader if known.
+    /// 421: this controller is not the leader, and another is known to be.
     Redirected(Redirect),
-    /// 503.
+    /// 503: no leader is known, this one is fenced off or still recovering the
+    /// cluster state, or the heartbeat is out of date. The worker's lease is not
+    /// renewed.
     Unavailable,
-    /// 400.
+    /// 400: not a heartbeat. The text says why.
     Malformed(String),
 }
 
-/// Whether workers have called on this node of late, though it does not lead.
+/// What a heartbeat meant for this controller.
+enum HeartbeatEffect {
+    /// Applied; `needs_scheduling` if the scheduler should look at the change.
+    Applied {
+        response: HeartbeatResponse,
+        needs_scheduling: bool,
+    },
+    /// It can't be answered.
+    Refused,
+    /// The worker has seen this higher term.
+    Superseded(u64),
+    /// This controller is not the leader.
+    NotLeader,
+}
+
+/// Whether workers have sent heartbeats to this controller of late, though it is a
+/// follower. Peers are told, so that a leader that workers can't reach yields.
 #[must_use]
 pub fn has_recent_heartbeats(controller: &Controller) -> bool {
-    let at = *controller.lock(&controller.follower_heartbeat_at);
-    controller.now() - at < controller.settings.deployment.workers.heartbeat_interval_s * 2.0
+    let last_heartbeat_at = *controller.lock(&controller.follower_heartbeat_at);
+    let interval_s = controller.settings.deployment.workers.heartbeat_interval_s;
+    controller.now() - last_heartbeat_at < interval_s * RECENT_HEARTBEAT_INTERVALS
 }
 
-/// Whether this node leads and workers that should call on it do not, for long
-/// enough that their leases are in danger.
+/// Whether this controller is the leader and has had no heartbeat from workers that
+/// should send some, for long enough that their leases are in danger.
 #[must_use]
 pub fn lacks_heartbeats(controller: &Controller) -> bool {
     let now = controller.now();
-    let patience = controller.settings.deployment.workers.lease_s * 0.3;
+    let max_silence_s = controller.settings.deployment.workers.lease_s * MAX_SILENCE_LEASE_FRACTION;
     controller
         .lock(&controller.leadership)
         .as_ref()
-        .is_some_and(|lead| {
-            let expected = lead.cluster.as_ref().is_some_and(|c| {
-                c.workers
-                    .values()
-                    .any(|w| w.is_up() || !w.attempts.is_empty())
-            });
-            expected && now - lead.last_heartbeat_at > patience
+        .is_some_and(|leadership| {
+            expects_heartbeats(leadership) && now - leadership.last_heartbeat_at > max_silence_s
         })
 }
 
+/// Whether some worker is up, or may still run attempts.
+fn expects_heartbeats(leadership: &Leadership) -> bool {
+    leadership.cluster.as_ref().is_some_and(|cluster| {
+        cluster
+            .workers
+            .values()
+            .any(|worker| worker.is_up() || !worker.attempts.is_empty())
+    })
+}
+
 /// `POST /checkin`
 pub fn handle_heartbeat(controller: &Controller, body: &[u8]) -> HeartbeatReply {
-    // Who does not lead has no use for the report: when a leader is gone, all
-    // workers call on the others at once, and are refused before it costs.
+    // A follower does not even parse the body: when a leader fails, all workers turn
+    // to the followers at once.
     if controller.lock(&controller.leadership).is_none() {
         return redirect_to_leader(controller);
     }
-    let report: Heartbeat = match serde_json::from_slice(body) {
-        Ok(report) => report,
-        Err(error) => {
-            if is_first_occurrence(&format!("check-in: {error}")) {
-                tracing::warn!(%error, "malformed check-in");
-            }
-            return HeartbeatReply::Malformed(error.to_string());
-        }
+    let heartbeat = match parse_heartbeat(body) {
+        Ok(heartbeat) => heartbeat,
+        Err(error) => return HeartbeatReply::Malformed(error.to_string()),
     };
-    let now = controller.now();
-    let fence = controller.fence_s();
-    let mut deposed = None;
-    let mut changed = false;
-    let answer = {
-        let mut lead = controller.lock(&controller.leadership);
-        match lead.as_mut() {
-            None => None,
-            Some(lead) if report.token > lead.term => {
-                deposed = Some(report.token);
-                None
-            }
-            // Whoever leads now may have placed what these workers run, and any
-            // node may have cancelled it: an answer would renew their leases.
-            Some(lead) if lead.is_fenced(now, fence) => {
-                return HeartbeatReply::Unavailable;
-            }
-            Some(lead) => {
-                let term = lead.term;
-                let Some(cluster) = lead.cluster.as_mut() else {
-                    return HeartbeatReply::Unavailable;
-                };
-                match cluster.apply_heartbeat(now, &report, HeartbeatSource::Periodic) {
-                    HeartbeatOutcome::Applied | HeartbeatOutcome::Overtaken => {}
-                    // A copy of what was answered long ago renews no lease and
-                    // brings no orders.
-                    HeartbeatOutcome::Stale
-                    | HeartbeatOutcome::DeadIncarnation
-                    | HeartbeatOutcome::Deposed(_) => {
-                        return HeartbeatReply::Unavailable;
-                    }
-                }
-                changed = std::mem::take(&mut cluster.needs_scheduling);
-                let commands = cluster.commands(&report.machine, now);
-                cluster.record_heartbeat_response(&report.machine, &commands, now);
-                lead.last_heartbeat_at = now;
-                Some(HeartbeatResponse {
-                    token: term,
-                    commands,
-                })
-            }
-        }
-    };
-    if let Some(term) = deposed {
-        controller.observe_term(term, None);
-    }
-    match answer {
-        Some(answer) => {
-            if changed {
+    match apply_heartbeat(controller, &heartbeat) {
+        HeartbeatEffect::Applied {
+            response,
+            needs_scheduling,
+        } => {
+            if needs_scheduling {
                 controller.wake_scheduler.notify_one();
                 controller.wake_completions.notify_one();
             }
-            HeartbeatReply::Accepted(answer)
+            HeartbeatReply::Accepted(response)
+        }
+        HeartbeatEffect::Refused => HeartbeatReply::Unavailable,
+        HeartbeatEffect::Superseded(higher_term) => {
+            controller.observe_term(higher_term, None);
+            redirect_to_leader(controller)
         }
-        None => redirect_to_leader(controller),
+        HeartbeatEffect::NotLeader => redirect_to_leader(controller),
     }
 }
 
-/// The answer of a node that does not lead.
-fn redirect_to_leader(controller: &Controller) -> HeartbeatReply {
-    *controller.lock(&controller.follower_heartbeat_at) = controller.now();
-    let leader = controller.lock(&controller.leader_view).leader.clone();
-    match leader {
-        Some(name) if name != controller.settings.node_name => {
-            HeartbeatReply::Redirected(Redirect { leader: Some(name) })
+fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, serde_json::Error> {
+    serde_json::from_slice(body).inspect_err(|error| {
+        if is_first_occurrence(&format!("heartbeat: {error}")) {
+            tracing::warn!(%error, "malformed heartbeat");
         }
-        _ => HeartbeatReply::Unavailable,
-    }
+    })
 }
 
-/// Sends all direct messages that are due, each in a task of its own; a worker
-/// has one under way at most, so their number is bounded. A leader that may not
-/// answer workers sends them nothing either.
-pub fn send_direct_messages(controller: &Arc<Controller>) {
+/// Applies a heartbeat to the cluster state, if this controller is the leader, and
+/// makes up the response.
+fn apply_heartbeat(controller: &Controller, heartbeat: &Heartbeat) -> HeartbeatEffect {
     let (now, fence) = (controller.now(), controller.fence_s());
-    let (term, messages) = {
-        let mut lead = controller.lock(&controller.leadership);
-        let Some(lead) = lead.as_mut().filter(|l| !l.is_fenced(now, fence)) else {
-            return;
-        };
-        let (term, spare) = (lead.term, controller.direct_message_fraction());
-        let Some(cluster) = lead.cluster.as_mut() else {
-            return;
-        };
-        (term, cluster.take_direct_messages(now, spare))
+    let mut leadership = controller.lock(&controller.leadership);
+    let Some(leadership) = leadership.as_mut() else {
+        return HeartbeatEffect::NotLeader;
     };
-    for message in messages {
-        let controller = controller.clone();
-        tokio::spawn(async move { deliver_direct_message(&controller, term, message).await });
+    if heartbeat.token > leadership.term {
+        return HeartbeatEffect::Superseded(heartbeat.token);
     }
-}
-
-async fn deliver_direct_message(controller: &Controller, term: u64, message: DirectMessage) {
-    let body = DirectCommands {
-        token: term,
-        session: message.incarnation,
-        commands: message.commands.clone(),
-    };
-    let url = format!("http://{}/orders", message.endpoint);
-    let timeout = Duration::from_secs_f64(controller.settings.deployment.workers.lease_s / 6.0);
-    // The task may have had to wait, or the process may have stood still, since
-    // the message was made up.
-    let result = if controller.may_command() {
-        let post = warp::http::Method::POST;
-        let keep = !controller.connection_limits.is_low();
-        controller
-            .http
-            .send(post, &url, Some(&body), timeout, keep)
-            .await
-    } else {
-        Err(RequestError::NotSent)
+    // A new leader may have placed what this worker runs, and any controller may have
+    // cancelled it: a response would renew the worker's lease.
+    if leadership.is_fenced(now, fence) {
+        return HeartbeatEffect::Refused;
+    }
+    let Some(cluster) = leadership.cluster.as_mut() else {
+        return HeartbeatEffect::Refused;
     };
-    let report = match &result {
-        Ok((status, bytes)) if status.as_u16() == 200 || status.as_u16() == 409 => {
-            serde_json::from_slice::<Heartbeat>(bytes).ok()
-        }
-        _ => None,
+    match cluster.apply_heartbeat(now, heartbeat, HeartbeatSource::Periodic) {
+        HeartbeatOutcome::Applied | HeartbeatOutcome::Overtaken => {}
+        // A late copy must not renew a lease or fetch commands.
+        HeartbeatOutcome::Stale
+        | HeartbeatOutcome::DeadIncarnation
+        | HeartbeatOutcome::Deposed(_) => return HeartbeatEffect::Refused,
+    }
+    let needs_scheduling = std::mem::take(&mut cluster.needs_scheduling);
+    let commands = cluster.commands(&heartbeat.machine, now);
+    cluster.record_heartbeat_response(&heartbeat.machine, &commands, now);
+    leadership.last_heartbeat_at = now;
+    let response = HeartbeatResponse {
+        token: leadership.term,
+        commands,
     };
-    let now = controller.now();
-    let mut deposed = None;
-    {
-        let mut lead = controller.lock(&controller.leadership);
-        let Some(lead) = lead.as_mut().filter(|l| l.term == term) else {
-            return;
-        };
-        let Some(cluster) = lead.cluster.as_mut() else {
-            return;
-        };
-        let never_sent = matches!(result, Err(RequestError::NotSent));
-        cluster.record_direct_message_result(&message, report.is_some(), never_sent, now);
-        if let Some(report) = &report
-            && report.machine == message.worker
-            && let HeartbeatOutcome::Deposed(term) =
-                cluster.apply_direct_reply(now, &message, report)
-        {
-            deposed = Some(term);
-        }
+    HeartbeatEffect::Applied {
+        response,
+        needs_scheduling,
     }
-    if let Some(term) = deposed {
-        controller.observe_term(term, None);
+}
+
+/// The reply of a controller that is not the leader.
+fn redirect_to_leader(controller: &Controller) -> HeartbeatReply {
+    *controller.lock(&controller.follower_heartbeat_at) = controller.now();
+    let leader = controller.lock(&controller.leader_view).leader.clone();
+    match leader {
+        Some(name) if name != controller.settings.node_name => {
+            HeartbeatReply::Redirected(Redirect { leader: Some(name) })
+        }
+        _ => HeartbeatReply::Unavailable,
     }
-    controller.wake_scheduler.notify_one();
-    controller.wake_completions.notify_one();
 }
