--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -1,27 +1,34 @@
 //! The controller: settings, clients and state that its tasks share.
 
 use crate::{
-    connection_limits::ConnectionLimits, leadership::LeadershipState, locking,
-    machine_catalogue::MachineCatalogue, operator_settings::OperatorSettings,
-    peer_reachability::PeerReachability, process_load::ProcessLoad, relay::Relay,
-    scheduler_config::max_direct_messages, settings::Settings, wall_clock::WallClock,
+    connection_limits::ConnectionLimits,
+    job_cache::JobCache,
+    leadership::LeadershipState,
+    locking,
+    machine_catalogue::MachineCatalogue,
+    operator_settings::OperatorSettings,
+    peer_reachability::PeerReachability,
+    pending_callers::PendingCallers,
+    process_load::ProcessLoad,
+    relay::PeerRelay,
+    scheduler_config::max_direct_messages,
+    settings::Settings,
+    task_counts::TaskCounts,
+    user_api::JobRefresh,
+    version_checks::{VersionCheckQueue, VersionChecks},
+    wall_clock::WallClock,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::{
-    collections::{BTreeSet, HashMap, VecDeque},
     sync::{
         Arc, Mutex, MutexGuard,
         atomic::{AtomicBool, Ordering},
     },
     time::Duration,
 };
-use tallygauge_protocol::{state::Condition, users::JobStatus};
 use tallygauge_scheduler::ClusterState;
-use tallygauge_store::{RequestBudget, RequestPriority, StoreClient, http::HttpClient};
-use tokio::{
-    sync::{Notify, mpsc, oneshot},
-    time::Instant,
-};
+use tallygauge_store::{RequestBudget, StoreClient, http::HttpClient};
+use tokio::{sync::Notify, time::Instant};
 
 /// Reading of the process's clock when it starts: above 0, so that times before
 /// the start can be expressed.
@@ -63,145 +70,6 @@
 /// Tasks of a chunk, however small the store's values are.
 const MIN_TASKS_PER_CHUNK: u32 = 16;
 
-/// What a node knows of a job.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CachedJob {
-    /// Open, its record having this version when last read.
-    Active(u64),
-    /// It was open, and its record is not as it was.
-    Stale,
-    /// Over; this never changes again.
-    Terminal(JobStatus, u32),
-}
-
-/// Jobs that were asked about, the longest known dropped first.
-pub struct JobCache {
-    jobs: HashMap<String, CachedJob>,
-    order: VecDeque<String>,
-    capacity: usize,
-}
-
-impl JobCache {
-    fn new(most: usize) -> Self {
-        Self {
-            jobs: HashMap::new(),
-            order: VecDeque::new(),
-            capacity: most,
-        }
-    }
-
-    /// What is known of a job.
-    #[must_use]
-    pub fn get(&self, id: &str) -> Option<CachedJob> {
-        self.jobs.get(id).copied()
-    }
-
-    /// Notes what is known. What is over stays over.
-    pub fn insert(&mut self, id: &str, what: CachedJob) {
-        match self.jobs.get_mut(id) {
-            Some(CachedJob::Terminal(..)) => {}
-            Some(known) => *known = what,
-            None => {
-                self.jobs.insert(id.to_string(), what);
-                self.order.push_back(id.to_string());
-                if self.order.len() > self.capacity
-                    && let Some(old) = self.order.pop_front()
-                {
-                    self.jobs.remove(&old);
-                }
-            }
-        }
-    }
-
-    /// Forgets an open job that is not as it was.
-    pub fn mark_stale(&mut self, id: &str, version: u64) {
-        if self.jobs.get(id) == Some(&CachedJob::Active(version)) {
-            self.jobs.insert(id.to_string(), CachedJob::Stale);
-        }
-    }
-}
-
-/// Task counts of open jobs, for display.
-#[derive(Default)]
-pub struct TaskCounts {
-    /// Counts and when they were read.
-    pub known: HashMap<String, (u32, u32, f64)>,
-    /// Jobs asked about since the last refresh.
-    pub asked: BTreeSet<String>,
-}
-
-/// A question whether keys have the given versions.
-pub struct VersionCheck {
-    /// What it is for.
-    pub priority: RequestPriority,
-    /// Since when whoever asks has had no answer: the longest come first.
-    pub unanswered_since: f64,
-    /// When it was asked.
-    pub requested_at: f64,
-    /// Keys and versions.
-    pub conditions: Vec<Condition>,
-    /// Where the answer goes; `None`: can't know.
-    pub reply: oneshot::Sender<Option<VersionCheckResult>>,
-}
-
-/// What the state service said of a question.
-#[derive(Debug, Clone, PartialEq)]
-pub struct VersionCheckResult {
-    /// For each key, whether it has the version.
-    pub holds: Vec<bool>,
-    /// When the state service was asked for it: it is no older than that.
-    pub as_of: f64,
-}
-
-/// Jobs whose users have had no answer, for how long, and since when nobody asked
-/// again: bounded, those asked about longest ago are dropped first.
-#[derive(Default)]
-pub struct PendingCallers {
-    since: HashMap<String, (f64, f64)>,
-}
-
-/// Jobs that a node knows nothing of, asked about since it last read all open
-/// ones, from which on it reads them again.
-const UNKNOWN_JOBS_BEFORE_REFRESH: usize = 8;
-
-/// Jobs that are remembered as unanswered, at most.
-const MAX_PENDING_CALLERS: usize = 4096;
-
-impl PendingCallers {
-    /// A job is asked about: since when it has gone without an answer.
-    pub fn record_request(&mut self, id: &str, now: f64, memory_s: f64) -> f64 {
-        if let Some(entry) = self.since.get_mut(id) {
-            // Who did not ask again was answered elsewhere.
-            if now - entry.1 > memory_s {
-                entry.0 = now;
-            }
-            entry.1 = now;
-            return entry.0;
-        }
-        if self.since.len() >= MAX_PENDING_CALLERS {
-            self.since.retain(|_, e| now - e.1 <= memory_s);
-        }
-        if self.since.len() < MAX_PENDING_CALLERS {
-            self.since.insert(id.to_string(), (now, now));
-        }
-        now
-    }
-
-    /// It was answered.
-    pub fn record_response(&mut self, id: &str) {
-        self.since.remove(id);
-    }
-
-    /// The job that has gone without an answer for longest, of those asked about
-    /// within the last so many seconds, and for how long.
-    #[must_use]
-    pub fn longest(&self, now: f64, memory_s: f64) -> Option<(&str, f64)> {
-        let asked = self.since.iter().filter(|(_, e)| now - e.1 <= memory_s);
-        let longest = asked.min_by(|a, b| a.1.0.total_cmp(&b.1.0).then(a.0.cmp(b.0)));
-        longest.map(|(id, e)| (id.as_str(), now - e.0))
-    }
-}
-
 /// One controller of the cluster; the tasks of the process share it.
 pub struct Controller {
     /// Platform's settings.
@@ -222,29 +90,24 @@
     pub peer_reachability: PeerReachability,
     /// Machine types of the cloud provider.
     pub catalogue: MachineCatalogue,
-    /// Jobs.
-    pub jobs: Mutex<JobCache>,
-    /// Task counts.
-    pub task_counts: Mutex<TaskCounts>,
-    /// Questions for the state service.
-    pub version_checks: mpsc::Sender<VersionCheck>,
+    /// Jobs as last read from the store.
+    pub jobs: JobCache,
+    /// Task counts of active jobs as read from the leader.
+    pub task_counts: TaskCounts,
+    /// Checks of versions against the store.
+    pub version_checks: VersionChecks,
     /// Wakes the scheduling loop: the cluster state has changed.
     pub wake_scheduler: Notify,
     /// Wakes the loop that makes completed tasks durable.
     pub wake_completions: Notify,
     /// Wakes the loop that rents machines.
     pub wake_cloud: Notify,
-    /// How users' requests are passed on to other nodes.
-    pub relay: Mutex<Option<Arc<dyn Relay>>>,
-    /// Requests are not passed on before this time.
-    pub relay_backoff_until: Mutex<f64>,
-    /// Jobs whose users wait for an answer.
-    pub pending_callers: Mutex<PendingCallers>,
-    /// Jobs asked about that this node knows nothing of, since it last read all
-    /// that are open.
-    pub unknown_job_requests: Mutex<usize>,
-    /// All open jobs should be read.
-    pub wake_job_refresh: Notify,
+    /// Relays users' requests to other controllers.
+    pub relay: PeerRelay,
+    /// Users that poll without an answer.
+    pub pending_callers: PendingCallers,
+    /// Decides when all active jobs are read into the cache.
+    pub job_refresh: JobRefresh,
     started_at: Instant,
     wall_clock: Arc<dyn WallClock>,
     jitter: Mutex<StdRng>,
@@ -266,7 +129,7 @@
 }
 
 impl Controller {
-    /// A follower, and the receiver of its version checks. `store_http` carries the
+    /// A follower, and the queue of its version checks, to be served. `store_http` carries the
     /// requests to the store, `http` those to the cloud provider and the workers.
     #[must_use]
     pub fn new(
@@ -275,7 +138,7 @@
         store_http: HttpClient,
         http: HttpClient,
         wall_clock: Arc<dyn WallClock>,
-    ) -> (Arc<Self>, mpsc::Receiver<VersionCheck>) {
+    ) -> (Arc<Self>, VersionCheckQueue) {
         let resources = &settings.deployment.resource_limits;
         let outgoing = vec![
             store_http.connection_count().clone(),
@@ -283,8 +146,8 @@
         ];
         let connection_limits = ConnectionLimits::new(resources.connections, outgoing);
         let cached_jobs = (resources.memory_mb * CACHED_JOBS_PER_MB) as usize;
-        let (version_checks, version_check_receiver) =
-            mpsc::channel(resources.connections as usize);
+        let (version_checks, version_check_queue) =
+            VersionChecks::new(resources.connections as usize);
         let controller = Self {
             store: new_store_client(&settings, store_http),
             http,
@@ -295,23 +158,21 @@
             catalogue: MachineCatalogue::default(),
             settings,
             operator_settings,
-            jobs: Mutex::new(JobCache::new(cached_jobs.max(MIN_CACHED_JOBS))),
-            task_counts: Mutex::default(),
+            jobs: JobCache::new(cached_jobs.max(MIN_CACHED_JOBS)),
+            task_counts: TaskCounts::default(),
             version_checks,
             wake_scheduler: Notify::new(),
             wake_completions: Notify::new(),
             wake_cloud: Notify::new(),
-            relay: Mutex::default(),
-            relay_backoff_until: Mutex::new(f64::NEG_INFINITY),
-            pending_callers: Mutex::default(),
-            unknown_job_requests: Mutex::new(0),
-            wake_job_refresh: Notify::new(),
+            relay: PeerRelay::default(),
+            pending_callers: PendingCallers::default(),
+            job_refresh: JobRefresh::default(),
             started_at: Instant::now(),
             wall_clock,
             jitter: Mutex::new(StdRng::seed_from_u64(rand::random())),
             has_reached_store: AtomicBool::new(false),
         };
-        (Arc::new(controller), version_check_receiver)
+        (Arc::new(controller), version_check_queue)
     }
 
     /// Seconds of the process's monotonic clock, from a start above 0, so that times
@@ -408,15 +269,6 @@
         self.settings.deployment.workers.lease_s
     }
 
-    /// A job is asked about that this node knows nothing of.
-    pub fn record_unknown_job(&self) {
-        let mut unknown = self.lock(&self.unknown_job_requests);
-        *unknown += 1;
-        if *unknown == UNKNOWN_JOBS_BEFORE_REFRESH {
-            self.wake_job_refresh.notify_one();
-        }
-    }
-
     /// Records that the store has answered this controller.
     pub fn record_store_reached(&self) {
         self.has_reached_store.store(true, Ordering::Relaxed);
--- a/crates/tallygauge/src/leader/duties.rs
+++ b/crates/tallygauge/src/leader/duties.rs
@@ -2,8 +2,8 @@
 
 use super::recovery::{self, RecoveredTerm};
 use crate::{
-    cleanup, cloud, controller::Controller, job_watch_loop, leader_records, progress,
-    reconciliation, scheduling_loop, summary, worker_api,
+    cleanup, cloud, controller::Controller, direct_messages, job_watch_loop, leader_records,
+    progress, reconciliation, scheduling_loop, summary,
 };
 use std::sync::Arc;
 use tallygauge_protocol::state::Condition;
@@ -13,7 +13,7 @@
 /// caller's task and spawn none of their own, but for messages in flight.
 pub(super) async fn run(controller: &Arc<Controller>, term: u64, term_condition: &Condition) {
     let RecoveredTerm { revision, records } = recover_with_retries(controller, term).await;
-    worker_api::send_direct_messages(controller);
+    direct_messages::send_direct_messages(controller);
     controller.wake_scheduler.notify_one();
     tokio::join!(
         job_watch_loop::run(controller, revision),
--- a/crates/tallygauge/src/leader/recovery.rs
+++ b/crates/tallygauge/src/leader/recovery.rs
@@ -143,7 +143,10 @@
         let version = row.version;
         let record: CompletionPageRecord = decode_value(row)?;
         for (chunk, tasks) in cluster.completion_pages.restore(page, version, record) {
-            completed.entry(chunk.job).or_default().extend(&tasks, u32::MAX);
+            completed
+                .entry(chunk.job)
+                .or_default()
+                .extend(&tasks, u32::MAX);
         }
     }
     Ok(completed)
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     controller::Controller,
+    direct_messages,
     store_keys::{TERM_KEY, active_job_key, placement_batch_key},
-    worker_api,
 };
 use futures_util::{
     future::BoxFuture,
@@ -166,7 +166,7 @@
     if !made {
         controller.wake_scheduler.notify_one();
     }
-    worker_api::send_direct_messages(controller);
+    direct_messages::send_direct_messages(controller);
 }
 
 /// Whether a batch is on record.
