--- a/crates/tallygauge-sim/examples/digest_days.rs
+++ b/crates/tallygauge-sim/examples/digest_days.rs
@@ -1,12 +1,12 @@
-//! Plays drawn days and prints for each a digest of all messages that pass between
-//! controllers, state service, cloud, workers and users. Two revisions that print
-//! the same lines behave alike on these days.
+//! Runs drawn scenarios and prints for each a digest of all messages between controllers,
+//! store, cloud, workers and users. Two revisions that print the same lines behave alike in
+//! these scenarios.
 //!
 //! `cargo run --release -p tallygauge-sim --example digest_days -- --first-seed 1
 //! --seeds 200`
 
 use clap::Parser;
-use tallygauge_sim::drawn_days::{digest_of_day, messages_of_day, play_each};
+use tallygauge_sim::scenario::{run_each_seed, scenario_digest, scenario_messages};
 
 #[derive(Parser)]
 #[command(about = "Prints seed, digest and number of requests of drawn days")]
@@ -27,18 +27,30 @@
 
 fn main() {
     let options = Options::parse();
-    let processors = std::thread::available_parallelism().map_or(4, usize::from);
-    let threads = options.threads.unwrap_or(processors).max(1);
     if options.messages {
-        let days = play_each(options.first_seed..=options.first_seed, 1, messages_of_day);
-        for message in days.iter().flat_map(|day| &day.1) {
+        print_messages(options.first_seed);
+    } else {
+        print_digests(&options);
+    }
+}
+
+/// Prints every message of one scenario.
+fn print_messages(seed: u64) {
+    let scenarios = run_each_seed(seed..=seed, 1, scenario_messages);
+    for (_, messages) in scenarios {
+        for message in messages {
             println!("{message}");
         }
-        return;
     }
+}
+
+/// Prints a line with seed, digest and number of requests for each scenario.
+fn print_digests(options: &Options) {
+    let processors = std::thread::available_parallelism().map_or(4, usize::from);
+    let threads = options.threads.unwrap_or(processors).max(1);
     let last_seed = options.first_seed + options.seeds - 1;
-    let days = play_each(options.first_seed..=last_seed, threads, digest_of_day);
-    for (seed, (digest, requests)) in days {
+    let scenarios = run_each_seed(options.first_seed..=last_seed, threads, scenario_digest);
+    for (seed, (digest, requests)) in scenarios {
         println!("{seed} {digest} {requests}");
     }
 }
--- a/crates/tallygauge-sim/src/clock.rs
+++ b/crates/tallygauge-sim/src/clock.rs
@@ -1,20 +1,21 @@
-//! The time of day in simulated time.
+//! The wall clock in simulated time.
 
 use std::time::Duration;
 use tallygauge::wall_clock::WallClock;
 use tokio::time::Instant;
 
-/// Seconds since the Unix epoch at which every simulation begins: a Monday
-/// morning, 2026-01-05 08:00:00 UTC.
-const BEGINS_S: u64 = 1_767_600_000;
+/// Seconds since the Unix epoch at which every simulation starts: a Monday morning,
+/// 2026-01-05 08:00:00 UTC.
+const START_S: u64 = 1_767_600_000;
 
-/// A time of day that goes on with simulated time.
+/// A wall clock that advances with simulated time.
 pub(crate) struct SimulatedClock {
-    pub(crate) began: Instant,
+    /// When the simulation started.
+    pub(crate) started_at: Instant,
 }
 
 impl WallClock for SimulatedClock {
     fn since_epoch(&self) -> Duration {
-        Duration::from_secs(BEGINS_S) + self.began.elapsed()
+        Duration::from_secs(START_S) + self.started_at.elapsed()
     }
 }
--- a/crates/tallygauge-sim/src/cloud.rs
+++ b/crates/tallygauge-sim/src/cloud.rs
@@ -1,68 +1,97 @@
-//! The cloud's stand-in.
+//! The cloud's stand-in: a catalogue with one machine type, the list of rented machines,
+//! and requests that rent and return machines.
 
-use crate::{Simulation, ok};
+use crate::{
+    SimState, Simulation,
+    state::RentedMachine,
+    transport::{Response, ok},
+};
 use serde_json::{Value, json};
-use warp::http::{Method, StatusCode};
+use warp::http::Method;
 
 impl Simulation {
-    /// Answers in the cloud's stead.
-    pub fn handle_cloud_request(
-        &self,
-        method: &Method,
-        path: &str,
-        body: &[u8],
-    ) -> (StatusCode, bytes::Bytes) {
+    /// Answers a request as the cloud does.
+    pub fn handle_cloud_request(&self, method: &Method, path: &str, body: &[u8]) -> Response {
         let now = self.now();
         let mut state = self.state.lock().unwrap();
         if path == "/catalog" {
-            return ok(
-                json!({"builds": [{"name": "c8", "cores": 8, "gpus": 0, "memGb": 32,
-                "cacheGb": 20, "pullGbPerS": 10.0, "rate": 1.0, "lowPrice": 0.4, "readyS": 2.0, "sites": state.zones}]}),
-            );
+            return ok(state.catalogue());
         }
         if method == Method::GET {
-            let list: Vec<Value> = state
-                .machines
-                .iter()
-                .map(|(name, (at, zone))| {
-                    json!({"nameId": name, "endpoint": state.endpoint(name), "build": "c8", "site": zone, "borrowed": false,
-                        "status": if state.workers.contains_key(name) {"running"} else {"booting"}, "ageS": now - at})
-                })
-                .collect();
-            return ok(json!({"benches": list, "hasNext": false}));
+            return ok(state.list_machines(now));
         }
         let request: Value = serde_json::from_slice(body).unwrap();
         if path == "/machines/return" {
-            for name in request["benches"].as_array().unwrap() {
-                state.machines.remove(name.as_str().unwrap());
-                let gone = state.workers.remove(name.as_str().unwrap());
-                let tasks = gone.iter().flat_map(|w| &w.tasks);
-                let running = tasks.filter(|t| t.state == "running").count();
-                state.returned_running_tasks += u32::try_from(running).unwrap();
+            return ok(state.return_machines(&request));
+        }
+        ok(state.rent_machines(now, &request))
+    }
+}
+
+impl SimState {
+    /// The machine types on offer.
+    fn catalogue(&self) -> Value {
+        json!({"builds": [{"name": "c8", "cores": 8, "gpus": 0, "memGb": 32,
+            "cacheGb": 20, "pullGbPerS": 10.0, "rate": 1.0, "lowPrice": 0.4, "readyS": 2.0, "sites": self.zones}]})
+    }
+
+    /// The list of rented machines.
+    fn list_machines(&self, now: f64) -> Value {
+        let machines: Vec<Value> = self
+            .machines
+            .iter()
+            .map(|(name, machine)| {
+                let has_booted = self.workers.contains_key(name);
+                json!({"nameId": name, "endpoint": self.endpoint(name), "build": "c8", "site": machine.zone, "borrowed": false,
+                    "status": if has_booted {"running"} else {"booting"}, "ageS": now - machine.rented_at})
+            })
+            .collect();
+        json!({"benches": machines, "hasNext": false})
+    }
+
+    /// Takes machines back and counts the tasks that were running on them.
+    fn return_machines(&mut self, request: &Value) -> Value {
+        for name in request["benches"].as_array().unwrap() {
+            let name = name.as_str().unwrap();
+            self.machines.remove(name);
+            if let Some(worker) = self.workers.remove(name) {
+                let running = worker.running_tasks().count();
+                self.returned_running_tasks += u32::try_from(running).unwrap();
             }
-            return ok(json!({"benches": []}));
         }
+        json!({"benches": []})
+    }
+
+    /// Rents machines once for each booking; a repeated request gets the same machines.
+    fn rent_machines(&mut self, now: f64, request: &Value) -> Value {
         let booking = request["booking"].as_str().unwrap().to_string();
-        let asked = request.to_string();
-        let first = state
-            .rental_requests
-            .entry(booking.clone())
-            .or_insert(asked.clone());
-        if *first != asked {
-            let text = format!("{now:.1}: booking {booking} repeats");
-            state.violations.push(text);
+        self.check_booking(now, &booking, request.to_string());
+        if !self.rentals.contains_key(&booking) {
+            let count = request["howMany"].as_u64().unwrap();
+            let zone = request["site"].as_str().unwrap();
+            let names = (0..count).map(|_| self.add_machine(now, zone)).collect();
+            self.rentals.insert(booking.clone(), names);
         }
-        if !state.rentals.contains_key(&booking) {
-            let mut names = Vec::new();
-            for _ in 0..request["howMany"].as_u64().unwrap() {
-                let name = format!("host-{:06}", state.next_machine);
-                state.next_machine += 1;
-                let zone = request["site"].as_str().unwrap().to_string();
-                state.machines.insert(name.clone(), (now, zone));
-                names.push(name);
-            }
-            state.rentals.insert(booking.clone(), names);
+        json!({"benches": self.rentals[&booking]})
+    }
+
+    /// Adds a machine that begins to boot now. Returns its name.
+    fn add_machine(&mut self, now: f64, zone: &str) -> String {
+        let name = self.next_machine_name();
+        let machine = RentedMachine {
+            rented_at: now,
+            zone: zone.to_string(),
+        };
+        self.machines.insert(name.clone(), machine);
+        name
+    }
+
+    /// Records a violation if a booking is used for another request.
+    fn check_booking(&mut self, now: f64, booking: &str, request: String) {
+        let first = self.rental_requests.entry(booking.to_string());
+        if *first.or_insert_with(|| request.clone()) != request {
+            self.violations
+                .push(format!("{now:.1}: booking {booking} repeats"));
         }
-        ok(json!({"benches": state.rentals[&booking]}))
     }
 }
--- /dev/null
+++ b/crates/tallygauge-sim/src/command_execution.rs
@@ -0,0 +1,107 @@
+//! How workers execute commands, and the checkers that look at every task start.
+
+use crate::{
+    SimState, TaskStart,
+    machines::{SimTask, SimWorker, TaskState, job_of_task},
+};
+use tallygauge_protocol::workers::Command;
+
+/// Rounding error up to which a team may exceed its quota, in CPUs.
+const QUOTA_TOLERANCE_CPUS: f64 = 1e-6;
+
+impl SimState {
+    /// Executes commands on a worker, which must exist.
+    pub(crate) fn execute_commands(&mut self, now: f64, worker: &str, commands: &[Command]) {
+        for command in commands {
+            match command {
+                Command::Start { task, attempt } => self.start_task(now, worker, task, *attempt),
+                Command::Stop { task, attempt, .. } => self.stop_task(worker, task, *attempt),
+                Command::Clear { task, attempt } => self.clear_task(worker, task, *attempt),
+            }
+        }
+    }
+
+    /// Starts an attempt of a task, unless the worker has it already.
+    fn start_task(&mut self, now: f64, worker: &str, task: &str, attempt: u64) {
+        let mut tasks = self.workers[worker].tasks.iter();
+        if tasks.any(|t| t.is_attempt(task, attempt)) {
+            return;
+        }
+        self.check_single_start(now, worker, task, attempt);
+        tracing::debug!(task, attempt, worker, "started task");
+        self.starts.push(TaskStart {
+            started_at: now,
+            task: task.to_string(),
+            worker: worker.to_string(),
+        });
+        self.worker_mut(worker).tasks.push(SimTask {
+            name: task.to_string(),
+            attempt,
+            state: TaskState::Running,
+            started_at: now,
+        });
+        self.check_zone(now, task, worker);
+        self.check_team_quota(now, self.job_shapes[job_of_task(task)].team);
+    }
+
+    /// Stops an attempt of a task, if it runs.
+    fn stop_task(&mut self, worker: &str, task: &str, attempt: u64) {
+        let tasks = self.worker_mut(worker).tasks.iter_mut();
+        for running in tasks.filter(|t| t.is_attempt(task, attempt) && t.is_running()) {
+            running.state = TaskState::Stopped;
+        }
+    }
+
+    /// Forgets an attempt of a task that has ended.
+    fn clear_task(&mut self, worker: &str, task: &str, attempt: u64) {
+        let tasks = &mut self.worker_mut(worker).tasks;
+        tasks.retain(|t| !t.is_attempt(task, attempt) || t.is_running());
+    }
+
+    fn worker_mut(&mut self, name: &str) -> &mut SimWorker {
+        self.workers.get_mut(name).unwrap()
+    }
+
+    /// Records a task that starts while it runs elsewhere, and an attempt that starts on a
+    /// second worker.
+    fn check_single_start(&mut self, now: f64, worker: &str, task: &str, attempt: u64) {
+        if self
+            .running_tasks()
+            .any(|(_, running)| running.name == task)
+        {
+            self.violations
+                .push(format!("{now:.1}: {task} starts twice"));
+        }
+        // An attempt's start may be sent twice, but only to one worker.
+        let first = self.attempt_workers.entry((task.to_string(), attempt));
+        if first.or_insert_with(|| worker.to_string()) != worker {
+            self.violations
+                .push(format!("{now:.1}: attempt {attempt} of {task} repeats"));
+        }
+    }
+
+    /// Records a start in a zone that the job does not allow.
+    fn check_zone(&mut self, now: f64, task: &str, worker: &str) {
+        let job = job_of_task(task);
+        let shape = self.job_shapes[job];
+        let zone = &self.workers[worker].zone;
+        let is_allowed = shape.zone.is_none_or(|allowed| allowed == zone);
+        let is_split = shape.one_zone
+            && self
+                .running_tasks()
+                .any(|(other, running)| running.job() == job && other.zone != *zone);
+        if !is_allowed || is_split {
+            let violation = format!("{now:.1}: {task} starts in a wrong place, {zone}");
+            self.violations.push(violation);
+        }
+    }
+
+    /// Records a team whose tasks use more than its quota.
+    fn check_team_quota(&mut self, now: f64, team: &str) {
+        let used = self.team_usage(team);
+        if used > self.team_cpus + QUOTA_TOLERANCE_CPUS {
+            let violation = format!("{now:.1}: the team {team} uses {used} CPUs");
+            self.violations.push(violation);
+        }
+    }
+}
--- a/crates/tallygauge-sim/src/exchanges.rs
+++ b/crates/tallygauge-sim/src/exchanges.rs
@@ -1,8 +1,8 @@
-//! A digest of every message that passes between controllers, state service,
-//! cloud, workers and users, as the stand-ins receive and answer it.
+//! Records every message between controllers, store, cloud, workers and users, as the
+//! stand-ins receive and answer it, and computes a digest of them.
 //!
-//! Only what is on the wire goes into it, with the simulated time and both ends,
-//! so that it stays the same through changes that keep the behaviour.
+//! The digest covers only what is on the wire, the simulated time and both ends, so that
+//! refactoring does not change it.
 
 use crate::Simulation;
 use sha2::{Digest, Sha256};
@@ -15,25 +15,25 @@
 use tallygauge_store::http::HttpResult;
 use warp::http::Method;
 
-/// Status that stands for a request without an answer.
-const NO_ANSWER: u16 = 0;
+/// Status recorded for a request without a response.
+const NO_RESPONSE: u16 = 0;
 
 /// One request, as the receiver sees it.
-pub struct Request<'a> {
+pub(crate) struct Request<'a> {
     /// Who sends it.
-    pub from: &'a str,
+    pub(crate) from: &'a str,
     /// Who receives it.
-    pub to: &'a str,
-    pub method: &'a str,
-    pub path: &'a str,
-    pub body: &'a [u8],
+    pub(crate) to: &'a str,
+    pub(crate) method: &'a str,
+    pub(crate) path: &'a str,
+    pub(crate) body: &'a [u8],
 }
 
-/// Number of a recorded request, to which its answer refers.
+/// Number of a recorded request, to which its response refers.
 #[derive(Debug, Clone, Copy)]
-pub struct RequestNumber(u64);
+pub(crate) struct RequestNumber(u64);
 
-/// Requests and answers so far, in order.
+/// Requests and responses so far, in order.
 #[derive(Default)]
 pub(crate) struct Exchanges {
     hasher: Sha256,
@@ -57,7 +57,7 @@
 }
 
 impl Simulation {
-    /// Records from here on what is exchanged; keeps the messages' text if asked to.
+    /// Starts to record messages; keeps them as text if `keep_text`.
     pub fn record_exchanges(&self, keep_text: bool) {
         *self.exchanges.lock().unwrap() = Some(Exchanges {
             text: keep_text.then(Vec::new),
@@ -65,15 +65,15 @@
         });
     }
 
-    /// The messages recorded so far as text, one each.
+    /// The messages recorded so far as text, in order; empty if text is not kept.
     pub fn exchanged_text(&self) -> Vec<String> {
         let exchanges = self.exchanges.lock().unwrap();
         let text = exchanges.as_ref().and_then(|e| e.text.clone());
         text.unwrap_or_default()
     }
 
-    /// Digest of all that was exchanged since [`Simulation::record_exchanges`], in
-    /// hexadecimal digits, and how many requests there were.
+    /// Digest of all messages since [`Simulation::record_exchanges`], in hexadecimal digits,
+    /// and the number of requests; `None` if nothing is recorded.
     pub fn exchange_digest(&self) -> Option<(String, u64)> {
         let exchanges = self.exchanges.lock().unwrap();
         let exchanges = exchanges.as_ref()?;
@@ -104,8 +104,8 @@
         RequestNumber(number)
     }
 
-    /// Records the answer to a request.
-    pub(crate) fn record_answer(&self, to: RequestNumber, status: u16, body: &[u8]) {
+    /// Records the response to a request.
+    pub(crate) fn record_response(&self, to: RequestNumber, status: u16, body: &[u8]) {
         let nanos = self.started_at.elapsed().as_nanos().to_string();
         let mut exchanges = self.exchanges.lock().unwrap();
         if let Some(exchanges) = exchanges.as_mut() {
@@ -120,15 +120,15 @@
         }
     }
 
-    /// Records what a stand-in answers a controller, or that it does not.
+    /// Records the response of a stand-in, or that there is none.
     pub(crate) fn record_outcome(&self, to: RequestNumber, answer: &HttpResult) {
         match answer {
-            Ok((status, body)) => self.record_answer(to, status.as_u16(), body),
-            Err(_) => self.record_answer(to, NO_ANSWER, b""),
+            Ok((status, body)) => self.record_response(to, status.as_u16(), body),
+            Err(_) => self.record_response(to, NO_RESPONSE, b""),
         }
     }
 
-    /// A worker's report reaches a controller, which answers it.
+    /// Delivers a worker's heartbeat to a controller and returns its answer.
     pub(crate) fn send_heartbeat(
         &self,
         controller: &Controller,
@@ -144,32 +144,32 @@
         });
         let answer = handle_heartbeat(controller, body);
         let (status, body) = status_and_body(&answer);
-        self.record_answer(number, status, &body);
+        self.record_response(number, status, &body);
         answer
     }
 
-    /// A user submits a job to a controller.
+    /// Submits a user's job to a controller.
     pub async fn submit(&self, controller: &Arc<Controller>, body: &[u8]) -> Reply {
-        let number = self.record_user(controller, &Method::POST, "", body);
+        let number = self.record_user_request(controller, &Method::POST, "", body);
         let reply = user_api::submit(controller, body).await;
         self.record_reply(number, reply)
     }
 
-    /// A user asks a controller about a job.
+    /// Requests the status of a user's job from a controller.
     pub async fn request_status(&self, controller: &Arc<Controller>, id: &str) -> Reply {
-        let number = self.record_user(controller, &Method::GET, id, b"");
+        let number = self.record_user_request(controller, &Method::GET, id, b"");
         let reply = user_api::job_status(controller, id).await;
         self.record_reply(number, reply)
     }
 
-    /// A user cancels a job through a controller.
+    /// Requests the cancellation of a user's job through a controller.
     pub async fn request_cancellation(&self, controller: &Arc<Controller>, id: &str) -> Reply {
-        let number = self.record_user(controller, &Method::DELETE, id, b"");
+        let number = self.record_user_request(controller, &Method::DELETE, id, b"");
         let reply = user_api::cancel(controller, id).await;
         self.record_reply(number, reply)
     }
 
-    fn record_user(
+    fn record_user_request(
         &self,
         controller: &Controller,
         method: &Method,
@@ -186,12 +186,12 @@
     }
 
     fn record_reply(&self, number: RequestNumber, reply: Reply) -> Reply {
-        self.record_answer(number, reply.status(), &reply.body());
+        self.record_response(number, reply.status(), &reply.body());
         reply
     }
 }
 
-/// What a worker is answered, without the words of a refusal.
+/// Status and body of the answer to a heartbeat, without the text of an error.
 fn status_and_body(answer: &HeartbeatReply) -> (u16, Vec<u8>) {
     match answer {
         HeartbeatReply::Accepted(answer) => (200, serde_json::to_vec(answer).unwrap()),
--- a/crates/tallygauge-sim/src/faults.rs
+++ b/crates/tallygauge-sim/src/faults.rs
@@ -1,8 +1,14 @@
-//! Faults that befall controllers, machines and what they say to each other.
+//! Fault injection: what may be set to fail, and operations that make controllers,
+//! machines and their messages fail at once.
 
-use crate::Simulation;
-use rand::{RngExt, SeedableRng};
+use crate::{
+    Simulation,
+    machines::{SimWorker, job_of_task},
+    state::DelayedMessage,
+};
+use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::{
+    collections::{BTreeSet, HashMap},
     future::Future,
     sync::Arc,
     task::{Poll, Waker},
@@ -11,19 +17,137 @@
 use tallygauge_protocol::workers::Command;
 use tokio::task::JoinHandle;
 
-/// A step of a controller at which something befalls it: a request of its own.
+/// Seconds that a message takes each way unless a test sets another time.
+const DEFAULT_LINK_DELAY_S: f64 = 0.003;
+
+/// The sender of duplicated and replayed heartbeats in the record of messages.
+const DUPLICATE_SENDER: &str = "copy";
+
+/// A request of a controller at which a fault is injected.
 pub struct FaultPoint {
+    /// Name of the controller.
     pub controller: String,
-    /// What method and path begin with.
+    /// What the request's method and path begin with.
     pub request: &'static str,
-    /// At the next wait after the answer was read, instead of before the request
-    /// goes out.
-    pub answered: bool,
+    /// Whether the fault comes at the next wait after the response was read, instead of
+    /// before the request is sent.
+    pub after_response: bool,
+}
+
+impl FaultPoint {
+    /// Whether a request of a controller is at this point.
+    fn matches(&self, controller: &str, request: &str, after_response: bool) -> bool {
+        self.controller == controller
+            && self.after_response == after_response
+            && request.starts_with(self.request)
+    }
+}
+
+/// A delay that strikes some of the messages of one kind.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct RandomDelay {
+    /// Probability that a message is struck.
+    pub probability: f64,
+    /// Longest delay, in seconds.
+    pub max_delay_s: f64,
+}
+
+impl RandomDelay {
+    /// No message is delayed.
+    pub const NONE: Self = Self {
+        probability: 0.0,
+        max_delay_s: 0.0,
+    };
+}
+
+/// A transaction that gets no response and is executed late.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct DelayedWrite {
+    /// What one of the keys that it sets begins with.
+    pub key_prefix: &'static str,
+    /// Seconds after which it is executed.
+    pub delay_s: f64,
 }
 
+/// Faults in force.
+pub struct FaultSettings {
+    /// Controllers whose requests to the store get no response.
+    pub partitioned: BTreeSet<String>,
+    /// Controllers that the store answers 503, while it serves others.
+    pub refused: BTreeSet<String>,
+    /// The store answers everybody 503.
+    pub store_down: bool,
+    /// Probability that a transaction gets no response and is executed 2 to 12 seconds
+    /// later.
+    pub late_writes: f64,
+    /// Probability that a transaction is executed at once and gets no response.
+    pub lost_responses: f64,
+    /// How many of the next transactions with writes are executed while their connection
+    /// breaks before the response.
+    pub lose_next_responses: u32,
+    /// Transactions that set a key with this prefix get no response and are never
+    /// executed.
+    pub hang_writes: Option<&'static str>,
+    /// The next transaction that matches gets no response and is executed late.
+    pub delay_next_write: Option<DelayedWrite>,
+    /// Watches of active jobs hang.
+    pub hang_job_watches: bool,
+    /// Responses of store and cloud are cut in half.
+    pub truncate_responses: bool,
+    /// Seconds that a message takes each way.
+    pub link_delay_s: f64,
+    /// Workers that only one controller reaches, and that reach only that one.
+    pub exclusive_links: HashMap<String, String>,
+    /// Direct commands that are delivered late.
+    pub delayed_commands: RandomDelay,
+    /// Heartbeats that are delivered once more, late.
+    pub duplicated_heartbeats: RandomDelay,
+    /// A copy of each heartbeat is kept for [`Simulation::replay_captured_heartbeats`].
+    pub capture_heartbeats: bool,
+    /// Where a controller will be paused.
+    pub pause_at: Option<FaultPoint>,
+    /// At which request of a controller the store begins to refuse everybody.
+    pub store_down_at: Option<FaultPoint>,
+    /// Paused controllers, and the tasks to wake when they resume.
+    paused: HashMap<String, Vec<Waker>>,
+}
+
+impl Default for FaultSettings {
+    fn default() -> Self {
+        Self {
+            partitioned: BTreeSet::new(),
+            refused: BTreeSet::new(),
+            store_down: false,
+            late_writes: 0.0,
+            lost_responses: 0.0,
+            lose_next_responses: 0,
+            hang_writes: None,
+            delay_next_write: None,
+            hang_job_watches: false,
+            truncate_responses: false,
+            link_delay_s: DEFAULT_LINK_DELAY_S,
+            exclusive_links: HashMap::new(),
+            delayed_commands: RandomDelay::NONE,
+            duplicated_heartbeats: RandomDelay::NONE,
+            capture_heartbeats: false,
+            pause_at: None,
+            store_down_at: None,
+            paused: HashMap::new(),
+        }
+    }
+}
+
+impl FaultSettings {
+    /// Whether the store answers a controller 503; its open watches hang.
+    pub(crate) fn store_refuses(&self, controller: &str) -> bool {
+        self.store_down || self.refused.contains(controller)
+    }
+}
+
+/// Faults of controllers.
 impl Simulation {
-    /// Runs something on a controller: it makes no step while the controller stands still,
-    /// though its clocks run on.
+    /// Runs a future on a controller: it is not polled while the controller is paused,
+    /// though simulated time goes on.
     pub fn run_on<F: Future>(
         self: &Arc<Self>,
         controller: &str,
@@ -31,61 +155,54 @@
     ) -> impl Future<Output = F::Output> + use<F> {
         let (simulation, controller) = (self.clone(), controller.to_string());
         let mut work = Box::pin(work);
-        let span = tracing::info_span!("node", controller);
-        std::future::poll_fn(move |cx| {
+        let span = tracing::info_span!("controller", name = controller);
+        std::future::poll_fn(move |context| {
             let _entered = span.enter();
-            if let Some(waiting) = simulation.state.lock().unwrap().paused.get_mut(&controller) {
-                waiting.push(cx.waker().clone());
+            let mut state = simulation.state.lock().unwrap();
+            if let Some(wakers) = state.faults.paused.get_mut(&controller) {
+                wakers.push(context.waker().clone());
                 return Poll::Pending;
             }
-            work.as_mut().poll(cx)
+            drop(state);
+            work.as_mut().poll(context)
         })
     }
 
-    /// Makes a controller stand still.
+    /// Pauses a controller's process.
     pub fn pause(&self, controller: &str) {
         let mut state = self.state.lock().unwrap();
-        state.paused.entry(controller.to_string()).or_default();
+        state
+            .faults
+            .paused
+            .entry(controller.to_string())
+            .or_default();
     }
 
-    /// Lets a controller go on.
+    /// Resumes a paused controller.
     pub fn resume(&self, controller: &str) {
-        let waiting = self.state.lock().unwrap().paused.remove(controller);
-        waiting.into_iter().flatten().for_each(Waker::wake);
+        let wakers = self.state.lock().unwrap().faults.paused.remove(controller);
+        wakers.into_iter().flatten().for_each(Waker::wake);
         self.resumed.notify_waiters();
     }
 
-    /// Whether a controller stands still.
+    /// Whether a controller is paused.
     pub fn is_paused(&self, controller: &str) -> bool {
-        self.state.lock().unwrap().paused.contains_key(controller)
+        let state = self.state.lock().unwrap();
+        state.faults.paused.contains_key(controller)
     }
 
-    /// A request of a controller passes here on its way out and back: while the controller
-    /// stands still, nothing does.
+    /// Injects the fault that is set for this request, if there is one, and waits while
+    /// the controller is paused. A request passes here on its way out and back.
     pub(crate) async fn wait_at_fault_point(
         &self,
         controller: &str,
         request: &str,
-        answered: bool,
+        after_response: bool,
     ) {
-        {
-            let mut state = self.state.lock().unwrap();
-            let here = |at: &FaultPoint| {
-                at.controller == controller
-                    && at.answered == answered
-                    && request.starts_with(at.request)
-            };
-            if state.store_down_at.as_ref().is_some_and(here) {
-                state.store_down_at = None;
-                state.store_down = true;
-            }
-            if state.pause_at.as_ref().is_some_and(here) {
-                state.pause_at = None;
-                state.paused.entry(controller.to_string()).or_default();
-                if answered {
-                    return;
-                }
-            }
+        let paused_here = self.inject_fault(controller, request, after_response);
+        if paused_here && after_response {
+            // The response is read; the next poll of the controller's task waits.
+            return;
         }
         loop {
             let resumed = self.resumed.notified();
@@ -96,168 +213,196 @@
         }
     }
 
+    /// Injects the faults that are set for this request. Returns whether the controller
+    /// was paused by that.
+    fn inject_fault(&self, controller: &str, request: &str, after_response: bool) -> bool {
+        let mut state = self.state.lock().unwrap();
+        let faults = &mut state.faults;
+        let is_here = |point: &FaultPoint| point.matches(controller, request, after_response);
+        if faults.store_down_at.as_ref().is_some_and(is_here) {
+            faults.store_down_at = None;
+            faults.store_down = true;
+        }
+        let is_paused_here = faults.pause_at.as_ref().is_some_and(is_here);
+        if is_paused_here {
+            faults.pause_at = None;
+            faults.paused.entry(controller.to_string()).or_default();
+        }
+        is_paused_here
+    }
+
     /// Crashes a controller: aborts its background task and disconnects its workers.
     pub fn crash_controller(&self, name: &str, background: &JoinHandle<()>) {
         background.abort();
         self.disconnect_controller(name);
     }
 
-    /// Takes a controller off the network of the workers, as when it crashes.
+    /// Partitions a controller from all workers.
     pub fn disconnect_controller(&self, name: &str) {
         for slot in self.controllers.lock().unwrap().iter_mut() {
-            if slot.as_ref().is_some_and(|n| n.settings.node_name == name) {
+            if slot.as_ref().is_some_and(|c| c.settings.node_name == name) {
                 *slot = None;
             }
         }
     }
 
-    /// Lets a report come again some time later, as chance has it.
+    /// Partitions a controller from the store, or heals the partition: its requests get
+    /// no response.
+    pub fn set_store_partitioned(&self, controller: &str, partitioned: bool) {
+        let mut state = self.state.lock().unwrap();
+        if partitioned {
+            state.faults.partitioned.insert(controller.to_string());
+        } else {
+            state.faults.partitioned.remove(controller);
+        }
+    }
+
+    /// Makes the store refuse one controller, or serve it again.
+    pub fn set_store_refuses(&self, controller: &str, refuses: bool) {
+        let mut state = self.state.lock().unwrap();
+        if refuses {
+            state.faults.refused.insert(controller.to_string());
+        } else {
+            state.faults.refused.remove(controller);
+        }
+    }
+}
+
+/// Duplicated heartbeats.
+impl Simulation {
+    /// Keeps a copy of a heartbeat if copies are captured, and schedules a duplicate at
+    /// random.
     pub(crate) fn schedule_duplicate(&self, now: f64, body: &[u8]) {
         let mut state = self.state.lock().unwrap();
-        if state.capture_heartbeats {
+        if state.faults.capture_heartbeats {
             state.captured_heartbeats.push(body.to_vec());
         }
-        let (part, most) = state.duplicated_heartbeats;
-        if part > 0.0 && state.random.random::<f64>() < part {
-            let at = now + state.random.random::<f64>() * most;
-            state.delayed_heartbeats.push((at, body.to_vec()));
+        let duplicates = state.faults.duplicated_heartbeats;
+        if state.strikes(duplicates.probability) {
+            let due_at = now + state.random.random::<f64>() * duplicates.max_delay_s;
+            let body = body.to_vec();
+            state
+                .delayed_heartbeats
+                .push(DelayedMessage { due_at, body });
         }
     }
 
-    /// Brings copies that are due to every controller that is up: nobody waits for the
-    /// answers.
+    /// Delivers duplicates that are due.
     pub(crate) fn deliver_delayed_heartbeats(&self, now: f64) {
         let due: Vec<Vec<u8>> = {
             let mut state = self.state.lock().unwrap();
-            let due = state.delayed_heartbeats.extract_if(.., |c| c.0 <= now);
-            due.map(|c| c.1).collect()
+            let heartbeats = &mut state.delayed_heartbeats;
+            let due = heartbeats.extract_if(.., |heartbeat| heartbeat.due_at <= now);
+            due.map(|heartbeat| heartbeat.body).collect()
         };
         self.deliver_to_all_controllers(&due);
     }
 
-    /// Brings the copies of reports that were kept to every controller that is up.
-    /// Returns how many there were.
+    /// Delivers the captured copies of heartbeats to every controller. Returns how many
+    /// there were.
     pub fn replay_captured_heartbeats(&self) -> usize {
-        let kept = std::mem::take(&mut self.state.lock().unwrap().captured_heartbeats);
-        self.deliver_to_all_controllers(&kept);
-        kept.len()
+        let captured = std::mem::take(&mut self.state.lock().unwrap().captured_heartbeats);
+        self.deliver_to_all_controllers(&captured);
+        captured.len()
     }
 
-    fn deliver_to_all_controllers(&self, reports: &[Vec<u8>]) {
-        if reports.is_empty() {
+    /// Delivers heartbeats to every connected controller that is not paused; nobody reads
+    /// the answers.
+    fn deliver_to_all_controllers(&self, heartbeats: &[Vec<u8>]) {
+        if heartbeats.is_empty() {
             return;
         }
-        let controllers: Vec<Arc<Controller>> = self
-            .controllers
-            .lock()
-            .unwrap()
-            .iter()
-            .flatten()
-            .cloned()
-            .collect();
-        for controller in controllers
+        let connected: Vec<Arc<Controller>> = {
+            let controllers = self.controllers.lock().unwrap();
+            controllers.iter().flatten().cloned().collect()
+        };
+        let running = connected
             .iter()
-            .filter(|n| !self.is_paused(&n.settings.node_name))
-        {
-            for body in reports {
-                let _ = self.send_heartbeat(controller, "copy", body);
+            .filter(|controller| !self.is_paused(&controller.settings.node_name));
+        for controller in running {
+            for body in heartbeats {
+                let _ = self.send_heartbeat(controller, DUPLICATE_SENDER, body);
             }
         }
     }
+}
 
-    /// Chance follows from a seed.
-    pub fn seed(&self, seed: u64) {
-        self.state.lock().unwrap().random = rand::rngs::StdRng::seed_from_u64(seed);
-    }
-
-    /// A machine's reports go on to arrive; answers and commands don't reach it.
-    pub fn set_inbound_blocked(&self, worker: &str, inbound_blocked: bool) {
-        let mut state = self.state.lock().unwrap();
-        if let Some(w) = state.workers.get_mut(worker) {
-            w.inbound_blocked = inbound_blocked;
-        }
+/// Faults of machines. Each does nothing if the machine does not exist.
+impl Simulation {
+    /// Blocks what is sent to a machine, or unblocks it: its heartbeats arrive, but neither
+    /// answers nor direct commands reach it.
+    pub fn set_inbound_blocked(&self, machine: &str, blocked: bool) {
+        self.change_worker(machine, |worker| worker.inbound_blocked = blocked);
     }
 
-    /// A machine's reports don't arrive; direct commands reach it.
-    pub fn set_outbound_blocked(&self, worker: &str, outbound_blocked: bool) {
-        let mut state = self.state.lock().unwrap();
-        if let Some(w) = state.workers.get_mut(worker) {
-            w.outbound_blocked = outbound_blocked;
-        }
+    /// Blocks a machine's heartbeats, or unblocks them; direct commands reach it.
+    pub fn set_outbound_blocked(&self, machine: &str, blocked: bool) {
+        self.change_worker(machine, |worker| worker.outbound_blocked = blocked);
     }
 
-    /// A machine is gone with all that is on it; the list shows it no more.
-    pub fn destroy(&self, worker: &str) {
-        let mut state = self.state.lock().unwrap();
-        state.workers.remove(worker);
-        state.machines.remove(worker);
+    /// Partitions a machine from all controllers, or heals the partition; its tasks run on.
+    pub fn set_silent(&self, machine: &str, silent: bool) {
+        self.change_worker(machine, |worker| worker.silent = silent);
     }
 
-    /// A machine is back within a fraction of a second, all that ran there gone:
-    /// its worker counts from the beginning.
-    pub fn restart_agent(&self, worker: &str) {
+    /// Hangs a machine, or lets it go on: meanwhile its tasks make no progress and what is
+    /// sent to it waits.
+    pub fn set_hung(&self, machine: &str, hung: bool) {
         let now = self.now();
-        let mut state = self.state.lock().unwrap();
-        if let Some(w) = state.workers.get_mut(worker) {
-            w.tasks.clear();
-            (w.incarnation, w.sequence, w.fencing_token, w.answered) = (1, 0, 0, now);
-        }
+        self.state.lock().unwrap().advance(now);
+        self.change_worker(machine, |worker| worker.hung_since = hung.then_some(now));
     }
 
-    /// Starts a task on two machines, as no controller may.
-    pub fn start_task_twice(&self, task: &str) {
+    /// Restarts a machine's agent at once: its tasks are gone and it begins again with the
+    /// first incarnation.
+    pub fn restart_agent(&self, machine: &str) {
         let now = self.now();
-        let mut state = self.state.lock().unwrap();
-        for (attempt, name) in (1..).zip(state.worker_names().into_iter().take(2)) {
-            let task = task.to_string();
-            state.execute_commands(now, &name, &[Command::Start { task, attempt }]);
-        }
+        self.change_worker(machine, |worker| worker.restart(now));
     }
 
-    /// A user is told now that a job is cancelled.
-    pub fn record_cancellation(&self, id: &str) {
-        let now = self.now();
+    /// Destroys a machine with its tasks; the cloud lists it no more.
+    pub fn destroy(&self, machine: &str) {
         let mut state = self.state.lock().unwrap();
-        state.cancelled.entry(id.to_string()).or_insert(now);
+        state.workers.remove(machine);
+        state.machines.remove(machine);
     }
 
-    pub fn set_silent(&self, worker: &str, silent: bool) {
+    /// Changes a worker, unless its machine is gone.
+    fn change_worker(&self, machine: &str, change: impl FnOnce(&mut SimWorker)) {
         let mut state = self.state.lock().unwrap();
-        // It may be gone.
-        if let Some(w) = state.workers.get_mut(worker) {
-            w.silent = silent;
+        if let Some(worker) = state.workers.get_mut(machine) {
+            change(worker);
         }
     }
+}
 
-    /// A machine hangs: it does nothing, and what is sent to it waits; or it goes
-    /// on.
-    pub fn set_hung(&self, worker: &str, hangs: bool) {
+/// Random numbers, and violations that tests of the checkers inject.
+impl Simulation {
+    /// Seeds the random numbers of all faults that follow.
+    pub fn seed(&self, seed: u64) {
+        self.state.lock().unwrap().random = StdRng::seed_from_u64(seed);
+    }
+
+    /// Starts a task on two machines, as no controller may.
+    pub fn start_task_twice(&self, task: &str) {
         let now = self.now();
         let mut state = self.state.lock().unwrap();
-        state.advance(now);
-        if let Some(w) = state.workers.get_mut(worker) {
-            w.hung_since = hangs.then_some(now);
+        for (attempt, worker) in (1..).zip(state.worker_names().into_iter().take(2)) {
+            let task = task.to_string();
+            state.execute_commands(now, &worker, &[Command::Start { task, attempt }]);
         }
     }
 
-    /// Partitions a controller from the store, or heals the partition: its requests get
-    /// no response.
-    pub fn set_store_partitioned(&self, controller: &str, partitioned: bool) {
+    /// Records that a user is told now that a job is cancelled.
+    pub fn record_cancellation(&self, id: &str) {
+        let now = self.now();
         let mut state = self.state.lock().unwrap();
-        if partitioned {
-            state.partitioned.insert(controller.to_string());
-        } else {
-            state.partitioned.remove(controller);
-        }
+        state.cancelled_at.entry(id.to_string()).or_insert(now);
     }
 
-    /// The state service refuses a controller alone, or serves it again.
-    pub fn set_store_refuses(&self, controller: &str, refuses: bool) {
+    /// Forgets that tasks of a job completed, as if the job were called done too soon.
+    pub fn forget_completions(&self, id: &str) {
         let mut state = self.state.lock().unwrap();
-        if refuses {
-            state.refused.insert(controller.to_string());
-        } else {
-            state.refused.remove(controller);
-        }
+        state.completed_tasks.retain(|task| job_of_task(task) != id);
     }
 }
--- a/crates/tallygauge-sim/src/history.rs
+++ b/crates/tallygauge-sim/src/history.rs
@@ -1,120 +1,100 @@
-//! What users were told of jobs, and whether any answer was older than one before.
+//! Checks that the job statuses that users read are linearizable.
 //!
-//! A job goes from unknown over accepted to done or cancelled, and never back. Its
-//! answers are linearizable exactly if no answer that was asked for after another
-//! had been given shows an earlier state, and all final states agree. Answers whose
-//! requests overlap may come in either order.
+//! A job's status goes from unknown to active to done or cancelled, and never back. Reads
+//! are linearizable exactly if none that began after another had ended returns an earlier
+//! status, and all final statuses agree. Reads that overlap may be ordered either way.
 
 use std::collections::BTreeMap;
 use tallygauge::user_api::Reply;
 use tallygauge_protocol::users::{JobResponse, JobStatus};
 
-/// A job's state as an answer shows it, in the order in which it is passed through.
+/// A job's status as users read it, in the order in which a job goes through them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Shown {
+enum ObservedStatus {
     Unknown,
-    Open,
-    Over(bool),
+    Active,
+    Done,
+    Cancelled,
 }
 
-/// One answer: when it was asked for and given, and what it showed.
+impl ObservedStatus {
+    /// Whether a read that began after one of this status had ended contradicts it.
+    fn is_contradicted_by(self, later: Self) -> bool {
+        let are_both_final = self >= Self::Done && later >= Self::Done;
+        later < self || (are_both_final && later != self)
+    }
+}
+
+/// One read of a job's status.
 #[derive(Debug, Clone, Copy)]
-struct Answer {
-    asked: f64,
-    told: f64,
-    shown: Shown,
+struct StatusRead {
+    /// When it was requested, in seconds of simulated time.
+    requested_at: f64,
+    /// When it was answered, in seconds of simulated time.
+    answered_at: f64,
+    status: ObservedStatus,
 }
 
-/// Answers about jobs.
+/// Reads of jobs' statuses by users.
 #[derive(Debug, Default)]
 pub struct History {
-    answers: BTreeMap<String, Vec<Answer>>,
+    reads: BTreeMap<String, Vec<StatusRead>>,
 }
 
 impl History {
-    /// Notes an answer that was asked for at `asked` and given at `told`. What
-    /// says nothing of the job's state is passed over.
-    pub fn record(&mut self, id: &str, asked: f64, told: f64, reply: &Reply) {
-        let status = match reply {
-            Reply::Job(_, answer) => Some(answer.status),
-            Reply::Relayed(200 | 201, body) => {
-                let Ok(answer) = serde_json::from_slice::<JobResponse>(body) else {
-                    return;
-                };
-                Some(answer.status)
-            }
-            Reply::Rejected(404, _) | Reply::Relayed(404, _) => None,
-            Reply::Rejected(..) | Reply::RetryLater(..) | Reply::Relayed(..) => return,
+    /// Records a reply about a job with the times of request and answer, in seconds of
+    /// simulated time. Replies that don't tell the job's status are ignored.
+    pub fn record(&mut self, id: &str, requested_at: f64, answered_at: f64, reply: &Reply) {
+        let Some(status) = observed_status(reply) else {
+            return;
         };
-        let shown = match status {
-            None => Shown::Unknown,
-            Some(JobStatus::Pending | JobStatus::Running) => Shown::Open,
-            Some(JobStatus::Done) => Shown::Over(true),
-            Some(JobStatus::Cancelled) => Shown::Over(false),
+        let read = StatusRead {
+            requested_at,
+            answered_at,
+            status,
         };
-        let answer = Answer { asked, told, shown };
-        self.answers.entry(id.to_string()).or_default().push(answer);
+        self.reads.entry(id.to_string()).or_default().push(read);
     }
 
-    /// Answers noted.
+    /// Number of reads recorded.
     pub fn len(&self) -> usize {
-        self.answers.values().map(Vec::len).sum()
+        self.reads.values().map(Vec::len).sum()
     }
 
-    /// Whether none is noted.
+    /// Whether no read is recorded.
     pub fn is_empty(&self) -> bool {
-        self.answers.is_empty()
+        self.reads.is_empty()
     }
 
-    /// Answers that are older than one given before they were asked for, and final
-    /// states that disagree.
+    /// Describes each pair of reads of which the later one contradicts the earlier one.
     pub fn stale_reads(&self) -> Vec<String> {
-        let mut wrong = Vec::new();
-        for (id, answers) in &self.answers {
-            for later in answers {
-                for earlier in answers.iter().filter(|e| e.told <= later.asked) {
-                    let disagree = matches!(
-                        (earlier.shown, later.shown),
-                        (Shown::Over(a), Shown::Over(b)) if a != b
-                    );
-                    if later.shown < earlier.shown || disagree {
-                        wrong.push(format!("{id}: {earlier:?} and then {later:?}"));
-                    }
-                }
+        let mut stale = Vec::new();
+        for (id, reads) in &self.reads {
+            for later in reads {
+                let earlier = reads.iter().filter(|e| e.answered_at <= later.requested_at);
+                let contradicted =
+                    earlier.filter(|earlier| earlier.status.is_contradicted_by(later.status));
+                stale.extend(contradicted.map(|e| format!("{id}: {e:?} and then {later:?}")));
             }
         }
-        wrong
+        stale
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn told(status: JobStatus) -> Reply {
-        let answer = JobResponse {
-            id: "req-1".into(),
-            status,
-            done: None,
-            running: None,
-        };
-        Reply::Job(200, answer)
-    }
-
-    #[test]
-    fn an_older_answer_is_found_and_an_overlapping_one_is_not() {
-        let gone = || Reply::Rejected(404, String::new());
-        for (second, asked, wrong) in [
-            (told(JobStatus::Pending), 1.5, 0),
-            (told(JobStatus::Pending), 2.0, 1),
-            (gone(), 3.0, 1),
-            (told(JobStatus::Cancelled), 3.0, 1),
-            (told(JobStatus::Done), 3.0, 0),
-        ] {
-            let mut history = History::default();
-            history.record("req-1", 1.0, 2.0, &told(JobStatus::Done));
-            history.record("req-1", asked, 4.0, &second);
-            assert_eq!(history.stale_reads().len(), wrong, "{second:?} {asked}");
+/// The status that a reply tells, if it does.
+fn observed_status(reply: &Reply) -> Option<ObservedStatus> {
+    let status = match reply {
+        Reply::Job(_, response) => response.status,
+        Reply::Relayed(200 | 201, body) => {
+            let response: JobResponse = serde_json::from_slice(body).ok()?;
+            response.status
         }
-    }
+        Reply::Rejected(404, _) | Reply::Relayed(404, _) => return Some(ObservedStatus::Unknown),
+        Reply::Rejected(..) | Reply::RetryLater(..) | Reply::Relayed(..) => return None,
+    };
+    Some(match status {
+        JobStatus::Pending | JobStatus::Running => ObservedStatus::Active,
+        JobStatus::Done => ObservedStatus::Done,
+        JobStatus::Cancelled => ObservedStatus::Cancelled,
+    })
 }
--- /dev/null
+++ b/crates/tallygauge-sim/src/scenario.rs
@@ -0,0 +1,264 @@
+//! Scenarios drawn from a seed: jobs arrive at three controllers while random faults of
+//! every kind are injected, one over the other; then the faults end, and every job must be
+//! answered for and complete. The seed determines each scenario.
+
+mod checks;
+mod faults;
+mod jobs;
+mod user_requests;
+
+pub use checks::InjectedViolation;
+
+use crate::{
+    CANCEL_TIMEOUT_S, JobShape, RandomDelay, Simulation, TEAM_CPUS, is_active_leader, sleep_s,
+};
+use jobs::TrackedJob;
+use rand::{RngExt, SeedableRng, rngs::StdRng};
+use std::{
+    ops::RangeInclusive,
+    sync::{
+        Arc, Mutex,
+        atomic::{AtomicU64, Ordering},
+    },
+    time::Duration,
+};
+use tallygauge::controller::Controller;
+use tokio::task::JoinHandle;
+
+/// Controllers of a scenario.
+const CONTROLLERS: usize = 3;
+
+/// Jobs that are submitted while faults are injected.
+const JOBS: u32 = 14;
+
+/// Seconds before the first job, in which a leader is elected.
+const STARTUP_S: f64 = 5.0;
+
+/// Seconds for which a user tries to submit a job.
+const SUBMISSION_TIMEOUT: Duration = Duration::from_secs(25);
+
+/// A scenario that runs.
+struct Scenario {
+    simulation: Arc<Simulation>,
+    /// Controllers and their background tasks.
+    controllers: Vec<(Arc<Controller>, JoinHandle<()>)>,
+    /// Jobs that were accepted.
+    jobs: Vec<TrackedJob>,
+    /// What was wrong so far with the answers that users got.
+    violations: Vec<String>,
+    random: StdRng,
+}
+
+/// A job as it is submitted.
+struct Submission {
+    number: u32,
+    id: String,
+    body: Vec<u8>,
+}
+
+/// Runs the scenario of a seed with a violation injected at its end. Returns all violations
+/// that were found.
+pub async fn run_scenario(seed: u64, injected: InjectedViolation) -> Vec<String> {
+    run_in(Simulation::new(), seed, injected).await
+}
+
+/// Runs the scenario of a seed. Returns a digest of all messages exchanged, in hexadecimal
+/// digits, and the number of requests.
+pub async fn scenario_digest(seed: u64) -> (String, u64) {
+    let simulation = Simulation::new();
+    simulation.record_exchanges(false);
+    run_in(simulation.clone(), seed, InjectedViolation::None).await;
+    simulation
+        .exchange_digest()
+        .expect("exchanges are recorded")
+}
+
+/// Runs the scenario of a seed. Returns every message exchanged as text.
+pub async fn scenario_messages(seed: u64) -> Vec<String> {
+    let simulation = Simulation::new();
+    simulation.record_exchanges(true);
+    run_in(simulation.clone(), seed, InjectedViolation::None).await;
+    simulation.exchanged_text()
+}
+
+/// Runs something for each seed, each on a runtime of its own in simulated time, on so many
+/// threads. Returns the results with their seeds, in the order of the seeds.
+pub fn run_each_seed<T: Send, F: Future<Output = T>>(
+    seeds: RangeInclusive<u64>,
+    threads: usize,
+    run: impl Fn(u64) -> F + Sync,
+) -> Vec<(u64, T)> {
+    let next = AtomicU64::new(*seeds.start());
+    let results = Mutex::new(Vec::new());
+    std::thread::scope(|scope| {
+        for _ in 0..threads {
+            scope.spawn(|| {
+                loop {
+                    let seed = next.fetch_add(1, Ordering::Relaxed);
+                    if !seeds.contains(&seed) {
+                        return;
+                    }
+                    let result = block_on_simulated_time(run(seed));
+                    results.lock().unwrap().push((seed, result));
+                }
+            });
+        }
+    });
+    let mut results = results.into_inner().unwrap();
+    results.sort_by_key(|(seed, _)| *seed);
+    results
+}
+
+/// Runs a future to its end on a runtime of its own in simulated time.
+fn block_on_simulated_time<F: Future>(future: F) -> F::Output {
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build()
+        .unwrap()
+        .block_on(future)
+}
+
+/// Runs a scenario in a simulation of its own. Returns all violations that were found.
+async fn run_in(
+    simulation: Arc<Simulation>,
+    seed: u64,
+    injected: InjectedViolation,
+) -> Vec<String> {
+    let mut scenario = Scenario::start(simulation, seed);
+    sleep_s(STARTUP_S).await;
+    let mut work_s = 0.0;
+    for number in 1..=JOBS {
+        let shape = scenario.draw_job_shape();
+        work_s += f64::from(shape.tasks) * shape.run_s * shape.cpus / TEAM_CPUS;
+        let submission = scenario.submit(number, shape).await;
+        scenario.sleep_before_fault().await;
+        scenario.inject_random_fault(&submission).await;
+        scenario.poll_some_jobs().await;
+    }
+    scenario.end_faults();
+    scenario.inject_violation(injected).await;
+    scenario.check_until_done(work_s, injected).await;
+    scenario.into_violations()
+}
+
+impl Scenario {
+    /// Starts controllers and workers.
+    fn start(simulation: Arc<Simulation>, seed: u64) -> Self {
+        let random = StdRng::seed_from_u64(seed);
+        simulation.seed(seed);
+        simulation.state.lock().unwrap().zones = vec!["a", "b"];
+        tokio::spawn(simulation.clone().run_workers());
+        let controllers = (0..CONTROLLERS)
+            .map(|n| simulation.start_controller(&Self::name(n)))
+            .collect();
+        Self {
+            simulation,
+            controllers,
+            jobs: Vec::new(),
+            violations: Vec::new(),
+            random,
+        }
+    }
+
+    /// Name of a controller.
+    fn name(controller: usize) -> String {
+        format!("n-{controller}")
+    }
+
+    /// The controller that leads.
+    fn leader(&self) -> Option<usize> {
+        (0..CONTROLLERS).find(|n| is_active_leader(&self.controllers[*n].0))
+    }
+
+    /// Ids of all accepted jobs.
+    fn job_ids(&self) -> Vec<String> {
+        self.jobs.iter().map(|job| job.id.clone()).collect()
+    }
+
+    /// Starts a controller that crashed again.
+    fn restart(&mut self, controller: usize) {
+        self.controllers[controller] = self.simulation.start_controller(&Self::name(controller));
+    }
+
+    /// Crashes a controller.
+    fn crash(&mut self, controller: usize) {
+        let background = &self.controllers[controller].1;
+        self.simulation
+            .crash_controller(&Self::name(controller), background);
+    }
+
+    /// Draws what the next job looks like. A quarter of the jobs may outlast an outage.
+    fn draw_job_shape(&mut self) -> JobShape {
+        let random = &mut self.random;
+        let tasks = random.random_range(1..5);
+        let max_run_s = if random.random_range(0..4) == 0 {
+            CANCEL_TIMEOUT_S * 4.0
+        } else {
+            15.0
+        };
+        let run_s = random.random_range(2.0..max_run_s);
+        let cpus = [1.0, 2.0, 4.0, 8.0][random.random_range(0..4)];
+        JobShape {
+            tasks,
+            cpus,
+            run_s,
+            team: ["t", "u"][random.random_range(0..2)],
+            zone: [None, None, Some("a"), Some("b")][random.random_range(0..4)],
+            one_zone: random.random_range(0..4) == 0,
+            ..JobShape::default()
+        }
+    }
+
+    /// Submits a job through a random controller and tracks it if it is accepted.
+    async fn submit(&mut self, number: u32, shape: JobShape) -> Submission {
+        let (id, body) = self.simulation.job_with_shape(number, shape);
+        let controller = self.random.random_range(0..CONTROLLERS);
+        let submission = self.submit_until_accepted(controller, &body);
+        let result = tokio::time::timeout(SUBMISSION_TIMEOUT, submission).await;
+        if result.is_ok() {
+            self.jobs.push(TrackedJob::new(id.clone(), shape.tasks));
+        }
+        Submission { number, id, body }
+    }
+
+    /// Waits before the next fault, which may follow at once on the one before.
+    async fn sleep_before_fault(&mut self) {
+        let max_s = [0.2, 5.0][self.random.random_range(0..2)];
+        self.sleep_between(0.0, max_s).await;
+    }
+
+    /// Sleeps for a random number of seconds.
+    async fn sleep_between(&mut self, min_s: f64, max_s: f64) {
+        let seconds = self.random.random_range(min_s..max_s);
+        sleep_s(seconds).await;
+    }
+
+    /// Users poll some jobs through random controllers.
+    async fn poll_some_jobs(&mut self) {
+        for job in 0..self.jobs.len() {
+            if self.random.random_range(0..3) == 0 {
+                let controller = self.random.random_range(0..CONTROLLERS);
+                self.poll(controller, job).await;
+            }
+        }
+    }
+
+    /// Ends all faults that would keep jobs from completing.
+    fn end_faults(&self) {
+        {
+            let faults = &mut self.simulation.state.lock().unwrap().faults;
+            faults.partitioned.clear();
+            faults.refused.clear();
+            faults.late_writes = 0.0;
+            faults.delayed_commands = RandomDelay::NONE;
+            faults.duplicated_heartbeats = RandomDelay::NONE;
+            faults.lose_next_responses = 0;
+            faults.lost_responses = 0.0;
+        }
+        for machine in self.simulation.booted_machines() {
+            self.simulation.set_inbound_blocked(&machine, false);
+            self.simulation.set_outbound_blocked(&machine, false);
+        }
+    }
+}
--- a/crates/tallygauge-sim/src/store.rs
+++ b/crates/tallygauge-sim/src/store.rs
@@ -1,311 +1,285 @@
-//! The state service's stand-in: keys, leases, watches and transactions, and what
-//! may go wrong with them.
+//! The data of the key-value store's stand-in: keys with revisions, leases, and
+//! transactions on conditions. It answers requests as the store's protocol says.
 
-use crate::{SimState, Simulation, ok, status};
-use rand::RngExt;
+use crate::transport::{Response, ok, status};
 use serde_json::{Value, json};
-use std::{collections::BTreeMap, time::Duration};
+use std::collections::BTreeMap;
 use tallygauge_protocol::state::{Transaction, Write};
-use tallygauge_store::http::{HttpResult, RequestError};
-use tokio::time::Instant;
-use warp::http::{Method, StatusCode};
+use warp::http::Method;
 
+/// Path of transactions.
+pub(crate) const TRANSACTION_PATH: &str = "/multi";
+
+/// Most writes of a transaction.
+const MAX_WRITES: usize = 16;
+
+/// Most conditions of a transaction.
+const MAX_CONDITIONS: usize = 64;
+
+/// Largest body of a transaction, in bytes.
+const MAX_BODY_BYTES: usize = 65_536;
+
+/// Largest value of a key, in bytes.
+const MAX_VALUE_BYTES: usize = 8_192;
+
+/// Prefix of the keys of placement batches; the leader's term follows it.
+const BATCH_PREFIX: &str = "p/";
+
+/// Key of the leader's term.
+const TERM_KEY: &str = "t/term";
+
+/// A key's value.
+struct Row {
+    value: Value,
+    /// Revision of the last write to the key.
+    version: u64,
+    /// Lease with which the key is deleted, if any.
+    lease: Option<u64>,
+}
+
+/// A lease.
+struct Lease {
+    /// When it expires, in seconds of simulated time.
+    expires_at: f64,
+    ttl_s: f64,
+}
+
+/// A change of a key, as watches see it.
+pub(crate) struct Change {
+    pub(crate) key: String,
+    /// The new value; `None` if the key was deleted.
+    pub(crate) value: Option<Value>,
+    pub(crate) revision: u64,
+}
+
+/// A transaction that was not answered and is executed later.
+pub(crate) struct LateWrite {
+    /// When it is executed, in seconds of simulated time.
+    pub(crate) due_at: f64,
+    /// The transaction.
+    pub(crate) body: Vec<u8>,
+}
+
+/// Keys, leases and changes.
 #[derive(Default)]
 pub(crate) struct Store {
-    rows: BTreeMap<String, (Value, u64, Option<u64>)>,
+    rows: BTreeMap<String, Row>,
     revision: u64,
-    changes: Vec<(String, Option<Value>, u64)>,
-    leases: BTreeMap<u64, (f64, f64)>,
-    next_lease: u64,
-    /// Transactions that were not answered and are carried out later: when, which.
-    unsettled: Vec<(f64, Vec<u8>)>,
-    /// What was written under each batch's name; and batches that were written with
-    /// something else later, or in the term of another leader.
+    /// All changes so far, in order of their revisions.
+    changes: Vec<Change>,
+    leases: BTreeMap<u64, Lease>,
+    last_lease: u64,
+    /// Transactions to be executed late.
+    pub(crate) late_writes: Vec<LateWrite>,
+    /// The first value of each placement batch.
     batches: BTreeMap<String, Value>,
-    pub(crate) repeated: Vec<String>,
+    /// Placement batches that were written again with another value, or under the term of
+    /// another leader.
+    pub(crate) reused_keys: Vec<String>,
 }
 
-impl Simulation {
-    /// The state service refuses everybody, or serves again: then all leases
-    /// get their full time back.
-    pub fn set_store_down(&self, down: bool) {
-        let now = self.now();
-        let mut state = self.state.lock().unwrap();
-        state.store_down = down;
-        for lease in state.store.leases.values_mut() {
-            lease.0 = now + lease.1;
+impl Store {
+    /// Answers a request other than a watch.
+    pub(crate) fn handle_request(
+        &mut self,
+        now: f64,
+        method: &Method,
+        path: &str,
+        body: &[u8],
+    ) -> Response {
+        if let Some(query) = path.strip_prefix("/store?") {
+            return self.list(query_parameter(query, "starts=").unwrap());
+        }
+        if let Some(key) = path.strip_prefix("/store/") {
+            return self.get(key);
+        }
+        if path == "/leases" {
+            return self.grant_lease(now, body);
         }
+        if let Some(rest) = path.strip_prefix("/leases/") {
+            let id: u64 = rest.split('/').next().unwrap().parse().unwrap();
+            if method == Method::DELETE {
+                self.revoke_lease(id);
+                return ok(json!({}));
+            }
+            return self.renew_lease(now, id);
+        }
+        self.transact(body)
     }
 
-    /// Changes so far of keys that begin with a prefix.
-    pub fn count_changes(&self, prefix: &str) -> usize {
-        let state = self.state.lock().unwrap();
-        let changes = state.store.changes.iter();
-        changes.filter(|c| c.0.starts_with(prefix)).count()
+    /// The current revision.
+    pub(crate) fn revision(&self) -> u64 {
+        self.revision
     }
 
-    /// Keys on record that begin with a prefix.
-    pub fn count_keys(&self, prefix: &str) -> usize {
-        let state = self.state.lock().unwrap();
-        let keys = state.store.rows.keys();
-        keys.filter(|k| k.starts_with(prefix)).count()
+    /// All changes after a revision.
+    pub(crate) fn changes_after(&self, revision: u64) -> &[Change] {
+        let first = self
+            .changes
+            .partition_point(|change| change.revision <= revision);
+        &self.changes[first..]
     }
 
-    /// Answers a controller in the state service's stead.
-    pub async fn handle_store_request(
-        &self,
-        controller: &str,
-        method: &Method,
-        path: &str,
-        body: &[u8],
-    ) -> HttpResult {
-        if self.state.lock().unwrap().partitioned.contains(controller) {
-            tokio::time::sleep(Duration::from_secs(3600)).await;
-            return Err(RequestError::NoResponse);
-        }
-        if let Some(query) = path.strip_prefix("/changes?") {
-            if self.state.lock().unwrap().refuses(controller) {
-                return Ok(status(503, json!({})));
-            }
-            return Ok(self.changes(controller, query).await);
-        }
-        let answer = {
-            let now = self.now();
-            let mut state = self.state.lock().unwrap();
-            if state.refuses(controller) {
-                return Ok(status(503, json!({})));
-            }
-            let writes = path == "/multi" && String::from_utf8_lossy(body).contains("\"writes\"");
-            let share = state.late_writes;
-            let mut late_s = None;
-            if writes && share > 0.0 && state.random.random::<f64>() < share {
-                late_s = Some(state.random.random_range(2.0..12.0));
-            }
-            let text = String::from_utf8_lossy(body);
-            let meant = |o: &mut (&str, f64)| text.contains(&format!("\"set\":\"{}", o.0));
-            if let Some((_, for_s)) = state.delay_next_write.take_if(meant) {
-                late_s = Some(for_s);
-            }
-            let hangs = |prefix| text.contains(&format!("\"set\":\"{prefix}"));
-            let lost = path == "/multi" && state.lost_responses > 0.0;
-            let lost = lost && state.random.random::<f64>() < state.lost_responses;
-            if state.hang_writes.is_some_and(hangs) {
-                None
-            } else if let Some(late_s) = late_s {
-                state.store.unsettled.push((now + late_s, body.to_vec()));
-                None
-            } else {
-                state.store.expire(now);
-                let answer = state.store.answer(now, method, path, body);
-                let cut = writes && state.lose_next_responses > 0;
-                state.lose_next_responses -= u32::from(cut);
-                match (cut, lost) {
-                    (true, _) => Some(Err(RequestError::NoResponse)),
-                    (false, true) => None,
-                    (false, false) => Some(Ok(answer)),
-                }
-            }
-        };
-        self.changed.notify_waiters();
-        if let Some(answer) = answer {
-            return answer;
+    /// Keys that begin with a prefix.
+    pub(crate) fn keys(&self, prefix: &str) -> impl Iterator<Item = &String> {
+        self.rows.keys().filter(move |key| key.starts_with(prefix))
+    }
+
+    /// Deletes the keys of expired leases.
+    pub(crate) fn expire_leases(&mut self, now: f64) {
+        let is_expired = |(_, lease): &(&u64, &Lease)| lease.expires_at <= now;
+        let expired = self.leases.iter().filter(is_expired);
+        let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
+            self.revoke_lease(id);
         }
-        tokio::time::sleep(Duration::from_secs(3600)).await;
-        Err(RequestError::NoResponse)
     }
 
-    /// Carries out what was held back, in the order in which it is due.
-    pub(crate) fn apply_late_writes(&self, now: f64) {
-        let mut state = self.state.lock().unwrap();
-        if state.store_down {
-            return;
+    /// Gives all leases their full time from now on, as after an outage.
+    pub(crate) fn renew_all_leases(&mut self, now: f64) {
+        for lease in self.leases.values_mut() {
+            lease.expires_at = now + lease.ttl_s;
         }
-        let mut due: Vec<_> = state
-            .store
-            .unsettled
-            .extract_if(.., |t| t.0 <= now)
+    }
+
+    fn list(&self, prefix: &str) -> Response {
+        let rows = self.rows.iter().filter(|(key, _)| key.starts_with(prefix));
+        let rows: Vec<Value> = rows
+            .map(|(key, row)| json!({"path": key, "value": row.value, "stamp": row.version}))
             .collect();
-        due.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (_, body) in &due {
-            state.store.answer(now, &Method::POST, "/multi", body);
-        }
-        drop(state);
-        if !due.is_empty() {
-            self.changed.notify_waiters();
-        }
+        ok(json!({"rows": rows, "hasNext": false, "epoch": self.revision}))
     }
 
-    async fn changes(&self, controller: &str, query: &str) -> (StatusCode, bytes::Bytes) {
-        let get = |name: &str| {
-            query
-                .split('&')
-                .find_map(|p| p.strip_prefix(name))
-                .unwrap_or_default()
-                .to_string()
-        };
-        let (prefix, since) = (get("starts="), get("since=").parse::<u64>().unwrap());
-        let until = Instant::now() + Duration::from_millis(get("blockMs=").parse().unwrap());
-        loop {
-            {
-                let now = self.now();
-                let mut state = self.state.lock().unwrap();
-                if !state.store_down {
-                    state.store.expire(now);
-                }
-                let changes = &state.store.changes;
-                let news: Vec<Value> = changes[changes.partition_point(|c| c.2 <= since)..]
-                    .iter()
-                    .filter(|c| c.0.starts_with(&prefix))
-                    .map(|(key, value, at)| match value {
-                        Some(v) => json!({"set": key, "value": v, "stamp": at}),
-                        None => json!({"remove": key, "stamp": at}),
-                    })
-                    .collect();
-                let held = state.refuses(controller) || (state.hang_job_watches && prefix == "o/");
-                if !held && (!news.is_empty() || Instant::now() >= until) {
-                    return ok(json!({"epoch": state.store.revision, "news": news}));
-                }
-            }
-            let next = Instant::now() + Duration::from_millis(100);
-            let _ = tokio::time::timeout_at(next, self.changed.notified()).await;
+    fn get(&self, key: &str) -> Response {
+        match self.rows.get(key) {
+            Some(row) => ok(json!({"path": key, "value": row.value, "stamp": row.version})),
+            None => status(404, json!({"epoch": self.revision})),
         }
     }
-}
 
-impl SimState {
-    /// Whether the state service answers a controller 503; its open watches wait.
-    fn refuses(&self, controller: &str) -> bool {
-        self.store_down || self.refused.contains(controller)
+    fn grant_lease(&mut self, now: f64, body: &[u8]) -> Response {
+        let request: Value = serde_json::from_slice(body).unwrap();
+        let ttl_s = request["ttlMs"].as_f64().unwrap() / 1000.0;
+        self.last_lease += 1;
+        let lease = Lease {
+            expires_at: now + ttl_s,
+            ttl_s,
+        };
+        self.leases.insert(self.last_lease, lease);
+        ok(json!({"permit": self.last_lease}))
     }
-}
 
-impl Store {
-    pub(crate) fn expire(&mut self, now: f64) {
-        let over: Vec<u64> = self
-            .leases
-            .iter()
-            .filter(|(_, l)| l.0 <= now)
-            .map(|(id, _)| *id)
-            .collect();
-        for id in over {
-            self.end(id);
+    fn renew_lease(&mut self, now: f64, id: u64) -> Response {
+        match self.leases.get_mut(&id) {
+            Some(lease) => {
+                lease.expires_at = now + lease.ttl_s;
+                ok(json!({}))
+            }
+            None => status(404, json!({})),
         }
     }
 
-    fn end(&mut self, id: u64) {
+    /// Ends a lease and deletes its keys.
+    fn revoke_lease(&mut self, id: u64) {
         self.leases.remove(&id);
-        let keys: Vec<String> = self
-            .rows
-            .iter()
-            .filter(|(_, r)| r.2 == Some(id))
-            .map(|(k, _)| k.clone())
-            .collect();
+        let is_held = |(_, row): &(&String, &Row)| row.lease == Some(id);
+        let keys = self.rows.iter().filter(is_held);
+        let keys: Vec<String> = keys.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.revision += 1;
-            self.rows.remove(&key);
-            self.changes.push((key, None, self.revision));
+            self.delete(key);
         }
     }
 
-    pub fn version(&self, key: &str) -> u64 {
-        self.rows.get(key).map_or(0, |r| r.1)
-    }
-
-    fn answer(
-        &mut self,
-        now: f64,
-        method: &Method,
-        path: &str,
-        body: &[u8],
-    ) -> (StatusCode, bytes::Bytes) {
-        if let Some(query) = path.strip_prefix("/store?") {
-            let prefix = query
-                .split('&')
-                .find_map(|p| p.strip_prefix("starts="))
-                .unwrap();
-            let rows: Vec<Value> = self
-                .rows
-                .iter()
-                .filter(|(k, _)| k.starts_with(prefix))
-                .map(|(k, r)| json!({"path": k, "value": r.0, "stamp": r.1}))
-                .collect();
-            return ok(json!({"rows": rows, "hasNext": false, "epoch": self.revision}));
-        }
-        if let Some(key) = path.strip_prefix("/store/") {
-            return match self.rows.get(key) {
-                Some(r) => ok(json!({"path": key, "value": r.0, "stamp": r.1})),
-                None => status(404, json!({"epoch": self.revision})),
-            };
-        }
-        if path == "/leases" {
-            let ttl: Value = serde_json::from_slice(body).unwrap();
-            let ttl = ttl["ttlMs"].as_f64().unwrap() / 1000.0;
-            self.next_lease += 1;
-            self.leases.insert(self.next_lease, (now + ttl, ttl));
-            return ok(json!({"permit": self.next_lease}));
-        }
-        if let Some(rest) = path.strip_prefix("/leases/") {
-            let id: u64 = rest.split('/').next().unwrap().parse().unwrap();
-            if method == Method::DELETE {
-                self.end(id);
-                return ok(json!({}));
-            }
-            return match self.leases.get_mut(&id) {
-                Some(lease) => {
-                    lease.0 = now + lease.1;
-                    ok(json!({}))
-                }
-                None => status(404, json!({})),
-            };
-        }
-        let txn: Transaction = serde_json::from_slice(body).unwrap();
-        assert!(txn.writes.len() <= 16 && txn.conditions.len() <= 64 && body.len() <= 65536);
-        let failed: Vec<&String> = txn
-            .conditions
-            .iter()
-            .filter(|g| self.version(&g.key) != g.version)
-            .map(|g| &g.key)
-            .collect();
-        if let Some(first) = failed.first() {
+    /// Executes a transaction, if its conditions and leases hold.
+    fn transact(&mut self, body: &[u8]) -> Response {
+        let transaction: Transaction = serde_json::from_slice(body).unwrap();
+        assert!(transaction.writes.len() <= MAX_WRITES);
+        assert!(transaction.conditions.len() <= MAX_CONDITIONS && body.len() <= MAX_BODY_BYTES);
+        let mut conditions = transaction.conditions.iter();
+        if let Some(failed) = conditions.find(|c| self.version(&c.key) != c.version) {
             // Only the first is named, as the protocol does not promise all.
-            return status(409, json!({"failed": [first], "epoch": self.revision}));
+            return status(409, json!({"failed": [failed.key], "epoch": self.revision}));
         }
-        let ended = |w: &Write| match w {
-            Write::Set { lease, .. } => lease.is_some_and(|l| !self.leases.contains_key(&l)),
-            Write::Remove { .. } => false,
-        };
-        if txn.writes.iter().any(ended) {
+        if transaction.writes.iter().any(|w| self.has_expired_lease(w)) {
             return status(400, json!({"error": "no such lease"}));
         }
-        if !txn.writes.is_empty() {
+        if !transaction.writes.is_empty() {
             self.revision += 1;
         }
-        for write in txn.writes {
+        for write in transaction.writes {
             match write {
-                Write::Set { key, value, lease } => {
-                    assert!(value.to_string().len() <= 8192);
-                    if let Some(term) = key.strip_prefix("p/").and_then(|k| k.split('-').next()) {
-                        let now = &self.rows["t/term"].0["term"];
-                        if now.as_u64() != term.parse().ok() {
-                            let text = format!("{key}, in term {now},");
-                            self.repeated.push(text);
-                        }
-                        let first = self.batches.entry(key.clone());
-                        if *first.or_insert_with(|| value.clone()) != value {
-                            self.repeated.push(key.clone());
-                        }
-                    }
-                    self.changes
-                        .push((key.clone(), Some(value.clone()), self.revision));
-                    self.rows.insert(key, (value, self.revision, lease));
-                }
-                Write::Remove { key } => {
-                    if self.rows.remove(&key).is_some() {
-                        self.changes.push((key, None, self.revision));
-                    }
-                }
+                Write::Set { key, value, lease } => self.set(key, value, lease),
+                Write::Remove { key } => self.delete(key),
             }
         }
         ok(json!({"epoch": self.revision}))
     }
+
+    /// Revision of the last write to a key; 0 if it does not exist.
+    fn version(&self, key: &str) -> u64 {
+        self.rows.get(key).map_or(0, |row| row.version)
+    }
+
+    /// Whether a write is bound to a lease that does not exist any more.
+    fn has_expired_lease(&self, write: &Write) -> bool {
+        match write {
+            Write::Set { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
+            Write::Remove { .. } => false,
+        }
+    }
+
+    /// Sets a key at the current revision.
+    fn set(&mut self, key: String, value: Value, lease: Option<u64>) {
+        assert!(value.to_string().len() <= MAX_VALUE_BYTES);
+        self.check_batch(&key, &value);
+        let version = self.revision;
+        self.changes.push(Change {
+            key: key.clone(),
+            value: Some(value.clone()),
+            revision: version,
+        });
+        let row = Row {
+            value,
+            version,
+            lease,
+        };
+        self.rows.insert(key, row);
+    }
+
+    /// Deletes a key, if it exists, at the current revision.
+    fn delete(&mut self, key: String) {
+        if self.rows.remove(&key).is_some() {
+            self.changes.push(Change {
+                key,
+                value: None,
+                revision: self.revision,
+            });
+        }
+    }
+
+    /// Records a placement batch whose key is used again, or that is written under another
+    /// term than its key names.
+    fn check_batch(&mut self, key: &str, value: &Value) {
+        let Some(batch) = key.strip_prefix(BATCH_PREFIX) else {
+            return;
+        };
+        let term = batch.split('-').next().unwrap_or_default();
+        let current_term = &self.rows[TERM_KEY].value["term"];
+        if current_term.as_u64() != term.parse().ok() {
+            let violation = format!("{key}, in term {current_term},");
+            self.reused_keys.push(violation);
+        }
+        let first = self.batches.entry(key.to_string());
+        if first.or_insert_with(|| value.clone()) != value {
+            self.reused_keys.push(key.to_string());
+        }
+    }
+}
+
+/// The value of a query's parameter; `name` includes the equals sign.
+pub(crate) fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+    query
+        .split('&')
+        .find_map(|parameter| parameter.strip_prefix(name))
 }
--- /dev/null
+++ b/crates/tallygauge-sim/src/transport.rs
@@ -0,0 +1,110 @@
+//! The network between a controller and the stand-ins: delivers each request after the
+//! link's delay, with the faults that are set.
+
+use crate::{Simulation, exchanges::Request};
+use serde_json::Value;
+use std::{pin::Pin, sync::Arc, time::Duration};
+use tallygauge_store::http::{HttpResult, RequestError, Transport};
+use warp::http::{Method, StatusCode};
+
+/// Address of the store's stand-in in the settings of controllers.
+pub(crate) const STORE_ADDRESS: &str = "127.0.0.1:7002";
+
+/// Address of the cloud's stand-in in the settings of controllers.
+pub(crate) const CLOUD_ADDRESS: &str = "127.0.0.1:7001";
+
+/// How long a request without a response hangs: longer than every client waits.
+const HANG_TIME: Duration = Duration::from_secs(3600);
+
+/// An HTTP response of a stand-in.
+pub(crate) type Response = (StatusCode, bytes::Bytes);
+
+/// Transport of one controller's HTTP client; hosts that are neither store nor cloud are
+/// workers.
+pub(crate) struct SimulatedTransport {
+    pub(crate) simulation: Arc<Simulation>,
+    /// Name of the controller that sends the requests.
+    pub(crate) controller: String,
+}
+
+impl Transport for SimulatedTransport {
+    fn send(
+        &self,
+        method: Method,
+        url: String,
+        body: bytes::Bytes,
+    ) -> Pin<Box<dyn Future<Output = HttpResult> + Send>> {
+        let (simulation, controller) = (self.simulation.clone(), self.controller.clone());
+        Box::pin(async move { deliver(&simulation, &controller, &method, &url, &body).await })
+    }
+}
+
+/// Delivers a request to the stand-in that its URL names and returns the response.
+async fn deliver(
+    simulation: &Simulation,
+    controller: &str,
+    method: &Method,
+    url: &str,
+    body: &[u8],
+) -> HttpResult {
+    let link_delay_s = simulation.state.lock().unwrap().faults.link_delay_s;
+    tokio::time::sleep(Duration::from_secs_f64(link_delay_s)).await;
+    let rest = url.strip_prefix("http://").unwrap_or_default();
+    let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
+    let request = format!("{method} {path}");
+    simulation
+        .wait_at_fault_point(controller, &request, false)
+        .await;
+    let number = simulation.record_request(&Request {
+        from: controller,
+        to: host,
+        method: method.as_str(),
+        path,
+        body,
+    });
+    let response = match host {
+        STORE_ADDRESS => {
+            simulation
+                .handle_store_request(controller, method, path, body)
+                .await
+        }
+        CLOUD_ADDRESS => Ok(simulation.handle_cloud_request(method, path, body)),
+        worker => {
+            simulation
+                .deliver_direct_commands(controller, worker, body)
+                .await
+        }
+    };
+    simulation.record_outcome(number, &response);
+    simulation
+        .wait_at_fault_point(controller, &request, true)
+        .await;
+    let truncated = simulation.state.lock().unwrap().faults.truncate_responses;
+    response.map(|(code, body)| {
+        let kept = if truncated {
+            body.len() / 2
+        } else {
+            body.len()
+        };
+        (code, body.slice(..kept))
+    })
+}
+
+/// Hangs until every client has timed out, as a request without a response does.
+pub(crate) async fn hang() -> HttpResult {
+    tokio::time::sleep(HANG_TIME).await;
+    Err(RequestError::NoResponse)
+}
+
+/// A response with status 200.
+pub(crate) fn ok(body: Value) -> Response {
+    status(200, body)
+}
+
+/// A response with another status.
+pub(crate) fn status(code: u16, body: Value) -> Response {
+    (
+        StatusCode::from_u16(code).unwrap(),
+        body.to_string().into_bytes().into(),
+    )
+}
--- a/crates/tallygauge-sim/src/users.rs
+++ b/crates/tallygauge-sim/src/users.rs
@@ -1,4 +1,5 @@
-//! Users: what they submit, ask and are told.
+//! The stand-in for users, who submit jobs, read their status and cancel them, and helpers
+//! for tests.
 
 use crate::{LEASE_S, Simulation};
 use serde_json::json;
@@ -11,22 +12,22 @@
 use tokio::{task::JoinHandle, time::Instant};
 use warp::http::Method;
 
-/// What is submitted of a job, as far as days differ in it.
+/// A job to submit, as far as jobs differ in the simulation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct JobShape {
-    /// Tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// CPUs of each.
+    /// CPUs of each task.
     pub cpus: f64,
-    /// Seconds that each runs.
+    /// Seconds that each task runs.
     pub run_s: f64,
-    /// Team.
+    /// Team that owns the job.
     pub team: &'static str,
-    /// Priority.
-    pub urgency: &'static str,
-    /// The only zone allowed, if any.
+    /// Priority: `low`, `normal` or `urgent`.
+    pub priority: &'static str,
+    /// The only zone in which its tasks may run, if any.
     pub zone: Option<&'static str>,
-    /// Whether all tasks must be in one zone.
+    /// Whether all tasks must run in one zone.
     pub one_zone: bool,
 }
 
@@ -37,7 +38,7 @@
             cpus: 1.0,
             run_s: 5.0,
             team: "t",
-            urgency: "normal",
+            priority: "normal",
             zone: None,
             one_zone: false,
         }
@@ -45,7 +46,8 @@
 }
 
 impl Simulation {
-    /// What the user submits; its tasks will run for `run_s`.
+    /// A job of team `t` whose tasks run for `run_s` seconds: its id and the body of its
+    /// submission.
     pub fn job(&self, number: u32, tasks: u32, cpus: f64, run_s: f64) -> (String, Vec<u8>) {
         let shape = JobShape {
             tasks,
@@ -56,13 +58,17 @@
         self.job_with_shape(number, shape)
     }
 
-    /// What the user submits of a job of any shape.
+    /// A job of any shape: its id and the body of its submission.
     pub fn job_with_shape(&self, number: u32, shape: JobShape) -> (String, Vec<u8>) {
         let id = format!("req-{number:06}");
-        self.state.lock().unwrap().runs.insert(id.clone(), shape);
+        self.state
+            .lock()
+            .unwrap()
+            .job_shapes
+            .insert(id.clone(), shape);
         let body = json!({
             "nameId": id, "workload": "w", "owner": shape.team, "shape": "array",
-            "urgency": shape.urgency, "pieces": shape.tasks, "cores": shape.cpus, "gpus": 0.0,
+            "urgency": shape.priority, "pieces": shape.tasks, "cores": shape.cpus, "gpus": 0.0,
             "memGb": 1.0, "bundle": "i", "pullGb": 1.0, "site": shape.zone,
             "oneZone": shape.one_zone, "spread": false, "borrowed": false,
             "expectedS": shape.run_s, "snapshotEveryS": 0.0, "snapshotS": 0.0
@@ -71,7 +77,8 @@
     }
 }
 
-/// Waits until something holds, for simulated seconds at most.
+/// Checks a condition every 100 ms of simulated time until it holds, for so many seconds.
+/// Returns whether it held.
 pub async fn eventually(seconds: f64, mut holds: impl AsyncFnMut() -> bool) -> bool {
     let end = Instant::now() + Duration::from_secs_f64(seconds);
     while Instant::now() < end {
@@ -88,7 +95,7 @@
     tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
 }
 
-/// What a reply says of its job.
+/// The status of a job in a reply, if it has one.
 pub fn reply_status(reply: &Reply) -> Option<JobStatus> {
     match reply {
         Reply::Job(_, answer) => Some(answer.status),
@@ -96,35 +103,36 @@
     }
 }
 
-/// Asks a controller about a job.
+/// Reads a job's status from a controller; `None` if it doesn't answer with one.
 pub async fn query_status(controller: &Controller, id: &str) -> Option<JobStatus> {
     reply_status(&user_api::job_status(controller, id).await)
 }
 
-/// Submits a job until it is accepted.
+/// Submits a job to a controller until it is accepted; panics after 30 seconds.
 pub async fn submit_until_accepted(controller: &Arc<Controller>, body: &[u8]) {
-    let kept = eventually(30.0, async || {
+    let accepted = eventually(30.0, async || {
         matches!(user_api::submit(controller, body).await.status(), 200 | 201)
     })
     .await;
-    assert!(kept, "not accepted");
+    assert!(accepted, "not accepted");
 }
 
-/// Cancels a job through a controller, whose user must be told so within so many seconds.
+/// Cancels a job through a controller until that confirms it; panics after `within_s`
+/// seconds.
 pub async fn cancel_until_confirmed(
     simulation: &Simulation,
     controller: &Arc<Controller>,
     id: &str,
     within_s: f64,
 ) {
-    let told = eventually(within_s, async || {
+    let confirmed = eventually(within_s, async || {
         reply_status(&user_api::cancel(controller, id).await) == Some(JobStatus::Cancelled)
     });
-    assert!(told.await, "{id} can't be cancelled");
+    assert!(confirmed.await, "{id} can't be cancelled");
     simulation.record_cancellation(id);
 }
 
-/// Whether a job is called done within thirty leases.
+/// Waits until a controller calls a job done. Returns whether it did within thirty leases.
 pub async fn wait_until_done(controller: &Arc<Controller>, id: &str) -> bool {
     eventually(LEASE_S * 30.0, async || {
         query_status(controller, id).await == Some(JobStatus::Done)
@@ -132,29 +140,29 @@
     .await
 }
 
-/// A simulation in play, led by its first controller.
+/// Starts a simulation with one controller, `n-a`, and waits until that leads.
 pub async fn start_with_leader() -> (Arc<Simulation>, Arc<Controller>, JoinHandle<()>) {
     let simulation = Simulation::new();
     tokio::spawn(simulation.clone().run_workers());
-    let (a, task) = simulation.start_controller("n-a");
-    assert!(eventually(30.0, async || is_active_leader(&a)).await);
-    (simulation, a, task)
+    let (controller, task) = simulation.start_controller("n-a");
+    assert!(eventually(30.0, async || is_active_leader(&controller)).await);
+    (simulation, controller, task)
 }
 
-/// Starts so far.
+/// Number of task starts so far.
 pub fn count_starts(simulation: &Simulation) -> usize {
     simulation.state.lock().unwrap().starts.len()
 }
 
-/// Whether a controller leads and has its picture.
+/// Whether a controller leads and has recovered the cluster state.
 pub fn is_active_leader(controller: &Controller) -> bool {
     controller
         .lock(&controller.leadership)
         .as_ref()
-        .is_some_and(|l| l.cluster.is_some())
+        .is_some_and(|leadership| leadership.cluster.is_some())
 }
 
-/// Passes requests on to one other controller, as the peer service does.
+/// Relays requests of users to one other controller, as the peer service does.
 pub struct RelayTo(pub Arc<Controller>);
 
 impl Relay for RelayTo {
--- /dev/null
+++ b/crates/tallygauge-sim/src/worker_agent.rs
@@ -0,0 +1,239 @@
+//! The agents of workers: they send heartbeats to controllers, look for another one when
+//! they get no answer, and accept direct commands of the highest fencing token.
+
+use crate::{
+    HEARTBEAT_INTERVAL_S, SimState, Simulation,
+    machines::SimTask,
+    state::{DelayedCommands, DelayedMessage},
+    transport::{Response, hang, ok, status},
+};
+use rand::RngExt;
+use serde_json::{Value, json};
+use std::{collections::HashMap, sync::Arc, time::Duration};
+use tallygauge::{controller::Controller, worker_api::HeartbeatReply};
+use tallygauge_protocol::workers::{DirectCommands, HeartbeatResponse};
+use tallygauge_store::http::HttpResult;
+
+/// Time between two steps of all machines.
+const STEP: Duration = Duration::from_millis(50);
+
+/// Shortest delay of direct commands that are delivered late, in seconds.
+const MIN_COMMAND_DELAY_S: f64 = 0.5;
+
+/// A heartbeat to be sent.
+struct OutgoingHeartbeat {
+    worker: String,
+    /// Index, modulo their number, of the controller that gets it.
+    controller_index: usize,
+    body: Vec<u8>,
+}
+
+impl Simulation {
+    /// Runs machines and workers for ever: machines boot, tasks complete, heartbeats are
+    /// sent and delayed messages delivered.
+    pub async fn run_workers(self: Arc<Self>) {
+        let mut next_heartbeat_at = HashMap::new();
+        loop {
+            tokio::time::sleep(STEP).await;
+            let now = self.now();
+            let heartbeats = {
+                let mut state = self.state.lock().unwrap();
+                if !state.faults.store_down {
+                    state.store.expire_leases(now);
+                }
+                state.advance(now);
+                state.due_heartbeats(now, &mut next_heartbeat_at)
+            };
+            self.apply_late_writes(now);
+            self.deliver_delayed_commands(now);
+            self.deliver_delayed_heartbeats(now);
+            for heartbeat in heartbeats {
+                self.schedule_duplicate(now, &heartbeat.body);
+                self.exchange_heartbeat(now, &heartbeat);
+            }
+        }
+    }
+
+    /// Sends a heartbeat to the worker's controller; the worker applies the answer, or
+    /// turns to the next controller.
+    fn exchange_heartbeat(&self, now: f64, heartbeat: &OutgoingHeartbeat) {
+        let worker = &heartbeat.worker;
+        let controller = self.reachable_controller(worker, heartbeat.controller_index);
+        let reply = controller.map(|c| self.send_heartbeat(&c, worker, &heartbeat.body));
+        let mut state = self.state.lock().unwrap();
+        if let Some(HeartbeatReply::Accepted(response)) = reply {
+            state.apply_heartbeat_response(now, worker, &response);
+        } else if let Some(worker) = state.workers.get_mut(worker) {
+            worker.controller_index += 1;
+        }
+    }
+
+    /// The controller with this index, if it is connected, not paused and the worker can
+    /// reach it.
+    fn reachable_controller(&self, worker: &str, index: usize) -> Option<Arc<Controller>> {
+        let controller = {
+            let controllers = self.controllers.lock().unwrap();
+            let slot = controllers.get(index % controllers.len().max(1));
+            slot.cloned().flatten()?
+        };
+        let name = &controller.settings.node_name;
+        let is_reachable =
+            !self.is_paused(name) && self.state.lock().unwrap().has_link(worker, name);
+        is_reachable.then_some(controller)
+    }
+
+    /// Delivers a controller's direct commands to a worker and returns its answer. Commands
+    /// that are delayed, or whose machine hangs, get no response and are executed later.
+    pub async fn deliver_direct_commands(
+        &self,
+        controller: &str,
+        worker: &str,
+        body: &[u8],
+    ) -> HttpResult {
+        let response = {
+            let now = self.now();
+            let mut state = self.state.lock().unwrap();
+            let delays = state.faults.delayed_commands;
+            let is_delayed = state.strikes(delays.probability);
+            if !state.has_link(worker, controller) {
+                None
+            } else if is_delayed || state.is_hung(worker) {
+                let delay_s = if is_delayed {
+                    state
+                        .random
+                        .random_range(MIN_COMMAND_DELAY_S..delays.max_delay_s)
+                } else {
+                    0.0
+                };
+                state.delay_commands(worker, now + delay_s, body.to_vec());
+                None
+            } else {
+                state.apply_direct_commands(now, worker, body)
+            }
+        };
+        match response {
+            Some(response) => Ok(response),
+            None => hang().await,
+        }
+    }
+
+    /// Delivers delayed direct commands that are due, except to machines that hang.
+    fn deliver_delayed_commands(&self, now: f64) {
+        let mut state = self.state.lock().unwrap();
+        let waiting = std::mem::take(&mut state.delayed_commands);
+        for commands in waiting {
+            if commands.message.due_at > now || state.is_hung(&commands.worker) {
+                state.delayed_commands.push(commands);
+            } else {
+                state.apply_direct_commands(now, &commands.worker, &commands.message.body);
+            }
+        }
+    }
+}
+
+impl SimState {
+    /// The heartbeats that are due, and when the next ones will be.
+    fn due_heartbeats(
+        &mut self,
+        now: f64,
+        next_heartbeat_at: &mut HashMap<String, f64>,
+    ) -> Vec<OutgoingHeartbeat> {
+        let is_due = |name: &String| next_heartbeat_at.get(name).is_none_or(|at| *at <= now);
+        let senders = self.workers.iter();
+        let senders: Vec<String> = senders
+            .filter(|(name, worker)| worker.can_send() && is_due(name))
+            .map(|(name, _)| name.clone())
+            .collect();
+        let heartbeat_of = |worker: String| {
+            next_heartbeat_at.insert(worker.clone(), now + HEARTBEAT_INTERVAL_S);
+            let body = self.next_heartbeat(&worker).unwrap();
+            OutgoingHeartbeat {
+                controller_index: self.workers[&worker].controller_index,
+                worker,
+                body: body.to_string().into_bytes(),
+            }
+        };
+        senders.into_iter().map(heartbeat_of).collect()
+    }
+
+    /// The next heartbeat of a worker; `None` if it is silent or gone.
+    pub fn next_heartbeat(&mut self, name: &str) -> Option<Value> {
+        let worker = self.workers.get_mut(name).filter(|worker| !worker.silent)?;
+        worker.sequence += 1;
+        Some(self.heartbeat(name))
+    }
+
+    /// A worker's heartbeat with its current sequence number.
+    fn heartbeat(&self, name: &str) -> Value {
+        let worker = &self.workers[name];
+        let tasks: Vec<Value> = worker.tasks.iter().map(task_status).collect();
+        json!({"bench": name, "endpoint": self.endpoint(name), "build": "c8", "site": worker.zone, "borrowed": false,
+            "shift": worker.incarnation, "tick": worker.sequence, "baton": worker.fencing_token, "recallS": null, "pieces": tasks})
+    }
+
+    /// A worker applies the answer to a heartbeat that it sent at `sent_at`: its lease
+    /// counts from there. Answers that don't reach it, or have an old fencing token, are
+    /// ignored.
+    pub fn apply_heartbeat_response(
+        &mut self,
+        sent_at: f64,
+        name: &str,
+        response: &HeartbeatResponse,
+    ) {
+        let worker = self.workers.get_mut(name);
+        let Some(worker) = worker.filter(|worker| !worker.inbound_blocked) else {
+            return;
+        };
+        if response.token < worker.fencing_token {
+            return;
+        }
+        worker.fencing_token = response.token;
+        worker.lease_renewed_at = worker.lease_renewed_at.max(sent_at);
+        self.execute_commands(sent_at, name, &response.commands);
+    }
+
+    /// A worker applies direct commands and answers with its status; `None` if they don't
+    /// reach it. Commands of an old fencing token or another incarnation are rejected.
+    fn apply_direct_commands(&mut self, now: f64, name: &str, body: &[u8]) -> Option<Response> {
+        let request: DirectCommands = serde_json::from_slice(body).unwrap();
+        self.advance(now);
+        let worker = self.workers.get_mut(name)?;
+        if worker.silent || worker.inbound_blocked {
+            return None;
+        }
+        worker.sequence += 1;
+        if request.token < worker.fencing_token || request.session != worker.incarnation {
+            self.rejected_commands += 1;
+            return Some(status(409, self.heartbeat(name)));
+        }
+        worker.fencing_token = request.token;
+        self.execute_commands(now, name, &request.commands);
+        Some(ok(self.heartbeat(name)))
+    }
+
+    /// Schedules direct commands for a later delivery.
+    fn delay_commands(&mut self, worker: &str, due_at: f64, body: Vec<u8>) {
+        self.delayed_commands.push(DelayedCommands {
+            worker: worker.to_string(),
+            message: DelayedMessage { due_at, body },
+        });
+    }
+
+    /// Whether a worker's machine hangs.
+    fn is_hung(&self, worker: &str) -> bool {
+        self.workers
+            .get(worker)
+            .is_some_and(|worker| worker.is_hung())
+    }
+
+    /// Whether a worker and a controller can reach each other.
+    fn has_link(&self, worker: &str, controller: &str) -> bool {
+        let only = self.faults.exclusive_links.get(worker);
+        only.is_none_or(|only| only == controller)
+    }
+}
+
+/// A task as a heartbeat lists it.
+fn task_status(task: &SimTask) -> Value {
+    json!({"piece": task.name, "try": task.attempt, "status": task.state.status(), "cause": task.state.cause()})
+}
--- a/crates/tallygauge-sim/tests/batch_deadlines.rs
+++ b/crates/tallygauge-sim/tests/batch_deadlines.rs
@@ -121,7 +121,7 @@
             && rank(&controller_d) == Some((2, 3)))
         .await
     );
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 // Ranks are stored before they apply: while they can't be stored they are not in force,
@@ -131,7 +131,7 @@
     let simulation = Simulation::new();
     tokio::spawn(simulation.clone().run_workers());
     // Later, the next leader finds records that can't be parsed.
-    simulation.state.lock().unwrap().lose_next_responses = 0;
+    simulation.state.lock().unwrap().faults.lose_next_responses = 0;
     let (controller_a, task_a) = simulation.start_controller_with("n-a", settings(5, 50));
     assert!(eventually(30.0, async || is_active_leader(&controller_a)).await);
     assert!(eventually(10.0, async || rank(&controller_a) == Some((1, 5))).await);
@@ -171,7 +171,7 @@
             == Some(JobStatus::Done))
         .await
     );
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/tallygauge-sim/tests/concurrent_faults.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults.rs
@@ -5,9 +5,9 @@
 use tallygauge::{controller::Controller, user_api};
 use tallygauge_protocol::users::JobStatus;
 use tallygauge_sim::{
-    CANCEL_TIMEOUT_S, FaultPoint, HEARTBEAT_INTERVAL_S, LEASE_S, RelayTo, Simulation,
-    cancel_until_confirmed, count_starts, eventually, is_active_leader, query_status, sleep_s,
-    start_with_leader, submit_until_accepted, wait_until_done,
+    CANCEL_TIMEOUT_S, DelayedWrite, FaultPoint, HEARTBEAT_INTERVAL_S, LEASE_S, RandomDelay,
+    RelayTo, Simulation, cancel_until_confirmed, count_starts, eventually, is_active_leader,
+    query_status, sleep_s, start_with_leader, submit_until_accepted, wait_until_done,
 };
 use warp::http::Method;
 
@@ -58,7 +58,7 @@
             });
             assert!(told.await, "{alone_ms} ms");
         }
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -82,7 +82,7 @@
         simulation.running_task_count(&id) == 0
     });
     assert!(gone.await, "it waits for the fence");
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 // A leader that had won its term but not recovered the cluster state used to answer
@@ -94,22 +94,30 @@
     for slow in [0.1, 0.2, 0.3, 0.4, 0.5] {
         let (simulation, [(_controller_a, task_a), (controller_b, _task_b)], id) =
             two_long_tasks().await;
-        simulation.state.lock().unwrap().hang_job_watches = true;
+        simulation.state.lock().unwrap().faults.hang_job_watches = true;
         cancel_until_confirmed(&simulation, &controller_b, &id, 5.0).await;
         sleep_s(LEASE_S * slow).await;
         // The last of the lists from which a new leader recovers.
-        simulation.state.lock().unwrap().store_down_at = Some(FaultPoint {
+        simulation.state.lock().unwrap().faults.store_down_at = Some(FaultPoint {
             controller: "n-b".into(),
             request: "GET /store?starts=p/",
-            answered: false,
+            after_response: false,
         });
         simulation.crash_controller("n-a", &task_a);
-        assert!(eventually(10.0, async || simulation.state.lock().unwrap().store_down).await);
+        assert!(
+            eventually(10.0, async || simulation
+                .state
+                .lock()
+                .unwrap()
+                .faults
+                .store_down)
+            .await
+        );
         assert!(
             !is_active_leader(&controller_b),
             "the cluster state is not recovered"
         );
-        simulation.state.lock().unwrap().hang_job_watches = false;
+        simulation.state.lock().unwrap().faults.hang_job_watches = false;
         sleep_s(CANCEL_TIMEOUT_S * 1.5).await;
         simulation.set_store_down(false);
         assert!(eventually(30.0, async || is_active_leader(&controller_b)).await);
@@ -117,7 +125,7 @@
             query_status(&controller_b, &id).await,
             Some(JobStatus::Cancelled)
         );
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -139,7 +147,7 @@
         (last, task) = early.unwrap_or_else(|| simulation.start_controller(name));
     }
     assert!(wait_until_done(&last, &id).await);
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 // A transaction that the store executes after newer ones of the same controller fails
@@ -150,7 +158,7 @@
         let (simulation, controller_a, task_a) = start_with_leader().await;
         simulation.seed(seed);
         let (controller_b, _task_b) = simulation.start_controller("n-b");
-        simulation.state.lock().unwrap().late_writes = 0.5;
+        simulation.state.lock().unwrap().faults.late_writes = 0.5;
         let mut ids = Vec::new();
         for n in 1..=5 {
             let (id, body) = simulation.job(n, 4, 2.0, 3.0);
@@ -162,7 +170,7 @@
         simulation.crash_controller("n-a", &task_a);
         let (controller_c, _task_c) = simulation.start_controller("n-c");
         sleep_s(8.0).await;
-        simulation.state.lock().unwrap().late_writes = 0.0;
+        simulation.state.lock().unwrap().faults.late_writes = 0.0;
         for id in &ids[..4] {
             assert!(wait_until_done(&controller_c, id).await, "{seed}: {id}");
         }
@@ -171,7 +179,7 @@
         });
         assert!(told.await, "{seed}");
         sleep_s(CANCEL_TIMEOUT_S).await;
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -183,9 +191,18 @@
     // The team's quota allows two tasks at a time.
     let (id, body) = simulation.job(1, 5, 8.0, 12.0);
     submit_until_accepted(&controller_a, &body).await;
-    simulation.state.lock().unwrap().delay_next_write = Some(("f/", 18.0));
+    simulation.state.lock().unwrap().faults.delay_next_write = Some(DelayedWrite {
+        key_prefix: "f/",
+        delay_s: 18.0,
+    });
     let late = eventually(60.0, async || {
-        simulation.state.lock().unwrap().delay_next_write.is_none()
+        simulation
+            .state
+            .lock()
+            .unwrap()
+            .faults
+            .delay_next_write
+            .is_none()
     });
     assert!(late.await);
     // Two more tasks complete and are stored; then the delayed write is executed.
@@ -194,7 +211,7 @@
     let (controller_b, _task_b) = simulation.start_controller("n-b");
     assert!(wait_until_done(&controller_b, &id).await);
     assert_eq!(count_starts(&simulation), 5, "none runs again");
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 // An attempt of an earlier leader occupies its task, capacity and quota until it has
@@ -205,7 +222,7 @@
     for (inbound_blocked, back_s) in [(false, 3.0), (true, 3.0), (false, 40.0), (true, 40.0)] {
         let (simulation, [(_controller_a, task_a), (controller_b, task_b)], id) =
             two_long_tasks().await;
-        let machine = simulation.state.lock().unwrap().starts[0].2.clone();
+        let machine = simulation.state.lock().unwrap().starts[0].worker.clone();
         let set_unreachable = |on| {
             if inbound_blocked {
                 simulation.set_inbound_blocked(&machine, on);
@@ -233,7 +250,7 @@
             usize::from(back_s > LEASE_S),
             "inbound blocked {inbound_blocked}"
         );
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -247,7 +264,10 @@
         let (first, body) = simulation.job(1, 4, 4.0, 2.0 + seed as f64 / 4.0);
         submit_until_accepted(&controller_a, &body).await;
         assert!(eventually(30.0, async || !simulation.booted_machines().is_empty()).await);
-        simulation.state.lock().unwrap().delayed_commands = (0.7, LEASE_S * 0.8);
+        simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay {
+            probability: 0.7,
+            max_delay_s: LEASE_S * 0.8,
+        };
         let (second, body) = simulation.job(2, 6, 2.0, 3.0);
         submit_until_accepted(&controller_a, &body).await;
         let (third, body) = simulation.job(3, 2, 8.0, 60.0);
@@ -267,11 +287,11 @@
             cancel_until_confirmed(&simulation, &controller_a, &third, 5.0).await;
         }
         sleep_s(CANCEL_TIMEOUT_S).await;
-        simulation.state.lock().unwrap().delayed_commands = (0.0, 0.0);
+        simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay::NONE;
         for id in [&first, &second] {
             assert!(wait_until_done(&controller_a, id).await, "{seed}");
         }
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -297,7 +317,7 @@
         });
         assert!(all.await);
         assert_eq!(count_starts(&simulation), 3, "after {after_s} s");
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -308,7 +328,10 @@
     let (simulation, controller_a, task_a) = start_with_leader().await;
     let (id, body) = simulation.job(1, 3, 8.0, 12.0);
     submit_until_accepted(&controller_a, &body).await;
-    simulation.state.lock().unwrap().delay_next_write = Some(("f/", 300.0));
+    simulation.state.lock().unwrap().faults.delay_next_write = Some(DelayedWrite {
+        key_prefix: "f/",
+        delay_s: 300.0,
+    });
     let heard = eventually(60.0, async || {
         controller_a
             .with_cluster(|cluster| cluster.task_counts(&id))
@@ -321,7 +344,7 @@
     let (controller_b, _task_b) = simulation.start_controller("n-b");
     assert!(wait_until_done(&controller_b, &id).await);
     assert_eq!(count_starts(&simulation), 3, "none runs again");
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 // What a partitioned leader answers its users and workers, until it is fenced and
@@ -339,8 +362,8 @@
         false
     });
     assert!(!asked.await);
-    simulation.assert_rules();
-    simulation.state.lock().unwrap().partitioned.clear();
+    simulation.assert_invariants();
+    simulation.state.lock().unwrap().faults.partitioned.clear();
     for controller in [&controller_a, &controller_b] {
         let told = eventually(LEASE_S, async || {
             let told = query_status(controller, &id).await;
@@ -350,5 +373,5 @@
         assert!(told.await);
     }
     assert_eq!(count_starts(&simulation), 2);
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
--- a/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
@@ -4,7 +4,7 @@
 use tallygauge::{controller::Controller, user_api};
 use tallygauge_protocol::users::JobStatus;
 use tallygauge_sim::{
-    CANCEL_TIMEOUT_S, FaultPoint, HEARTBEAT_INTERVAL_S, JobShape, LEASE_S, Simulation,
+    CANCEL_TIMEOUT_S, FaultPoint, HEARTBEAT_INTERVAL_S, JobShape, LEASE_S, RandomDelay, Simulation,
     cancel_until_confirmed, count_starts, eventually, is_active_leader, query_status, reply_status,
     sleep_s, start_with_leader, submit_until_accepted, wait_until_done,
 };
@@ -80,7 +80,7 @@
         for id in &ids {
             assert!(wait_until_done(&last.0, id).await, "{seed}: {id}");
         }
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -112,7 +112,7 @@
         }
         assert!(wait_until_done(&controller_b, &ids[5]).await);
         assert_eq!(count_starts(&simulation), 12, "nothing starts again");
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -122,12 +122,12 @@
 async fn replayed_heartbeats_during_election_break_no_invariant() {
     for moment in ["before the term", "before the state is read", "after"] {
         let (simulation, controller_a, task) = start_with_leader().await;
-        simulation.state.lock().unwrap().capture_heartbeats = true;
+        simulation.state.lock().unwrap().faults.capture_heartbeats = true;
         let (id, body) = simulation.job(1, 4, 4.0, LEASE_S * 4.0);
         submit_until_accepted(&controller_a, &body).await;
         assert!(eventually(60.0, async || simulation.running_task_count(&id) == 4).await);
         // The lease of one worker expires, and its task is started again.
-        let machine = simulation.state.lock().unwrap().starts[0].2.clone();
+        let machine = simulation.state.lock().unwrap().starts[0].worker.clone();
         simulation.set_silent(&machine, true);
         sleep_s(LEASE_S * 1.5).await;
         simulation.set_silent(&machine, false);
@@ -136,14 +136,14 @@
                 == 4)
             .await
         );
-        simulation.state.lock().unwrap().capture_heartbeats = false;
+        simulation.state.lock().unwrap().faults.capture_heartbeats = false;
         let (controller_b, _task_b) = simulation.start_controller("n-b");
         sleep_s(1.0).await;
         if moment == "before the state is read" {
-            simulation.state.lock().unwrap().pause_at = Some(FaultPoint {
+            simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
                 controller: "n-b".into(),
                 request: "GET /store?starts=p/",
-                answered: false,
+                after_response: false,
             });
         }
         crash(&simulation, (controller_a, task));
@@ -162,7 +162,7 @@
         }
         wait_until_leader(&controller_b).await;
         assert!(wait_until_done(&controller_b, &id).await, "{moment}");
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -175,9 +175,9 @@
         let (first, body) = simulation.job(1, 2, 8.0, 5.0);
         submit_until_accepted(&controller_a, &body).await;
         assert!(eventually(60.0, async || simulation.running_task_count(&first) == 2).await);
-        simulation.state.lock().unwrap().capture_heartbeats = true;
+        simulation.state.lock().unwrap().faults.capture_heartbeats = true;
         sleep_s(HEARTBEAT_INTERVAL_S * 3.0).await;
-        simulation.state.lock().unwrap().capture_heartbeats = false;
+        simulation.state.lock().unwrap().faults.capture_heartbeats = false;
         let (second, body) = simulation.job(2, 2, 8.0, LEASE_S * 3.0);
         submit_until_accepted(&controller_a, &body).await;
         crash(&simulation, (controller_a, task));
@@ -189,7 +189,7 @@
             assert!(wait_until_done(&controller_b, id).await, "{wait_s}");
         }
         assert_eq!(count_starts(&simulation), 4, "none runs again");
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -203,7 +203,10 @@
         let (first, body) = simulation.job(1, 4, 2.0, 12.0);
         submit_until_accepted(&controller_a, &body).await;
         assert!(eventually(60.0, async || !simulation.booted_machines().is_empty()).await);
-        simulation.state.lock().unwrap().delayed_commands = (0.8, LEASE_S * 1.4);
+        simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay {
+            probability: 0.8,
+            max_delay_s: LEASE_S * 1.4,
+        };
         let (second, body) = simulation.job(2, 4, 2.0, 20.0);
         submit_until_accepted(&controller_a, &body).await;
         let (third, body) = simulation.job(3, 2, 2.0, 60.0);
@@ -222,12 +225,12 @@
             simulation.resume("n-a");
         }
         sleep_s(CANCEL_TIMEOUT_S + 1.0).await;
-        simulation.state.lock().unwrap().delayed_commands = (0.0, 0.0);
+        simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay::NONE;
         assert_eq!(simulation.running_task_count(&third), 0);
         for id in [&first, &second] {
             assert!(wait_until_done(&controller_b, id).await, "{seed}");
         }
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -279,7 +282,7 @@
             wait_until_done(&controller_b, &third).await,
             "hangs {hangs}, early {early}"
         );
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -305,7 +308,7 @@
             query_status(&controller_b, &ids[1]).await,
             Some(JobStatus::Cancelled)
         );
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -320,10 +323,11 @@
         let machines = simulation.booted_machines();
         {
             let mut state = simulation.state.lock().unwrap();
-            state.partitioned.insert("n-a".into());
+            state.faults.partitioned.insert("n-a".into());
             for (n, machine) in machines.iter().enumerate() {
                 let controller = if n % 2 == 0 { "n-a" } else { "n-b" };
                 state
+                    .faults
                     .exclusive_links
                     .insert(machine.clone(), controller.into());
             }
@@ -333,13 +337,13 @@
         sleep_s(cut_s).await;
         {
             let mut state = simulation.state.lock().unwrap();
-            state.partitioned.clear();
-            state.exclusive_links.clear();
+            state.faults.partitioned.clear();
+            state.faults.exclusive_links.clear();
         }
         sleep_s(CANCEL_TIMEOUT_S).await;
         assert_eq!(simulation.running_task_count(&ids[0]), 0);
         assert!(wait_until_done(&controller_b, &ids[1]).await, "{cut_s}");
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -351,7 +355,7 @@
         let (simulation, controller_a, _task_a) = start_with_leader().await;
         let (controller_b, _task_b) = simulation.start_controller("n-b");
         let ids = fill_team_quotas(&simulation, &controller_a).await;
-        simulation.state.lock().unwrap().link_delay_s = link_delay_s;
+        simulation.state.lock().unwrap().faults.link_delay_s = link_delay_s;
         sleep_s(LEASE_S * 0.5).await;
         simulation.set_store_refuses("n-a", true);
         cancel_until_confirmed(&simulation, &controller_b, &ids[0], 20.0).await;
@@ -369,11 +373,11 @@
         assert_eq!(simulation.running_task_count(&ids[0]), 0);
         simulation.set_store_down(false);
         simulation.set_store_refuses("n-a", false);
-        simulation.state.lock().unwrap().link_delay_s = 0.003;
+        simulation.state.lock().unwrap().faults.link_delay_s = 0.003;
         cancel_until_confirmed(&simulation, &controller_a, &ids[1], 30.0).await;
         sleep_s(CANCEL_TIMEOUT_S + 1.0).await;
         assert_eq!(simulation.running_task_count(&ids[1]), 0);
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -387,10 +391,10 @@
     submit_until_accepted(&controller_b, &body).await;
     assert!(wait_until_done(&controller_b, &first).await);
     let (second, body) = simulation.job(2, 2, 4.0, 5.0);
-    simulation.state.lock().unwrap().pause_at = Some(FaultPoint {
+    simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
         controller: "n-a".into(),
         request: "POST /multi",
-        answered: false,
+        after_response: false,
     });
     submit_until_accepted(&controller_b, &body).await;
     assert!(eventually(LEASE_S, async || simulation.is_paused("n-a")).await);
@@ -398,5 +402,5 @@
     simulation.resume("n-a");
     assert!(eventually(LEASE_S, async || !is_active_leader(&controller_a)).await);
     assert!(wait_until_done(&controller_b, &second).await);
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
--- a/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
@@ -15,7 +15,7 @@
     submit_until_accepted(&controller_a, &body).await;
     assert!(wait_until_done(&controller_a, &first).await);
     // Neither copy of the next round's batch write is executed.
-    simulation.state.lock().unwrap().hang_writes = Some("p/1-2");
+    simulation.state.lock().unwrap().faults.hang_writes = Some("p/1-2");
     let (second, body) = simulation.job(2, 2, 4.0, 5.0);
     submit_until_accepted(&controller_a, &body).await;
     let in_doubt = eventually(LEASE_S, async || controller_a.store.in_doubt_writes().0 > 0);
@@ -31,10 +31,10 @@
     assert_eq!(simulation.running_task_count(&second), 0);
     let (count, since) = controller_a.store.in_doubt_writes();
     assert!(count == 1 && since.as_secs_f64() > 5.0, "{count} {since:?}");
-    simulation.state.lock().unwrap().hang_writes = None;
+    simulation.state.lock().unwrap().faults.hang_writes = None;
     assert!(wait_until_done(&controller_a, &second).await);
     assert_eq!(count_starts(&simulation), 6, "nothing is placed twice");
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 // Two of five store responses are lost, and the leader crashes meanwhile.
@@ -44,7 +44,7 @@
         let (simulation, _a, task) = start_with_leader().await;
         simulation.seed(seed);
         let (controller_b, _task_b) = simulation.start_controller("n-b");
-        simulation.state.lock().unwrap().lost_responses = 0.4;
+        simulation.state.lock().unwrap().faults.lost_responses = 0.4;
         let mut ids = Vec::new();
         for n in 1..=20 {
             let (id, body) = simulation.job(n, 2, 2.0, 2.0);
@@ -66,7 +66,7 @@
             "{seed}: {} batches stay",
             simulation.count_keys("p/")
         );
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -106,7 +106,7 @@
         );
         sleep_s(CANCEL_TIMEOUT_S).await;
         assert_eq!(simulation.running_task_count(&second), 0);
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -158,7 +158,7 @@
         for id in &ids {
             assert!(wait_until_done(&controller_b, id).await, "{seed}: {id}");
         }
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -168,7 +168,7 @@
 async fn urgent_jobs_complete_first_under_overload_and_slow_links() {
     let (simulation, controller_a, _task_a) = start_with_leader().await;
     let (controller_b, _task_b) = simulation.start_controller("n-b");
-    simulation.state.lock().unwrap().link_delay_s = 0.25;
+    simulation.state.lock().unwrap().faults.link_delay_s = 0.25;
     let mut ids = Vec::new();
     for number in 1..=24 {
         let urgent = number > 16;
@@ -176,7 +176,7 @@
             tasks: 4,
             cpus: 4.0,
             run_s: 4.0,
-            urgency: if urgent { "urgent" } else { "low" },
+            priority: if urgent { "urgent" } else { "low" },
             team: if number % 2 == 0 { "t" } else { "u" },
             ..JobShape::default()
         };
@@ -197,7 +197,7 @@
     for id in &ids {
         assert!(wait_until_done(&controller_b, id).await, "{id}");
     }
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 // New machines boot before the cloud lists them, get tasks at once while writes are
@@ -211,7 +211,7 @@
         {
             let mut state = simulation.state.lock().unwrap();
             state.boot_time_s = 0.1;
-            state.late_writes = 0.4;
+            state.faults.late_writes = 0.4;
         }
         let mut ids = Vec::new();
         for n in 1..=6 {
@@ -222,10 +222,10 @@
         sleep_s(0.3 * seed as f64).await;
         simulation.crash_controller("n-a", &task);
         sleep_s(LEASE_S).await;
-        simulation.state.lock().unwrap().late_writes = 0.0;
+        simulation.state.lock().unwrap().faults.late_writes = 0.0;
         for id in &ids {
             assert!(wait_until_done(&controller_b, id).await, "{seed}: {id}");
         }
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
--- a/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
@@ -87,7 +87,7 @@
     let (first, body) = simulation.job_with_shape(1, shape);
     submit_until_accepted(&controllers[0], &body).await;
     assert!(wait_until_done(&controllers[0], &first).await);
-    simulation.state.lock().unwrap().lost_responses = lost_responses;
+    simulation.state.lock().unwrap().faults.lost_responses = lost_responses;
     let job = simulation.job_with_shape(2, shape);
     let mut all = Vec::new();
     let began = simulation.now();
@@ -117,7 +117,7 @@
     for one in all {
         one.await.unwrap();
     }
-    simulation.state.lock().unwrap().lost_responses = 0.0;
+    simulation.state.lock().unwrap().faults.lost_responses = 0.0;
     let over = eventually(60.0, async || {
         matches!(
             query_status(&controllers[2], &job.0).await,
@@ -128,7 +128,7 @@
     let history = history.lock().unwrap();
     assert!(history.len() > 300, "{} answers", history.len());
     assert_eq!(history.stale_reads(), Vec::<String>::new(), "{seed}");
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
@@ -164,7 +164,7 @@
         assert!(ends.await);
         // The leader learns late of the cancellation but not of the completion: only the
         // store decides which came first.
-        simulation.state.lock().unwrap().hang_job_watches = n % 2 == 0;
+        simulation.state.lock().unwrap().faults.hang_job_watches = n % 2 == 0;
         // From just after the completion until well after it is stored.
         tokio::time::sleep(Duration::from_millis(u64::from(n) * 37)).await;
         let mut all = Vec::new();
@@ -186,7 +186,7 @@
             one.await.unwrap();
         }
         sleep_s(2.0).await;
-        simulation.state.lock().unwrap().hang_job_watches = false;
+        simulation.state.lock().unwrap().faults.hang_job_watches = false;
     }
     for job in &jobs {
         for controller in &controllers {
@@ -210,7 +210,7 @@
         }
     }
     assert_eq!(history.lock().unwrap().stale_reads(), Vec::<String>::new());
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 // One-task jobs arrive four per second for minutes, a quarter is cancelled: the store is
@@ -264,23 +264,23 @@
     );
     let placements = simulation.count_changes("p/");
     assert!(placements <= jobs as usize * 2, "{placements}");
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 // The controller that executes a cancellation is paused before or after its write,
 // while users read the status from the other controllers.
 #[tokio::test(start_paused = true)]
 async fn controller_paused_around_cancellation_write_gives_no_stale_reads() {
-    for (answered, pause_s) in [(false, 3.0), (true, 3.0), (true, 12.0)] {
+    for (after_response, pause_s) in [(false, 3.0), (true, 3.0), (true, 12.0)] {
         let (simulation, controllers, _tasks) = start_three_controllers().await;
         let (id, body) = simulation.job(1, 2, 4.0, CANCEL_TIMEOUT_S * 4.0);
         submit_until_accepted(&controllers[0], &body).await;
         assert!(eventually(60.0, async || simulation.running_task_count(&id) == 2).await);
         let history = Arc::new(Mutex::new(History::default()));
-        simulation.state.lock().unwrap().pause_at = Some(FaultPoint {
+        simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
             controller: "n-b".into(),
             request: "POST /multi",
-            answered,
+            after_response,
         });
         let job = (id.clone(), body.clone());
         let canceller = tokio::spawn(send_request(
@@ -309,7 +309,7 @@
         cancel_until_confirmed(&simulation, &controllers[1], &id, 20.0).await;
         sleep_s(CANCEL_TIMEOUT_S).await;
         assert_eq!(history.lock().unwrap().stale_reads(), Vec::<String>::new());
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -324,10 +324,10 @@
     let history = Arc::new(Mutex::new(History::default()));
     // The job is cached, so that the next read of its record is the cancellation's.
     assert!(query_status(&controllers[1], &job.0).await.is_some());
-    simulation.state.lock().unwrap().pause_at = Some(FaultPoint {
+    simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
         controller: "n-b".into(),
         request: "GET /store/o/",
-        answered: true,
+        after_response: true,
     });
     let (controller, id) = (controllers[1].clone(), job.0.clone());
     let cancels = simulation.run_on(
@@ -355,5 +355,5 @@
         ask_at(controller).await;
     }
     assert_eq!(history.lock().unwrap().stale_reads(), Vec::<String>::new());
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
--- a/crates/tallygauge-sim/tests/failover.rs
+++ b/crates/tallygauge-sim/tests/failover.rs
@@ -22,7 +22,7 @@
     submit_until_accepted(&controller_a, &body).await;
     assert!(eventually(60.0, async || count_starts(&simulation) > 0).await);
     sleep_s(2.0).await;
-    let worker = simulation.state.lock().unwrap().starts[0].2.clone();
+    let worker = simulation.state.lock().unwrap().starts[0].worker.clone();
     // Leader and worker fail together; the worker's task runs on for its lease.
     simulation.set_silent(&worker, true);
     let silent_at = simulation.now();
@@ -38,7 +38,7 @@
             == 2)
         .await
     );
-    let again = simulation.state.lock().unwrap().starts[1].0;
+    let again = simulation.state.lock().unwrap().starts[1].started_at;
     assert!(
         again > silent_at + LEASE_S - 1.5,
         "again {:.1} s after",
@@ -48,7 +48,7 @@
         query_status(&controller_b, &id).await,
         Some(JobStatus::Running)
     );
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
@@ -86,7 +86,7 @@
     sleep_s(20.0).await;
     // The running tasks went on: nothing was started a second time.
     assert_eq!(count_starts(&simulation), 2);
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
@@ -109,7 +109,7 @@
     sleep_s(30.0).await;
     assert!(!is_active_leader(&controller_a));
     assert_eq!(count_starts(&simulation), 2, "no lease ended");
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
@@ -148,7 +148,7 @@
     submit_until_accepted(&leader, &body).await;
     for turn in 1..4 {
         sleep_s(9.0).await;
-        simulation.state.lock().unwrap().lose_next_responses = 1;
+        simulation.state.lock().unwrap().faults.lose_next_responses = 1;
         sleep_s(2.0).await;
         simulation.crash_controller(&leader.settings.node_name, &task);
         (leader, task) = simulation.start_controller(&format!("n-{turn}"));
@@ -158,7 +158,7 @@
             == Some(JobStatus::Done))
         .await
     );
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/tallygauge-sim/tests/message_faults.rs
+++ b/crates/tallygauge-sim/tests/message_faults.rs
@@ -5,9 +5,9 @@
 use tallygauge::{reconciliation, user_api, worker_api::has_recent_heartbeats};
 use tallygauge_protocol::users::JobStatus;
 use tallygauge_sim::{
-    CANCEL_TIMEOUT_S, HEARTBEAT_INTERVAL_S, LEASE_S, RelayTo, Simulation, count_starts, eventually,
-    is_active_leader, query_status, reply_status, sleep_s, start_with_leader,
-    submit_until_accepted,
+    CANCEL_TIMEOUT_S, HEARTBEAT_INTERVAL_S, LEASE_S, RandomDelay, RelayTo, Simulation,
+    count_starts, eventually, is_active_leader, query_status, reply_status, sleep_s,
+    start_with_leader, submit_until_accepted,
 };
 
 #[tokio::test(start_paused = true)]
@@ -16,7 +16,7 @@
     let (id, body) = simulation.job(1, 2, 8.0, 20.0);
     submit_until_accepted(&controller_a, &body).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
-    let inbound_blocked = simulation.state.lock().unwrap().starts[0].2.clone();
+    let inbound_blocked = simulation.state.lock().unwrap().starts[0].worker.clone();
     simulation.set_inbound_blocked(&inbound_blocked, true);
     // Its task ends with its lease and is started elsewhere.
     assert!(
@@ -30,7 +30,7 @@
     sleep_s(60.0).await;
     let on_deaf = simulation.state.lock().unwrap().starts[before..]
         .iter()
-        .filter(|s| s.2 == inbound_blocked)
+        .filter(|s| s.worker == inbound_blocked)
         .count();
     assert_eq!(on_deaf, 0);
     // It stays unreachable and is decommissioned.
@@ -40,7 +40,7 @@
             .contains(&inbound_blocked))
         .await
     );
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
@@ -50,7 +50,7 @@
     submit_until_accepted(&controller_a, &body).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 1).await);
     sleep_s(3.0).await;
-    let worker = simulation.state.lock().unwrap().starts[0].2.clone();
+    let worker = simulation.state.lock().unwrap().starts[0].worker.clone();
     simulation.set_inbound_blocked(&worker, true);
     assert_eq!(
         reply_status(&user_api::cancel(&controller_a, &id).await),
@@ -58,7 +58,7 @@
     );
     simulation.record_cancellation(&id);
     sleep_s(CANCEL_TIMEOUT_S + 5.0).await;
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
@@ -77,7 +77,7 @@
             == Some(JobStatus::Done))
         .await
     );
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
@@ -85,7 +85,15 @@
     for seed in 0..6 {
         let simulation = Simulation::new();
         simulation.seed(seed);
-        simulation.state.lock().unwrap().duplicated_heartbeats = (0.4, LEASE_S * 2.5);
+        simulation
+            .state
+            .lock()
+            .unwrap()
+            .faults
+            .duplicated_heartbeats = RandomDelay {
+            probability: 0.4,
+            max_delay_s: LEASE_S * 2.5,
+        };
         tokio::spawn(simulation.clone().run_workers());
         let (controller_a, task) = simulation.start_controller("n-a");
         let (controller_b, _other) = simulation.start_controller("n-b");
@@ -109,7 +117,7 @@
                 "{seed}"
             );
         }
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -145,7 +153,7 @@
     sleep_s(LEASE_S).await;
     assert_eq!(count_starts(&simulation), 2, "no lease ended");
     // It returns without effect; then the same with the other controller.
-    simulation.state.lock().unwrap().partitioned.clear();
+    simulation.state.lock().unwrap().faults.partitioned.clear();
     sleep_s(5.0).await;
     simulation.set_store_partitioned("n-b", true);
     assert!(eventually(LEASE_S * 2.0, async || is_active_leader(&controller_a)).await);
@@ -155,7 +163,7 @@
         .await
     );
     assert_eq!(count_starts(&simulation), 2);
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 // A controller that restarts within a fraction of a second finds its own name in the
@@ -179,7 +187,7 @@
                 == Some(JobStatus::Done))
             .await
         );
-        simulation.assert_rules();
+        simulation.assert_invariants();
     }
 }
 
@@ -258,7 +266,7 @@
             .await
         );
     }
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 // A peer answers through the relay for a controller that the store refuses.
--- a/crates/tallygauge-sim/tests/process_pauses.rs
+++ b/crates/tallygauge-sim/tests/process_pauses.rs
@@ -71,7 +71,7 @@
     );
     assert_eq!(simulation.state.lock().unwrap().returned_running_tasks, 0);
     assert_eq!(count_starts(&simulation), 4, "nothing ran again");
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
@@ -83,18 +83,18 @@
     submit_until_accepted(&controller_a, &body).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
     let (controller_b, _task_b) = simulation.start_controller("n-b");
-    simulation.state.lock().unwrap().hang_job_watches = true;
+    simulation.state.lock().unwrap().faults.hang_job_watches = true;
     assert_eq!(
         cancel_through_any(&simulation, &[&controller_b], &id).await,
         JobStatus::Cancelled
     );
     {
         let mut state = simulation.state.lock().unwrap();
-        state.hang_job_watches = false;
-        state.pause_at = Some(FaultPoint {
+        state.faults.hang_job_watches = false;
+        state.faults.pause_at = Some(FaultPoint {
             controller: "n-a".into(),
             request: "GET /changes?starts=o/",
-            answered: true,
+            after_response: true,
         });
     }
     assert!(eventually(5.0, async || simulation.is_paused("n-a")).await);
@@ -125,10 +125,10 @@
     let (controller_b, _task_b) = simulation.start_controller("n-b");
     let (id, body) = simulation.job(1, 1, 8.0, 90.0);
     submit_until_accepted(&controller_b, &body).await;
-    simulation.state.lock().unwrap().pause_at = Some(FaultPoint {
+    simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
         controller: "n-b".into(),
         request: "POST /multi",
-        answered: true,
+        after_response: true,
     });
     let (sim, controller, job) = (simulation.clone(), controller_b.clone(), id.clone());
     let poll = tokio::spawn(async move {
@@ -212,7 +212,7 @@
 async fn pause_controller_at(at: FaultPoint, pause_s: f64, both: bool, down: bool) {
     let what = format!(
         "{} answered={} {pause_s} s both={both} down={down}",
-        at.request, at.answered
+        at.request, at.after_response
     );
     let (simulation, controller_a, _task_a) = start_with_leader().await;
     let (controller_b, _task_b) = simulation.start_controller("n-b");
@@ -225,7 +225,7 @@
         "{what}"
     );
     let paused = at.controller.clone();
-    simulation.state.lock().unwrap().pause_at = Some(at);
+    simulation.state.lock().unwrap().faults.pause_at = Some(at);
     let other = if paused == "n-a" {
         &controller_b
     } else {
@@ -233,7 +233,7 @@
     };
     // If the point is not reached in time, the controller is paused now.
     eventually(20.0, async || simulation.is_paused(&paused)).await;
-    simulation.state.lock().unwrap().pause_at = None;
+    simulation.state.lock().unwrap().faults.pause_at = None;
     simulation.pause(&paused);
     if both {
         simulation.pause(&other.settings.node_name);
@@ -293,7 +293,7 @@
         "GET /store",
     ];
     for request in requests {
-        for (controller, answered, pause_s) in [
+        for (controller, after_response, pause_s) in [
             ("n-a", false, 8.0),
             ("n-a", true, 8.0),
             ("n-a", true, 35.0),
@@ -303,7 +303,7 @@
             let at = FaultPoint {
                 controller,
                 request,
-                answered,
+                after_response,
             };
             pause_controller_at(at, pause_s, false, false).await;
         }
@@ -312,7 +312,7 @@
         let at = FaultPoint {
             controller: "n-a".into(),
             request: "POST /multi",
-            answered: true,
+            after_response: true,
         };
         pause_controller_at(at, 16.0, both, down).await;
     }
--- /dev/null
+++ b/crates/tallygauge-sim/tests/status_history.rs
@@ -0,0 +1,37 @@
+//! The checker of status reads finds stale ones.
+
+use tallygauge::user_api::Reply;
+use tallygauge_protocol::users::{JobResponse, JobStatus};
+use tallygauge_sim::History;
+
+/// A reply that tells a job's status.
+fn reply_with(status: JobStatus) -> Reply {
+    let response = JobResponse {
+        id: "req-1".into(),
+        status,
+        done: None,
+        running: None,
+    };
+    Reply::Job(200, response)
+}
+
+#[test]
+fn stale_reads_are_found_and_overlapping_reads_are_not() {
+    let not_found = || Reply::Rejected(404, String::new());
+    for (second, requested_at, stale_count) in [
+        (reply_with(JobStatus::Pending), 1.5, 0),
+        (reply_with(JobStatus::Pending), 2.0, 1),
+        (not_found(), 3.0, 1),
+        (reply_with(JobStatus::Cancelled), 3.0, 1),
+        (reply_with(JobStatus::Done), 3.0, 0),
+    ] {
+        let mut history = History::default();
+        history.record("req-1", 1.0, 2.0, &reply_with(JobStatus::Done));
+        history.record("req-1", requested_at, 4.0, &second);
+        assert_eq!(
+            history.stale_reads().len(),
+            stale_count,
+            "{second:?} {requested_at}"
+        );
+    }
+}
--- a/crates/tallygauge-sim/tests/user_requests.rs
+++ b/crates/tallygauge-sim/tests/user_requests.rs
@@ -54,7 +54,7 @@
         404
     );
     assert_eq!(count_starts(&simulation), 6);
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
@@ -110,7 +110,10 @@
     );
     let state = simulation.state.lock().unwrap();
     let later = &state.starts[before..];
-    assert!(later.iter().all(|s| s.1.starts_with(&other)), "{later:?}");
+    assert!(
+        later.iter().all(|s| s.task.starts_with(&other)),
+        "{later:?}"
+    );
     assert!(state.violations.is_empty(), "{:?}", state.violations);
 }
 
@@ -121,7 +124,7 @@
     let (id, body) = simulation.job(1, 8, 4.0, 3.0);
     submit_until_accepted(&controller_b, &body).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 4).await);
-    simulation.state.lock().unwrap().hang_job_watches = true;
+    simulation.state.lock().unwrap().faults.hang_job_watches = true;
     sleep_s(1.0).await;
     assert_eq!(
         reply_status(&user_api::cancel(&controller_b, &id).await),
@@ -142,7 +145,7 @@
         (4, None),
         "it learned from the refusal"
     );
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
@@ -154,7 +157,7 @@
     submit_until_accepted(&controller_a, &body).await;
     assert!(eventually(60.0, async || count_starts(&simulation) > 0).await);
     // From here on every transaction is committed, and no response is complete.
-    simulation.state.lock().unwrap().truncate_responses = true;
+    simulation.state.lock().unwrap().faults.truncate_responses = true;
     let (other, next) = simulation.job(2, 1, 1.0, 1.0);
     for _ in 0..10 {
         tokio::time::sleep(Duration::from_millis(500)).await;
@@ -170,7 +173,7 @@
             HeartbeatReply::Malformed(_)
         ));
     }
-    simulation.state.lock().unwrap().truncate_responses = false;
+    simulation.state.lock().unwrap().faults.truncate_responses = false;
     for job in [&id, &other] {
         assert!(
             eventually(120.0, async || query_status(&controller_a, job).await
@@ -178,7 +181,7 @@
             .await
         );
     }
-    simulation.assert_rules();
+    simulation.assert_invariants();
 }
 
 #[tokio::test(start_paused = true)]
@@ -240,7 +243,7 @@
         .await
     );
     let (id, body) = simulation.job(1, 1, 1.0, 5.0);
-    simulation.state.lock().unwrap().lose_next_responses = 1;
+    simulation.state.lock().unwrap().faults.lose_next_responses = 1;
     let reply = user_api::submit(&controller_b, &body).await;
     assert_eq!(reply_status(&reply), Some(JobStatus::Pending), "{reply:?}");
     assert_eq!(
