--- a/crates/tallygauge-fairness/src/lib.rs
+++ b/crates/tallygauge-fairness/src/lib.rs
@@ -5,7 +5,7 @@
 //! ended by class, by team, and for the largest jobs of each class.
 //! [`select_underserved`] compares the counts with the open jobs and selects those that
 //! come first where a class or a team has fallen behind; below overload it selects
-//! none. The minimum share of the scheduler calls both. `docs/floor.md` says why the
+//! none. The minimum share of the scheduler calls both. `docs/minimum-share.md` says why the
 //! rules are as they are.
 
 mod selection;
--- a/crates/tallygauge-health/src/lib.rs
+++ b/crates/tallygauge-health/src/lib.rs
@@ -8,7 +8,7 @@
 //! remember deregistered machines, which late messages must not register again.
 //!
 //! None of it frees capacity or a task by itself: that rests on the proofs of
-//! `docs/design.md`, "Holding". The cluster state of the scheduler calls it.
+//! `docs/design.md`, "Attempt retention". The cluster state of the scheduler calls it.
 
 mod message_order;
 mod reachability;
