--- a/crates/tallygauge-sim/src/history.rs
+++ b/crates/tallygauge-sim/src/history.rs
@@ -6,7 +6,7 @@
 //! requests overlap may come in either order.
 
 use std::collections::BTreeMap;
-use tallygauge::user_api::Reply;
+use tallygauge::user_api::{RelayedReply, Reply};
 use tallygauge_protocol::users::{JobResponse, JobStatus};
 
 /// A job's state as an answer shows it, in the order in which it is passed through.
@@ -36,14 +36,15 @@
     /// says nothing of the job's state is passed over.
     pub fn record(&mut self, id: &str, asked: f64, told: f64, reply: &Reply) {
         let status = match reply {
-            Reply::Job(_, answer) => Some(answer.status),
-            Reply::Relayed(200 | 201, body) => {
-                let Ok(answer) = serde_json::from_slice::<JobResponse>(body) else {
+            Reply::Job { response, .. } => Some(response.status),
+            Reply::Relayed(reply) if matches!(reply.status, 200 | 201) => {
+                let Ok(answer) = serde_json::from_slice::<JobResponse>(&reply.body) else {
                     return;
                 };
                 Some(answer.status)
             }
-            Reply::Rejected { status: 404, .. } | Reply::Relayed(404, _) => None,
+            Reply::Rejected { status: 404, .. }
+            | Reply::Relayed(RelayedReply { status: 404, .. }) => None,
             Reply::Rejected { .. } | Reply::RetryLater { .. } | Reply::Relayed(..) => return,
         };
         let shown = match status {
@@ -98,7 +99,10 @@
             done: None,
             running: None,
         };
-        Reply::Job(200, answer)
+        Reply::Job {
+            status: 200,
+            response: answer,
+        }
     }
 
     #[test]
--- a/crates/tallygauge-sim/src/users.rs
+++ b/crates/tallygauge-sim/src/users.rs
@@ -5,7 +5,7 @@
 use std::{sync::Arc, time::Duration};
 use tallygauge::{
     controller::Controller,
-    user_api::{self, Relay, RelayFuture, Reply},
+    user_api::{self, Relay, RelayFuture, RelayedReply, Reply},
 };
 use tallygauge_protocol::users::JobStatus;
 use tokio::{task::JoinHandle, time::Instant};
@@ -86,7 +86,7 @@
 /// What a reply says of its job.
 pub fn status_of(reply: &Reply) -> Option<JobStatus> {
     match reply {
-        Reply::Job(_, answer) => Some(answer.status),
+        Reply::Job { response, .. } => Some(response.status),
         _ => None,
     }
 }
@@ -151,7 +151,10 @@
         Box::pin(async move {
             match user_api::local(&self.0, method, path, body).await? {
                 Reply::RetryLater { .. } => None,
-                reply => Some((reply.status(), reply.body())),
+                reply => Some(RelayedReply {
+                    status: reply.status(),
+                    body: reply.body(),
+                }),
             }
         })
     }
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -126,7 +126,7 @@
     /// Machine types, once known.
     pub catalogue: Mutex<Option<Arc<Vec<MachineType>>>>,
     /// Jobs as last read from the key-value store.
-    pub jobs: JobCache,
+    pub job_cache: JobCache,
     /// Who leads.
     pub leader_view: Mutex<LeaderView>,
     /// Own leadership.
@@ -215,7 +215,7 @@
             started_at: Instant::now(),
             wall_clock,
             catalogue: Mutex::default(),
-            jobs: JobCache::new(most.max(1000)),
+            job_cache: JobCache::new(most.max(1000)),
             leader_view: Mutex::default(),
             leadership: Mutex::default(),
             task_counts: TaskCounts::default(),
--- a/crates/tallygauge/src/job_watch.rs
+++ b/crates/tallygauge/src/job_watch.rs
@@ -12,10 +12,10 @@
     (now, time_of_day): (f64, f64),
     finished: &RangeSet,
 ) {
-    let accepted = now - (time_of_day - record.at).max(0.0);
+    let accepted = now - (time_of_day - record.accepted_at).max(0.0);
     let id = record.spec.id.clone();
     cluster.add_job(record.spec, version, accepted, finished);
-    cluster.set_accepted_time_of_day(&id, record.at);
+    cluster.set_accepted_time_of_day(&id, record.accepted_at);
 }
 
 /// Takes a change of an open job's record up into the picture.
--- a/crates/tallygauge/src/peers.rs
+++ b/crates/tallygauge/src/peers.rs
@@ -4,7 +4,7 @@
     controller::Controller,
     leader,
     task_counts::TaskCount,
-    user_api::{self, Relay, RelayFuture, Reply},
+    user_api::{self, Relay, RelayFuture, RelayedReply, Reply},
     worker_api,
 };
 use futures_util::future::join_all;
@@ -57,7 +57,8 @@
                 if let Ok(reply) = client.clone().relay(request).await {
                     let reply = reply.into_inner();
                     let status = u16::try_from(reply.status).ok()?;
-                    return Some((status, reply.body));
+                    let body = reply.body;
+                    return Some(RelayedReply { status, body });
                 }
             }
             None
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -132,7 +132,7 @@
                     status: JobStatus::Done,
                     done: job.tasks,
                 };
-                controller.jobs.insert_terminal(&job.job, done);
+                controller.job_cache.insert_terminal(&job.job, done);
                 tracing::debug!(job = job.job, "done");
             }
             controller.wake_scheduler.notify_one();
--- a/crates/tallygauge/src/relay.rs
+++ b/crates/tallygauge/src/relay.rs
@@ -8,9 +8,17 @@
 };
 use warp::http::Method;
 
-/// Another controller's reply on its way: status and body; `None` if no other
-/// controller could answer.
-pub type RelayFuture<'a> = Pin<Box<dyn Future<Output = Option<(u16, Vec<u8>)>> + Send + 'a>>;
+/// Another controller's reply to a relayed request.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct RelayedReply {
+    /// HTTP status code.
+    pub status: u16,
+    /// HTTP body.
+    pub body: Vec<u8>,
+}
+
+/// Another controller's reply on its way; `None` if no other controller could answer.
+pub type RelayFuture<'a> = Pin<Box<dyn Future<Output = Option<RelayedReply>> + Send + 'a>>;
 
 /// Sends users' requests to other controllers.
 pub trait Relay: Send + Sync {
--- a/crates/tallygauge/src/user_api/cancel.rs
+++ b/crates/tallygauge/src/user_api/cancel.rs
@@ -54,13 +54,13 @@
     };
     let active: ActiveJobRecord =
         serde_json::from_value(row.value).map_err(|_| JobStateUnavailable)?;
-    let cancelled = cancelled_record(controller, id, &active.spec);
+    let cancelled = build_cancelled_record(controller, id, &active.spec);
     let value = serde_json::to_value(cancelled).map_err(|_| JobStateUnavailable)?;
     let result = controller
         .store
         .commit_with_retries(
             RequestPriority::Users,
-            &cancellation(id, row.version, value),
+            &build_cancel_transaction(id, row.version, value),
             Some(WRITE_TIMEOUT),
         )
         .await;
@@ -79,7 +79,7 @@
 }
 
 /// The record of a job that is cancelled now. The tasks of a service are never done.
-fn cancelled_record(controller: &Controller, id: &str, spec: &JobSpec) -> TerminalJobRecord {
+fn build_cancelled_record(controller: &Controller, id: &str, spec: &JobSpec) -> TerminalJobRecord {
     let done = own_task_count(controller, id).map_or(0, |count| count.done);
     TerminalJobRecord {
         status: JobStatus::Cancelled,
@@ -93,7 +93,7 @@
 
 /// The transaction that cancels a job, on condition that its record still has this
 /// version: of a cancellation and a completion only one can succeed.
-fn cancellation(id: &str, version: u64, record: Value) -> Transaction {
+fn build_cancel_transaction(id: &str, version: u64, record: Value) -> Transaction {
     Transaction {
         conditions: vec![Condition {
             key: active_job_key(id),
@@ -114,7 +114,7 @@
 
 /// Caches a cancellation and, on the leader, stops the job's tasks.
 fn apply_cancellation(controller: &Controller, id: &str, record: TerminalJobRecord) {
-    controller.jobs.insert_terminal(id, record);
+    controller.job_cache.insert_terminal(id, record);
     let now = controller.now();
     controller.with_cluster(|cluster| cluster.remove_job(id, now));
     controller.wake_scheduler.notify_one();
--- a/crates/tallygauge/src/user_api/job_refresh.rs
+++ b/crates/tallygauge/src/user_api/job_refresh.rs
@@ -77,7 +77,7 @@
     versions: impl Iterator<Item = (&'a str, u64)>,
 ) {
     controller
-        .jobs
+        .job_cache
         .insert_missing_active(versions.filter_map(|(key, version)| {
             let id = key.strip_prefix(ACTIVE_JOB_PREFIX)?;
             Some((id, version))
--- a/crates/tallygauge/src/user_api/lookup.rs
+++ b/crates/tallygauge/src/user_api/lookup.rs
@@ -5,7 +5,7 @@
     controller::{Controller, active_job_key, terminal_job_key},
     job_cache::CachedJob,
     task_counts::TaskCount,
-    version_checks::VersionCheckResult,
+    version_checks::{Urgency, VersionCheckResult},
 };
 use tallygauge_protocol::{
     state::Condition,
@@ -31,7 +31,7 @@
     Terminal(TerminalJobRecord),
 }
 
-/// The state of a job can't be found out now.
+/// The state of a job can't be found out now. The text is the body of the reply.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
 #[error("the state of the job can't be told now")]
 pub(super) struct JobStateUnavailable;
@@ -42,26 +42,16 @@
     }
 }
 
-/// A job that was asked about, by requests of what importance and since when.
-#[derive(Clone, Copy)]
-pub(super) struct LookupRequest<'a> {
-    pub(super) id: &'a str,
-    pub(super) priority: RequestPriority,
-    /// Since when the caller has had no answer, in seconds of the controller's clock.
-    pub(super) unanswered_since: f64,
-}
-
 /// Finds out the state of a job for a request that writes.
 pub(super) async fn lookup_for_write(
     controller: &Controller,
     id: &str,
 ) -> Result<JobLookup, JobStateUnavailable> {
-    let request = LookupRequest {
-        id,
+    let urgency = Urgency {
         priority: RequestPriority::Users,
         unanswered_since: controller.now(),
     };
-    lookup(controller, request).await
+    lookup(controller, id, urgency).await
 }
 
 /// Finds out the state of a job. Between the check that it is recent enough and the
@@ -71,18 +61,19 @@
 /// When the store did not answer in time, or the job kept changing.
 pub(super) async fn lookup(
     controller: &Controller,
-    request: LookupRequest<'_>,
+    id: &str,
+    urgency: Urgency,
 ) -> Result<JobLookup, JobStateUnavailable> {
     for _ in 0..MAX_LOOKUP_ATTEMPTS {
-        let found = match controller.jobs.get(request.id) {
+        let found = match controller.job_cache.get(id) {
             Some(CachedJob::Terminal(record)) => return Ok(JobLookup::Terminal(record)),
             Some(CachedJob::Active(version)) => {
-                confirm_active(controller, request, version).await?
+                confirm_active(controller, id, urgency, version).await?
             }
-            Some(CachedJob::Stale) => find_uncached(controller, request).await?,
+            Some(CachedJob::Stale) => find_uncached(controller, id, urgency).await?,
             None => {
                 controller.job_refresh.record_unknown_job();
-                find_uncached(controller, request).await?
+                find_uncached(controller, id, urgency).await?
             }
         };
         if let Some(found) = found {
@@ -96,16 +87,17 @@
 /// does not, or the check took too long.
 async fn confirm_active(
     controller: &Controller,
-    request: LookupRequest<'_>,
+    id: &str,
+    urgency: Urgency,
     version: u64,
 ) -> Result<Option<JobLookup>, JobStateUnavailable> {
     let conditions = vec![Condition {
-        key: active_job_key(request.id),
+        key: active_job_key(id),
         version,
     }];
-    let check = check_versions(controller, request, conditions).await?;
+    let check = check_versions(controller, urgency, conditions).await?;
     if !check.holds[0] {
-        controller.jobs.mark_stale(request.id, version);
+        controller.job_cache.mark_stale(id, version);
         return Ok(None);
     }
     Ok(is_recent(controller, check.as_of).then_some(JobLookup::Active))
@@ -116,20 +108,20 @@
 /// answer took too long.
 async fn find_uncached(
     controller: &Controller,
-    request: LookupRequest<'_>,
+    id: &str,
+    urgency: Urgency,
 ) -> Result<Option<JobLookup>, JobStateUnavailable> {
-    let id = request.id;
     let conditions = vec![absent(active_job_key(id)), absent(terminal_job_key(id))];
-    let check = check_versions(controller, request, conditions).await?;
+    let check = check_versions(controller, urgency, conditions).await?;
     let [is_active, is_terminal] = [!check.holds[0], !check.holds[1]];
     if !is_active && !is_terminal {
         return Ok(is_recent(controller, check.as_of).then_some(JobLookup::Unknown));
     }
     let sent_at = controller.now();
-    if is_active && read_active_record(controller, request.priority, id).await? {
+    if is_active && read_active_record(controller, urgency.priority, id).await? {
         return Ok(is_recent(controller, sent_at).then_some(JobLookup::Active));
     }
-    read_terminal_record(controller, request.priority, id).await?;
+    read_terminal_record(controller, urgency.priority, id).await?;
     Ok(None)
 }
 
@@ -168,7 +160,7 @@
         .await
         .map_err(|_| JobStateUnavailable)?;
     if let Some(row) = &row {
-        controller.jobs.insert_active(id, row.version);
+        controller.job_cache.insert_active(id, row.version);
     }
     Ok(row.is_some())
 }
@@ -189,7 +181,7 @@
     };
     let record: TerminalJobRecord =
         serde_json::from_value(row.value).map_err(|_| JobStateUnavailable)?;
-    controller.jobs.insert_terminal(id, record);
+    controller.job_cache.insert_terminal(id, record);
     Ok(Some(record))
 }
 
@@ -241,17 +233,12 @@
 
 async fn check_versions(
     controller: &Controller,
-    request: LookupRequest<'_>,
+    urgency: Urgency,
     conditions: Vec<Condition>,
 ) -> Result<VersionCheckResult, JobStateUnavailable> {
     controller
         .version_checks
-        .check(
-            request.priority,
-            request.unanswered_since,
-            controller.now(),
-            conditions,
-        )
+        .check(urgency, controller.now(), conditions)
         .await
         .ok_or(JobStateUnavailable)
 }
--- a/crates/tallygauge/src/user_api/mod.rs
+++ b/crates/tallygauge/src/user_api/mod.rs
@@ -12,7 +12,7 @@
 mod status;
 mod submit;
 
-pub use crate::relay::{Relay, RelayFuture};
+pub use crate::relay::{Relay, RelayFuture, RelayedReply};
 pub use cancel::cancel;
 pub use job_refresh::{JobRefresh, cache_active_jobs, refresh_active_jobs};
 pub use records::{ActiveJobRecord, TerminalJobRecord};
@@ -43,7 +43,7 @@
     path: &str,
     body: &[u8],
 ) -> Option<Reply> {
-    let is_terminal = job_id_in_path(path).is_some_and(|id| controller.jobs.is_terminal(id));
+    let is_terminal = job_id_in_path(path).is_some_and(|id| controller.job_cache.is_terminal(id));
     let relay_first = !is_terminal && controller.store.failing_since().is_some();
     if relay_first && let Some(reply) = relay_to_peers(controller, method, path, body).await {
         return Some(reply);
--- a/crates/tallygauge/src/user_api/records.rs
+++ b/crates/tallygauge/src/user_api/records.rs
@@ -9,7 +9,8 @@
     /// The job as submitted.
     pub spec: JobSpec,
     /// When the job was accepted, in seconds since the epoch.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub accepted_at: f64,
 }
 
 /// Record of a job that is done or cancelled. It is never removed.
--- a/crates/tallygauge/src/user_api/relay_requests.rs
+++ b/crates/tallygauge/src/user_api/relay_requests.rs
@@ -33,9 +33,9 @@
     // the timeout above lets it pass.
     let is_outdated = controller.now() - sent_at > MAX_ANSWER_AGE_S;
     match answer {
-        Ok(Some((status, body))) if !is_outdated => {
-            apply_relayed_cancellation(controller, &body);
-            Some(Reply::Relayed(status, body))
+        Ok(Some(reply)) if !is_outdated => {
+            apply_relayed_cancellation(controller, &reply.body);
+            Some(Reply::Relayed(reply))
         }
         Ok(_) | Err(_) => {
             let backoff_until = controller.now() + RELAY_BACKOFF_S;
--- a/crates/tallygauge/src/user_api/reply.rs
+++ b/crates/tallygauge/src/user_api/reply.rs
@@ -1,5 +1,6 @@
 //! Replies to users.
 
+use crate::relay::RelayedReply;
 use tallygauge_protocol::users::{ErrorResponse, JobResponse, JobStatus};
 
 /// Seconds after which a user whose request can't be served now should retry.
@@ -8,8 +9,13 @@
 /// Reply to a user's request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// Status code, 200 or 201, and the state of the job.
-    Job(u16, JobResponse),
+    /// The state of the job.
+    Job {
+        /// Status code: 201 if the job was created by this request, otherwise 200.
+        status: u16,
+        /// Body.
+        response: JobResponse,
+    },
     /// The request can't succeed, however often it is sent.
     Rejected {
         /// Status code: 400, 404 or 422.
@@ -24,8 +30,8 @@
         /// Value of the `retry-after` header, seconds.
         retry_after_s: u64,
     },
-    /// Status code and body of another controller's reply.
-    Relayed(u16, Vec<u8>),
+    /// Another controller's reply.
+    Relayed(RelayedReply),
 }
 
 impl Reply {
@@ -33,9 +39,9 @@
     #[must_use]
     pub fn status(&self) -> u16 {
         match self {
-            Reply::Job(status, _) | Reply::Rejected { status, .. } | Reply::Relayed(status, _) => {
-                *status
-            }
+            Reply::Job { status, .. }
+            | Reply::Rejected { status, .. }
+            | Reply::Relayed(RelayedReply { status, .. }) => *status,
             Reply::RetryLater { .. } => 503,
         }
     }
@@ -44,8 +50,8 @@
     #[must_use]
     pub fn body(&self) -> Vec<u8> {
         let body = match self {
-            Reply::Relayed(_, body) => Ok(body.clone()),
-            Reply::Job(_, response) => serde_json::to_vec(response),
+            Reply::Relayed(reply) => Ok(reply.body.clone()),
+            Reply::Job { response, .. } => serde_json::to_vec(response),
             Reply::Rejected { error, .. } | Reply::RetryLater { reason: error, .. } => {
                 serde_json::to_vec(&ErrorResponse {
                     error: error.clone(),
@@ -82,7 +88,10 @@
 
     /// The reply with a job's status and no task counts.
     pub(super) fn job_status(status: u16, id: &str, job_status: JobStatus) -> Self {
-        Reply::Job(status, without_counts(id, job_status))
+        Reply::Job {
+            status,
+            response: without_counts(id, job_status),
+        }
     }
 }
 
--- a/crates/tallygauge/src/user_api/status.rs
+++ b/crates/tallygauge/src/user_api/status.rs
@@ -2,9 +2,9 @@
 
 use super::{
     Reply,
-    lookup::{LookupRequest, job_response, lookup},
+    lookup::{job_response, lookup},
 };
-use crate::controller::Controller;
+use crate::{controller::Controller, version_checks::Urgency};
 use tallygauge_protocol::users::is_valid_job_id;
 use tallygauge_store::RequestPriority;
 
@@ -15,18 +15,20 @@
     }
     let (now, expiry_s) = (controller.now(), controller.caller_expiry_s());
     let unanswered_since = controller.pending_callers.record_request(id, now, expiry_s);
-    let request = LookupRequest {
-        id,
+    let urgency = Urgency {
         priority: RequestPriority::Polls,
         unanswered_since,
     };
-    let found = match lookup(controller, request).await {
+    let found = match lookup(controller, id, urgency).await {
         Ok(found) => found,
         Err(unavailable) => return unavailable.into(),
     };
     controller.pending_callers.record_response(id);
     match job_response(controller, id, found) {
-        Some(response) => Reply::Job(200, response),
+        Some(response) => Reply::Job {
+            status: 200,
+            response,
+        },
         None => Reply::no_such_job(),
     }
 }
--- a/crates/tallygauge/src/user_api/submit.rs
+++ b/crates/tallygauge/src/user_api/submit.rs
@@ -66,7 +66,7 @@
         Ok(submission) => submission,
         Err(error) => return error.into(),
     };
-    if controller.jobs.get(&id).is_some() {
+    if controller.job_cache.get(&id).is_some() {
         match resubmit_idempotently(controller, &id).await {
             Ok(Some(reply)) => return reply,
             Ok(None) => {}
@@ -74,7 +74,7 @@
         }
     }
     match validate_spec(controller, value) {
-        Ok(spec) => accept(controller, &id, spec).await,
+        Ok(spec) => create_job(controller, &id, spec).await,
         Err(error) => match resubmit_idempotently(controller, &id).await {
             Ok(Some(reply)) => reply,
             Ok(None) => error.into(),
@@ -120,7 +120,7 @@
 }
 
 /// Writes the record of a new job.
-async fn accept(controller: &Controller, id: &str, spec: JobSpec) -> Reply {
+async fn create_job(controller: &Controller, id: &str, spec: JobSpec) -> Reply {
     let record = match encode_record(controller, spec) {
         Ok(record) => record,
         Err(error) => return error.into(),
@@ -129,13 +129,13 @@
         .store
         .commit_with_retries(
             RequestPriority::Users,
-            &creation(id, record),
+            &build_create_transaction(id, record),
             Some(WRITE_TIMEOUT),
         )
         .await;
     match result.outcome {
         Ok(TransactionOutcome::Committed(version)) => {
-            controller.jobs.insert_active(id, version);
+            controller.job_cache.insert_active(id, version);
             Reply::job_status(201, id, JobStatus::Pending)
         }
         Ok(TransactionOutcome::Conflict(_)) => reply_to_conflict(controller, id).await,
@@ -148,7 +148,7 @@
 fn encode_record(controller: &Controller, spec: JobSpec) -> Result<Value, SubmissionError> {
     let record = ActiveJobRecord {
         spec,
-        at: controller.time_of_day(),
+        accepted_at: controller.time_of_day(),
     };
     let value = serde_json::to_value(&record).map_err(|_| SubmissionError::NotEncodable)?;
     let max_value_bytes = controller.settings.deployment.store.max_value_kib * 1024.0;
@@ -161,7 +161,7 @@
 /// The transaction that creates a job. Its conditions make it safe to send again
 /// when no answer came: the record of a job is created once, and never again after
 /// the job has ended.
-fn creation(id: &str, record: Value) -> Transaction {
+fn build_create_transaction(id: &str, record: Value) -> Transaction {
     Transaction {
         conditions: vec![absent(active_job_key(id)), absent(terminal_job_key(id))],
         writes: vec![Write::Set {
--- a/crates/tallygauge/src/version_checks.rs
+++ b/crates/tallygauge/src/version_checks.rs
@@ -6,7 +6,7 @@
 //! share one transaction of conditions without writes.
 
 use crate::controller::Controller;
-use std::{sync::Arc, time::Duration};
+use std::{cmp::Ordering, sync::Arc, time::Duration};
 use tallygauge_protocol::{
     state::{Condition, Transaction},
     users::POLL_TIMEOUT_S,
@@ -30,11 +30,28 @@
 /// How long a batch is retried while its callers still wait, seconds.
 const RETRY_TIMEOUT_S: f64 = POLL_TIMEOUT_S * 0.6;
 
+/// Decides which checks come first: those of the higher priority, and among these
+/// those whose callers have been unanswered for longest.
+#[derive(Debug, Clone, Copy)]
+pub struct Urgency {
+    /// Priority of the requests to the store.
+    pub priority: RequestPriority,
+    /// Since when the caller has had no answer, in seconds of the controller's clock.
+    pub unanswered_since: f64,
+}
+
+impl Urgency {
+    /// Orders the more urgent first.
+    fn compare(&self, other: &Self) -> Ordering {
+        self.priority
+            .cmp(&other.priority)
+            .then(self.unanswered_since.total_cmp(&other.unanswered_since))
+    }
+}
+
 /// One caller's check.
 struct VersionCheck {
-    priority: RequestPriority,
-    /// Since when the caller has had no answer: the longest come first.
-    unanswered_since: f64,
+    urgency: Urgency,
     requested_at: f64,
     conditions: Vec<Condition>,
     /// `None` is sent if the result can't be known.
@@ -73,19 +90,16 @@
     }
 
     /// Checks conditions against the store. `None` if the queue is full or the
-    /// store gave no answer in the time that a user waits. Of callers of the same
-    /// priority those come first that have been unanswered for longest.
+    /// store gave no answer in the time that a user waits.
     pub async fn check(
         &self,
-        priority: RequestPriority,
-        unanswered_since: f64,
+        urgency: Urgency,
         now: f64,
         conditions: Vec<Condition>,
     ) -> Option<VersionCheckResult> {
         let (reply, result) = oneshot::channel();
         let check = VersionCheck {
-            priority,
-            unanswered_since,
+            urgency,
             requested_at: now,
             conditions,
             reply,
@@ -150,11 +164,7 @@
 /// Takes the most urgent of the waiting checks, as many as have at most
 /// `max_conditions` conditions together.
 fn take_most_urgent(waiting: &mut Vec<VersionCheck>, max_conditions: usize) -> Vec<VersionCheck> {
-    waiting.sort_by(|a, b| {
-        a.priority
-            .cmp(&b.priority)
-            .then(a.unanswered_since.total_cmp(&b.unanswered_since))
-    });
+    waiting.sort_by(|a, b| a.urgency.compare(&b.urgency));
     let mut condition_count = 0;
     let fitting = waiting.iter().take_while(|check| {
         condition_count += check.conditions.len();
@@ -166,7 +176,7 @@
 
 /// Runs a batch at the priority of its most important check, and replies to all.
 async fn run_version_checks(controller: &Controller, batch: Vec<VersionCheck>) {
-    let priorities = batch.iter().map(|check| check.priority);
+    let priorities = batch.iter().map(|check| check.urgency.priority);
     let priority = priorities.min().unwrap_or(RequestPriority::Polls);
     let mut conditions: Vec<Condition> = Vec::new();
     for condition in batch.iter().flat_map(|check| &check.conditions) {
@@ -235,3 +245,6 @@
     }
     Some(failed)
 }
+
+#[cfg(test)]
+mod tests;
