--- a/crates/tallygauge/src/version_checks.rs
+++ b/crates/tallygauge/src/version_checks.rs
@@ -110,7 +110,7 @@
 }
 
 impl VersionCheckQueue {
-    /// Runs checks in batches until the controller is dropped.
+    /// Runs checks in batches, for the life of the process.
     pub async fn serve(mut self, controller: Arc<Controller>) {
         let store_settings = &controller.settings.deployment.store;
         let max_conditions = store_settings.max_writes_per_transaction * CONDITIONS_PER_WRITE;
