--- a/crates/tallygauge-sim/src/history.rs
+++ b/crates/tallygauge-sim/src/history.rs
@@ -5,7 +5,7 @@
 //! status, and all final statuses agree. Reads that overlap may be ordered either way.
 
 use std::collections::BTreeMap;
-use tallygauge::user_api::Reply;
+use tallygauge::user_api::{RelayedReply, Reply};
 use tallygauge_protocol::users::{JobResponse, JobStatus};
 
 /// A job's status as users read it, in the order in which a job goes through them.
@@ -84,12 +84,12 @@
 /// The status that a reply tells, if it does.
 fn observed_status(reply: &Reply) -> Option<ObservedStatus> {
     let status = match reply {
-        Reply::Job(_, response) => response.status,
-        Reply::Relayed(200 | 201, body) => {
-            let response: JobResponse = serde_json::from_slice(body).ok()?;
+        Reply::Job { response, .. } => response.status,
+        Reply::Relayed(relayed) if matches!(relayed.status, 200 | 201) => {
+            let response: JobResponse = serde_json::from_slice(&relayed.body).ok()?;
             response.status
         }
-        Reply::Rejected { status: 404, .. } | Reply::Relayed(404, _) => {
+        Reply::Rejected { status: 404, .. } | Reply::Relayed(RelayedReply { status: 404, .. }) => {
             return Some(ObservedStatus::Unknown);
         }
         Reply::Rejected { .. } | Reply::RetryLater { .. } | Reply::Relayed(..) => return None,
--- a/crates/tallygauge-sim/src/users.rs
+++ b/crates/tallygauge-sim/src/users.rs
@@ -6,7 +6,7 @@
 use std::{sync::Arc, time::Duration};
 use tallygauge::{
     controller::Controller,
-    user_api::{self, Relay, RelayFuture, Reply},
+    user_api::{self, Relay, RelayFuture, RelayedReply, Reply},
 };
 use tallygauge_protocol::users::JobStatus;
 use tokio::{task::JoinHandle, time::Instant};
@@ -98,7 +98,7 @@
 /// The status of a job in a reply, if it has one.
 pub fn reply_status(reply: &Reply) -> Option<JobStatus> {
     match reply {
-        Reply::Job(_, answer) => Some(answer.status),
+        Reply::Job { response, .. } => Some(response.status),
         _ => None,
     }
 }
@@ -171,7 +171,10 @@
         Box::pin(async move {
             match user_api::local(&self.0, method, path, body).await? {
                 Reply::RetryLater { .. } => None,
-                reply => Some((reply.status(), reply.body())),
+                reply => Some(RelayedReply {
+                    status: reply.status(),
+                    body: reply.body(),
+                }),
             }
         })
     }
--- a/crates/tallygauge-sim/tests/status_history.rs
+++ b/crates/tallygauge-sim/tests/status_history.rs
@@ -12,7 +12,10 @@
         done: None,
         running: None,
     };
-    Reply::Job(200, response)
+    Reply::Job {
+        status: 200,
+        response,
+    }
 }
 
 #[test]
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -91,7 +91,7 @@
     /// Machine types of the cloud provider.
     pub catalogue: MachineCatalogue,
     /// Jobs as last read from the store.
-    pub jobs: JobCache,
+    pub job_cache: JobCache,
     /// Task counts of active jobs as read from the leader.
     pub task_counts: TaskCounts,
     /// Checks of versions against the store.
@@ -158,7 +158,7 @@
             catalogue: MachineCatalogue::default(),
             settings,
             operator_settings,
-            jobs: JobCache::new(cached_jobs.max(MIN_CACHED_JOBS)),
+            job_cache: JobCache::new(cached_jobs.max(MIN_CACHED_JOBS)),
             task_counts: TaskCounts::default(),
             version_checks,
             wake_scheduler: Notify::new(),
