--- a/crates/tallygauge-records/src/lib.rs
+++ b/crates/tallygauge-records/src/lib.rs
@@ -1,16 +1,18 @@
-//! Records that a leader keeps beside the jobs, so that its successor knows what
-//! it knew.
+//! Auxiliary records of the leader, from which its successor recovers what can't be
+//! derived from jobs and placements.
 //!
 //! Pure: no clock, no input or output. A [`Record`] has a name, a version and a
-//! timing: what is *ahead* is durable before anybody acts on it, what is
-//! *behind* may be lost and is rebuilt from what else is on record. [`read`]
-//! takes one up as it was found: missing, torn, or of a version that this
-//! program doesn't know, which is said and never keeps a node from leading. A
-//! [`Shelf`] says what is to be written when, many records in one change.
-//! `docs/trade.md` says what is kept where.
+//! durability: a write-ahead record is durable before anybody acts on it; a
+//! write-behind record may be lost and is rebuilt from what else is stored.
+//! [`decode`] reads a stored record back. One that is malformed or of a later version is
+//! an error that the caller logs; it never keeps a controller from leading.
+//! [`WriteBehind`] decides what is written when, many records per transaction.
+//! `docs/trade.md` says what is stored where.
 
+mod error;
 mod record;
 mod write_behind;
 
+pub use error::{DecodeError, EncodeError};
 pub use record::{Durability, Record, StoredRecord, decode, encode, record_name};
 pub use write_behind::{Entry, RecordStatus, WriteBatch, WriteBehind};
--- a/crates/tallygauge-records/src/record.rs
+++ b/crates/tallygauge-records/src/record.rs
@@ -1,174 +1,97 @@
-//! One record, as it is found and as it is written.
+//! Encoding and decoding of one record.
 
+use crate::error::{DecodeError, EncodeError};
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::{Map, Value};
 
+/// Field of a stored record that holds its version.
+const VERSION_FIELD: &str = "v";
+
+/// Field of a stored record that holds the time of day when it was written.
+pub(crate) const WRITTEN_AT_FIELD: &str = "at";
+
 /// When a record must be durable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Durability {
     /// Before anybody acts on what it says.
     WriteAhead,
-    /// Some time later: lost, it is rebuilt from what else is on record.
+    /// Some time later: if lost, it is rebuilt from what else is stored.
     WriteBehind,
 }
 
-/// Something that is kept as an object with named fields. Fields may be added
-/// within a version, with a default; `v` and `at` are the keeper's own.
+/// A value that is stored as an object with named fields. Fields may be added within a
+/// version, with a default; the field names `v` and `at` are reserved.
 pub trait Record: Serialize + DeserializeOwned {
-    /// Name, part of its key.
+    /// Name of the record, part of its key.
     const NAME: &'static str;
-    /// Version. A program passes a record over that is of a later one.
+    /// Version of the record. A program does not read records of a later version.
     const VERSION: u32;
-    /// When it must be durable.
+    /// When the record must be durable.
     const DURABILITY: Durability;
 }
 
-/// A record as it was found.
+/// A record as it was read.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StoredRecord<T> {
-    /// Readable, and the time of day when it was written, 0 if it doesn't say.
-    Readable(T, f64),
-    /// There is none.
-    Missing,
-    /// It was written by a later program; this is its version.
-    NewerVersion(u32),
-    /// It can't be read, and why.
-    Malformed(String),
-}
-
-impl<T> StoredRecord<T> {
-    /// What was read.
-    #[must_use]
-    pub fn into_record(self) -> Option<T> {
-        match self {
-            Self::Readable(value, _) => Some(value),
-            Self::Missing | Self::NewerVersion(_) | Self::Malformed(_) => None,
-        }
-    }
-
-    /// Why nothing was read, in words for the log, if that is not as usual.
-    #[must_use]
-    pub fn problem(&self) -> Option<String> {
-        match self {
-            Self::Readable(..) | Self::Missing => None,
-            Self::NewerVersion(version) => {
-                Some(format!("it is of version {version}, which is later"))
-            }
-            Self::Malformed(why) => Some(format!("it can't be read: {why}")),
-        }
-    }
+pub struct StoredRecord<T> {
+    /// The record.
+    pub record: T,
+    /// Time of day when it was written, in seconds since the epoch; 0 if unknown.
+    pub written_at: f64,
 }
 
-/// Name of a record, or of one of its parts.
+/// Name of a record, or of one of its shards.
 #[must_use]
-pub fn record_name<T: Record>(part: Option<usize>) -> String {
-    match part {
+pub fn record_name<T: Record>(shard: Option<usize>) -> String {
+    match shard {
         None => T::NAME.to_string(),
-        Some(part) => format!("{}/{part}", T::NAME),
+        Some(shard) => format!("{}/{shard}", T::NAME),
     }
 }
 
-/// Takes up what was found under a record's key.
-#[must_use]
-pub fn decode<T: Record>(found: Option<Value>) -> StoredRecord<T> {
-    let Some(value) = found else {
-        return StoredRecord::Missing;
+/// Decodes the value stored under a record's key; `None` when there is none.
+///
+/// # Errors
+/// When the value has no version, a later one, or other fields than the record.
+pub fn decode<T: Record>(stored: Option<Value>) -> Result<Option<StoredRecord<T>>, DecodeError> {
+    let Some(value) = stored else {
+        return Ok(None);
     };
-    let version = value.get("v").and_then(Value::as_u64);
-    match version.and_then(|v| u32::try_from(v).ok()) {
-        None => return StoredRecord::Malformed("it has no version".into()),
-        Some(version) if version > T::VERSION => return StoredRecord::NewerVersion(version),
-        Some(_) => {}
-    }
-    let at = value.get("at").and_then(Value::as_f64).unwrap_or(0.0);
-    match serde_json::from_value(value) {
-        Ok(record) => StoredRecord::Readable(record, at),
-        Err(error) => StoredRecord::Malformed(error.to_string()),
+    let version = value.get(VERSION_FIELD).and_then(Value::as_u64);
+    let version = version
+        .and_then(|version| u32::try_from(version).ok())
+        .ok_or(DecodeError::MissingVersion)?;
+    if version > T::VERSION {
+        return Err(DecodeError::NewerVersion {
+            version,
+            supported: T::VERSION,
+        });
     }
+    let written_at = value.get(WRITTEN_AT_FIELD).and_then(Value::as_f64);
+    Ok(Some(StoredRecord {
+        record: serde_json::from_value(value)?,
+        written_at: written_at.unwrap_or(0.0),
+    }))
 }
 
-/// A record as it is written at a time of day.
+/// Encodes a record as it is stored, written at a time of day in seconds.
 ///
 /// # Errors
-/// When it is no object, or has fields that can't be written.
-pub fn encode<T: Record>(record: &T, at: f64) -> Result<Value, String> {
-    let value = serde_json::to_value(record).map_err(|e| e.to_string())?;
+/// When it is not an object, or has fields that can't be serialized.
+pub fn encode<T: Record>(record: &T, written_at: f64) -> Result<Value, EncodeError> {
+    let value = serde_json::to_value(record).map_err(|source| EncodeError::Serialize {
+        name: T::NAME.to_string(),
+        source,
+    })?;
     let Value::Object(fields) = value else {
-        return Err(format!("{} is no object", T::NAME));
+        return Err(EncodeError::NotAnObject {
+            name: T::NAME.to_string(),
+        });
     };
-    let mut whole = Map::from_iter(fields);
-    whole.insert("v".into(), T::VERSION.into());
-    whole.insert("at".into(), at.into());
-    Ok(Value::Object(whole))
+    let mut stored = Map::from_iter(fields);
+    stored.insert(VERSION_FIELD.into(), T::VERSION.into());
+    stored.insert(WRITTEN_AT_FIELD.into(), written_at.into());
+    Ok(Value::Object(stored))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde::Deserialize;
-
-    #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-    struct Old {
-        sum: u32,
-    }
-
-    #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-    struct New {
-        sum: u32,
-        #[serde(default)]
-        more: Vec<u32>,
-    }
-
-    impl Record for Old {
-        const NAME: &'static str = "test";
-        const VERSION: u32 = 2;
-        const DURABILITY: Durability = Durability::WriteBehind;
-    }
-
-    impl Record for New {
-        const NAME: &'static str = "test";
-        const VERSION: u32 = 2;
-        const DURABILITY: Durability = Durability::WriteBehind;
-    }
-
-    // A roll from an older program to a newer one and back: each reads what the
-    // other wrote, as far as it knows it.
-    #[test]
-    fn programs_of_a_version_read_each_other() {
-        let more = New {
-            sum: 3,
-            more: vec![1],
-        };
-        let written = encode(&more, 17.5).unwrap();
-        assert_eq!(
-            decode::<New>(Some(written.clone())),
-            StoredRecord::Readable(more, 17.5)
-        );
-        let old = decode::<Old>(Some(written)).into_record().unwrap();
-        assert_eq!(old, Old { sum: 3 });
-        let back = decode::<New>(Some(encode(&old, 18.0).unwrap()));
-        let none = New {
-            sum: 3,
-            more: vec![],
-        };
-        assert_eq!(back, StoredRecord::Readable(none, 18.0));
-    }
-
-    #[test]
-    fn what_cannot_be_read_is_said_and_passed_over() {
-        let cases = [
-            (r#"{"v":3,"sum":1}"#, "later"),
-            (r#"{"sum":1}"#, "no version"),
-            (r#"{"v":2,"sum":"x"}"#, "can't be read"),
-            (r#"[2]"#, "no version"),
-            (r#"{"v":-2,"sum":1}"#, "no version"),
-        ];
-        for (text, word) in cases {
-            let found = decode::<Old>(Some(serde_json::from_str(text).unwrap()));
-            assert!(found.problem().unwrap().contains(word), "{text}");
-            assert_eq!(found.into_record(), None);
-        }
-        let none = decode::<Old>(None);
-        assert_eq!((none.problem(), none.into_record()), (None, None));
-    }
-}
+mod tests;
--- a/crates/tallygauge-records/src/write_behind.rs
+++ b/crates/tallygauge-records/src/write_behind.rs
@@ -1,314 +1,246 @@
-//! What is to be written, and when.
+//! Staging of records: what is written, and when.
 
-use crate::record::{Durability, Record, encode, record_name};
-use serde_json::Value;
+use crate::{
+    error::EncodeError,
+    record::{Durability, Record, WRITTEN_AT_FIELD, encode, record_name},
+};
+use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// What is to be written under one key.
+/// A value to be written under one key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
     /// Name of the record.
     pub name: String,
-    /// Its value.
+    /// Encoded record.
     pub value: Value,
 }
 
-/// Records that go in one change.
+/// Records to be written in one transaction.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct WriteBatch {
     /// The records.
     pub entries: Vec<Entry>,
-    /// Stands for the state of each at the time it was put in.
+    /// Generation of each entry when it was taken into the batch.
     generations: Vec<u64>,
 }
 
 #[derive(Debug, Clone)]
 struct PendingRecord {
     durability: Durability,
-    /// As it should be.
+    /// Encoded record as last staged.
     desired: Value,
-    /// Counts how often that has changed.
+    /// Number of times that `desired` has changed.
     generation: u64,
-    /// The count that is durable; `None`: none is, or it can't be known.
+    /// Newest generation known to be durable.
     durable_generation: Option<u64>,
     bytes: usize,
     written_at: f64,
 }
 
-/// A record's place on the shelf, as shown to operators.
+impl PendingRecord {
+    fn new(durability: Durability) -> Self {
+        Self {
+            durability,
+            desired: Value::Null,
+            generation: 0,
+            durable_generation: None,
+            bytes: 0,
+            written_at: f64::NEG_INFINITY,
+        }
+    }
+
+    fn is_durable(&self) -> bool {
+        self.durable_generation == Some(self.generation)
+    }
+}
+
+/// State of one record, for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordStatus {
     /// Name of the record.
     pub name: String,
     /// Bytes of its value.
     pub bytes: usize,
-    /// Seconds since it was written; `None`: it has not been yet.
+    /// Seconds since it was written; `None` if it has not been yet.
     pub age_s: Option<f64>,
 }
 
-/// The records of a leader. Bounded by the number of names, and by bytes each.
+/// The records of a leader, as they should be and as far as they are durable. Bounded
+/// by the number of names and the bytes of each record.
 #[derive(Debug, Default)]
 pub struct WriteBehind {
     pending: BTreeMap<String, PendingRecord>,
     max_record_bytes: usize,
-    refused: BTreeMap<String, usize>,
+    /// Records that were too large once, and their bytes then.
+    too_large: BTreeMap<String, usize>,
 }
 
 impl WriteBehind {
-    /// A shelf for records of at most so many bytes each.
+    /// No records yet; each may have `max_record_bytes`.
     #[must_use]
-    pub fn new(most_bytes: usize) -> Self {
+    pub fn new(max_record_bytes: usize) -> Self {
         Self {
             pending: BTreeMap::new(),
-            max_record_bytes: most_bytes,
-            refused: BTreeMap::new(),
+            max_record_bytes,
+            too_large: BTreeMap::new(),
         }
     }
 
-    /// Takes a record up as it should be. `part` tells several of one kind
-    /// apart. Returns whether that is new.
+    /// Sets the desired state of a record, or of one of its shards. Returns whether it
+    /// changed anything but the time.
     ///
     /// # Errors
-    /// In words, when it can't be written or is too long: said once a size, and
-    /// what was wanted before stays.
+    /// When the record can't be encoded or is too large; the latter is reported once
+    /// per name. The state staged before stays.
     pub fn stage<T: Record>(
         &mut self,
-        part: Option<usize>,
+        shard: Option<usize>,
         record: &T,
-        at: f64,
-    ) -> Result<bool, String> {
-        let name = record_name::<T>(part);
-        let value = encode(record, at)?;
-        let same = |slot: &PendingRecord| is_equal_except_time(&slot.desired, &value);
-        if self.pending.get(&name).is_some_and(same) {
+        now: f64,
+    ) -> Result<bool, EncodeError> {
+        let name = record_name::<T>(shard);
+        let value = encode(record, now)?;
+        let is_same = |pending: &PendingRecord| is_equal_except_time(&pending.desired, &value);
+        if self.pending.get(&name).is_some_and(is_same) {
             return Ok(false);
         }
         let bytes = value.to_string().len();
         if bytes > self.max_record_bytes {
-            let before = self.refused.insert(name.clone(), bytes);
-            return match before {
-                Some(_) => Ok(false),
-                None => Err(format!(
-                    "{name} has {bytes} bytes, more than {}",
-                    self.max_record_bytes
-                )),
-            };
+            return self.refuse_too_large(name, bytes);
         }
-        let slot = self.pending.entry(name).or_insert(PendingRecord {
-            durability: T::DURABILITY,
-            desired: Value::Null,
-            generation: 0,
-            durable_generation: None,
-            bytes: 0,
-            written_at: f64::NEG_INFINITY,
-        });
-        slot.desired = value;
-        slot.generation += 1;
-        slot.bytes = bytes;
+        let pending = self
+            .pending
+            .entry(name)
+            .or_insert_with(|| PendingRecord::new(T::DURABILITY));
+        pending.desired = value;
+        pending.generation += 1;
+        pending.bytes = bytes;
         Ok(true)
     }
 
-    /// A record as it was last put.
+    /// An error the first time that a record is too large, "unchanged" afterwards.
+    fn refuse_too_large(&mut self, name: String, bytes: usize) -> Result<bool, EncodeError> {
+        let is_known = self.too_large.insert(name.clone(), bytes).is_some();
+        if is_known {
+            return Ok(false);
+        }
+        Err(EncodeError::TooLarge {
+            name,
+            bytes,
+            max_bytes: self.max_record_bytes,
+        })
+    }
+
+    /// A record as last staged.
     #[must_use]
     pub fn desired<T: Record>(&self) -> Option<T> {
-        let slot = self.pending.get(T::NAME)?;
-        serde_json::from_value(slot.desired.clone()).ok()
+        let pending = self.pending.get(T::NAME)?;
+        serde_json::from_value(pending.desired.clone()).ok()
     }
 
-    /// Whether a record is durable as it was last put.
+    /// Whether a record is durable as last staged.
     #[must_use]
     pub fn is_durable(&self, name: &str) -> bool {
-        let slot = self.pending.get(name);
-        slot.is_some_and(|s| s.durable_generation == Some(s.generation))
+        self.pending
+            .get(name)
+            .is_some_and(PendingRecord::is_durable)
     }
 
-    /// What should be written now in one change of at most so many records and
-    /// bytes: those that are ahead first, then those that have waited longest.
+    /// The records to be written next in one transaction of at most `max_entries` and
+    /// `max_bytes`: write-ahead records first, then those written longest ago. `None`
+    /// when nothing is due.
     #[must_use]
-    pub fn next_batch(&self, most: usize, bytes: usize, only_ahead: bool) -> Option<WriteBatch> {
-        let mut due: Vec<(&String, &PendingRecord)> = self
-            .pending
-            .iter()
-            .filter(|(_, s)| s.durable_generation != Some(s.generation))
-            .filter(|(_, s)| !only_ahead || s.durability == Durability::WriteAhead)
-            .collect();
-        due.sort_by(|a, b| {
-            let behind = |s: &PendingRecord| s.durability == Durability::WriteBehind;
-            behind(a.1)
-                .cmp(&behind(b.1))
-                .then(a.1.written_at.total_cmp(&b.1.written_at))
-                .then(a.0.cmp(b.0))
-        });
-        let mut parcel = WriteBatch::default();
-        let mut left = bytes;
-        for (name, slot) in due {
-            let Some(rest) = left.checked_sub(slot.bytes) else {
+    pub fn next_batch(
+        &self,
+        max_entries: usize,
+        max_bytes: usize,
+        only_write_ahead: bool,
+    ) -> Option<WriteBatch> {
+        let mut batch = WriteBatch::default();
+        let mut bytes_left = max_bytes;
+        for (name, pending) in self.due(only_write_ahead) {
+            let Some(bytes_after) = bytes_left.checked_sub(pending.bytes) else {
                 continue;
             };
-            if parcel.entries.len() >= most {
+            if batch.entries.len() >= max_entries {
                 break;
             }
-            left = rest;
-            parcel.entries.push(Entry {
+            bytes_left = bytes_after;
+            batch.entries.push(Entry {
                 name: name.clone(),
-                value: slot.desired.clone(),
+                value: pending.desired.clone(),
             });
-            parcel.generations.push(slot.generation);
+            batch.generations.push(pending.generation);
         }
-        (!parcel.entries.is_empty()).then_some(parcel)
+        (!batch.entries.is_empty()).then_some(batch)
     }
 
-    /// A parcel was written.
-    pub fn mark_written(&mut self, parcel: &WriteBatch, now: f64) {
-        for (item, turn) in parcel.entries.iter().zip(&parcel.generations) {
-            if let Some(slot) = self.pending.get_mut(&item.name) {
-                slot.durable_generation = slot.durable_generation.max(Some(*turn));
-                slot.written_at = now;
+    /// Records that are not durable, in the order in which they are to be written.
+    fn due(&self, only_write_ahead: bool) -> Vec<(&String, &PendingRecord)> {
+        let is_write_behind =
+            |pending: &PendingRecord| pending.durability == Durability::WriteBehind;
+        let mut due: Vec<(&String, &PendingRecord)> = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| !pending.is_durable())
+            .filter(|(_, pending)| !only_write_ahead || !is_write_behind(pending))
+            .collect();
+        due.sort_by(|(a_name, a), (b_name, b)| {
+            is_write_behind(a)
+                .cmp(&is_write_behind(b))
+                .then(a.written_at.total_cmp(&b.written_at))
+                .then(a_name.cmp(b_name))
+        });
+        due
+    }
+
+    /// Records that a batch was committed. A record staged again since then is not
+    /// durable yet.
+    pub fn mark_written(&mut self, batch: &WriteBatch, now: f64) {
+        for (entry, generation) in batch.entries.iter().zip(&batch.generations) {
+            if let Some(pending) = self.pending.get_mut(&entry.name) {
+                pending.durable_generation = pending.durable_generation.max(Some(*generation));
+                pending.written_at = now;
             }
         }
     }
 
-    /// What is on the shelf, for operators.
+    /// State of all records, for operators.
     #[must_use]
     pub fn status(&self, now: f64) -> Vec<RecordStatus> {
-        let slots = self.pending.iter();
-        slots
-            .map(|(name, s)| RecordStatus {
+        self.pending
+            .iter()
+            .map(|(name, pending)| RecordStatus {
                 name: name.clone(),
-                bytes: s.bytes,
-                age_s: s.written_at.is_finite().then_some(now - s.written_at),
+                bytes: pending.bytes,
+                age_s: pending
+                    .written_at
+                    .is_finite()
+                    .then_some(now - pending.written_at),
             })
             .collect()
     }
 }
 
-/// Whether two values are equal but for the time at which they were made.
+/// Whether two encoded records are equal but for the time at which they were written.
 fn is_equal_except_time(a: &Value, b: &Value) -> bool {
     match (a, b) {
         (Value::Object(a), Value::Object(b)) => {
-            let others =
-                |m: &serde_json::Map<String, Value>| m.iter().filter(|(k, _)| *k != "at").count();
-            others(a) == others(b) && a.iter().all(|(k, v)| k == "at" || b.get(k) == Some(v))
+            field_count_except_time(a) == field_count_except_time(b)
+                && a.iter()
+                    .all(|(name, value)| name == WRITTEN_AT_FIELD || b.get(name) == Some(value))
         }
         _ => a == b,
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use serde::{Deserialize, Serialize};
-
-    #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-    struct Ahead {
-        n: u32,
-    }
-
-    #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-    struct Behind {
-        text: String,
-    }
-
-    impl Record for Ahead {
-        const NAME: &'static str = "ahead";
-        const VERSION: u32 = 1;
-        const DURABILITY: Durability = Durability::WriteAhead;
-    }
-
-    impl Record for Behind {
-        const NAME: &'static str = "behind";
-        const VERSION: u32 = 1;
-        const DURABILITY: Durability = Durability::WriteBehind;
-    }
-
-    fn behind(n: usize) -> Behind {
-        Behind {
-            text: "x".repeat(n),
-        }
-    }
-
-    #[test]
-    fn what_is_ahead_goes_first_and_many_go_in_one_change() {
-        let mut shelf = WriteBehind::new(200);
-        for part in 0..4 {
-            assert_eq!(shelf.stage(Some(part), &behind(50), 1.0), Ok(true));
-        }
-        assert_eq!(shelf.stage(None, &Ahead { n: 1 }, 1.0), Ok(true));
-        assert_eq!(
-            shelf.stage(None, &Ahead { n: 1 }, 9.0),
-            Ok(false),
-            "as before"
-        );
-        assert!(!shelf.is_durable("ahead"));
-        let urgent = shelf.next_batch(9, 1000, true).unwrap();
-        assert_eq!(urgent.entries.len(), 1);
-        let parcel = shelf.next_batch(3, 1000, false).unwrap();
-        let names: Vec<&str> = parcel.entries.iter().map(|i| i.name.as_str()).collect();
-        assert_eq!(names, ["ahead", "behind/0", "behind/1"]);
-        // It changes while it is being written: that is not durable yet.
-        assert_eq!(shelf.stage(None, &Ahead { n: 2 }, 2.0), Ok(true));
-        shelf.mark_written(&parcel, 10.0);
-        assert!(!shelf.is_durable("ahead") && shelf.is_durable("behind/0"));
-        let parcel = shelf.next_batch(9, 150, false).unwrap();
-        assert!(
-            parcel
-                .entries
-                .iter()
-                .map(|i| i.value.to_string().len())
-                .sum::<usize>()
-                <= 150
-        );
-        shelf.mark_written(&parcel, 11.0);
-        assert!(shelf.is_durable("ahead"));
-        assert_eq!(shelf.status(12.0)[0].age_s, Some(1.0));
-    }
-
-    #[test]
-    fn what_is_too_long_is_said_once_and_what_was_before_stays() {
-        let mut shelf = WriteBehind::new(100);
-        assert_eq!(shelf.stage(None, &behind(10), 1.0), Ok(true));
-        let parcel = shelf.next_batch(9, 999, false).unwrap();
-        shelf.mark_written(&parcel, 1.0);
-        assert!(shelf.is_durable("behind") && shelf.next_batch(9, 999, false).is_none());
-        assert!(shelf.stage(None, &behind(300), 2.0).is_err());
-        assert_eq!(shelf.stage(None, &behind(301), 2.0), Ok(false));
-        assert!(shelf.is_durable("behind"));
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 128, rng_seed: proptest::test_runner::RngSeed::Fixed(19), failure_persistence: None, ..ProptestConfig::default() })]
-        // Whatever is put and whichever parcels are written or lost, a record is
-        // called durable only when the last that was put is what was written
-        // last, and in the end all are.
-        #[test]
-        fn durable_is_what_was_written_last(steps in prop::collection::vec((0u8..4, 0u32..3, 0u32..5), 1..60)) {
-            let mut shelf = WriteBehind::new(999);
-            let mut stored: BTreeMap<String, Value> = BTreeMap::new();
-            let mut wanted: BTreeMap<String, u32> = BTreeMap::new();
-            let mut out: Option<WriteBatch> = None;
-            for (what, part, n) in steps {
-                match what {
-                    0 | 1 => {
-                        shelf.stage(Some(part as usize), &Ahead { n }, 0.0).unwrap();
-                        wanted.insert(format!("ahead/{part}"), n);
-                    }
-                    2 => out = shelf.next_batch(2, 999, false),
-                    _ => if let Some(parcel) = out.take() {
-                        for item in &parcel.entries { stored.insert(item.name.clone(), item.value["n"].clone()); }
-                        shelf.mark_written(&parcel, 0.0);
-                    },
-                }
-                for (name, n) in &wanted {
-                    if shelf.is_durable(name) {
-                        prop_assert_eq!(stored.get(name), Some(&Value::from(*n)));
-                    }
-                }
-            }
-            while let Some(parcel) = shelf.next_batch(2, 999, false) {
-                shelf.mark_written(&parcel, 0.0);
-            }
-            prop_assert!(wanted.keys().all(|name| shelf.is_durable(name)));
-        }
-    }
+fn field_count_except_time(fields: &Map<String, Value>) -> usize {
+    fields
+        .keys()
+        .filter(|name| *name != WRITTEN_AT_FIELD)
+        .count()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/tallygauge-sim/tests/troubles.rs
+++ b/crates/tallygauge-sim/tests/troubles.rs
@@ -221,8 +221,10 @@
     accepted(&a, &third).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     a.with_cluster(|c| c.jobs.retain(|id, _| *id != lost));
-    assert_eq!(reconciliation::reconcile_with_store(&a).await, (1, 0));
-    assert_eq!(reconciliation::reconcile_with_store(&a).await, (0, 0));
+    let repaired = reconciliation::reconcile_with_store(&a).await;
+    assert_eq!((repaired.added, repaired.removed), (1, 0));
+    let repaired = reconciliation::reconcile_with_store(&a).await;
+    assert_eq!((repaired.added, repaired.removed), (0, 0));
     for id in [&lost, &id] {
         assert!(eventually(120.0, async || ask(&a, id).await == Some(JobStatus::Done)).await);
     }
--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -1,71 +1,102 @@
-//! Removal of records that nobody needs any more.
+//! Garbage collection of obsolete records in the key-value store.
 
 use crate::{
     controller::{Controller, placement_batch_key},
-    progress::page_writes,
+    leader_transaction::{max_writes, new_transaction},
+    pacing::heartbeat_intervals,
+    progress::add_page_writes,
 };
-use std::{sync::Arc, time::Duration};
+use std::sync::Arc;
 use tallygauge_protocol::state::{Condition, Transaction, Write};
+use tallygauge_scheduler::PageWrite;
 use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
-/// Report intervals between two transactions.
-const INTERVAL: f64 = 0.5;
+/// Heartbeat intervals between two transactions.
+const CLEANUP_INTERVALS: f64 = 0.5;
 
-/// Removes obsolete records as long as this node leads. A removal whose answer is
-/// lost is made again later: removing twice does no harm, and a page is guarded on
-/// its version.
+/// Records that nothing refers to any more, as many as one transaction may remove.
+struct ObsoleteRecords {
+    batches: Vec<Arc<str>>,
+    pages: Vec<PageWrite>,
+}
+
+impl ObsoleteRecords {
+    fn is_empty(&self) -> bool {
+        self.batches.is_empty() && self.pages.is_empty()
+    }
+}
+
+/// Removes obsolete records for as long as this controller leads. A removal whose
+/// answer is lost is made again later: removing twice does no harm, and a page is
+/// conditioned on its version. Never returns.
 pub async fn run(controller: &Controller, term_guard: &Condition) {
-    let report = controller.settings.deployment.workers.heartbeat_interval_s;
-    let pause = Duration::from_secs_f64(report * INTERVAL);
+    let pause = heartbeat_intervals(controller, CLEANUP_INTERVALS);
     loop {
         tokio::time::sleep(pause).await;
         remove_obsolete_records(controller, term_guard).await;
     }
 }
 
-/// Removes batches whose attempts are over and pages that hold nothing.
+/// Removes placement batches whose attempts have ended, and empty completion pages.
 async fn remove_obsolete_records(controller: &Controller, term_guard: &Condition) {
-    let most = controller
-        .settings
-        .deployment
-        .store
-        .max_writes_per_transaction
-        / 2;
-    let Some((batches, pages)) = controller.with_cluster(|c| {
-        let batches: Vec<Arc<str>> = c.obsolete_batches.iter().take(most).cloned().collect();
-        let pages = c.completion_pages.empty_pages(most - batches.len());
-        (batches, pages)
-    }) else {
+    let Some(obsolete) = find_obsolete_records(controller) else {
         return;
     };
-    if batches.is_empty() && pages.is_empty() {
+    if obsolete.is_empty() {
         return;
     }
-    let mut txn = Transaction {
-        conditions: vec![term_guard.clone()],
-        writes: Vec::new(),
-    };
-    for name in &batches {
-        let key = placement_batch_key(name);
-        txn.writes.push(Write::Remove { key });
-    }
-    page_writes(&mut txn, &pages);
+    let transaction = removal_transaction(term_guard, &obsolete);
     let outcome = controller
         .store
-        .transact(RequestPriority::Progress, &txn)
+        .transact(RequestPriority::Progress, &transaction)
         .await;
-    controller.with_cluster(|c| match outcome {
+    record_removal(controller, &obsolete, outcome);
+}
+
+/// The records to be removed next; `None` without leadership.
+fn find_obsolete_records(controller: &Controller) -> Option<ObsoleteRecords> {
+    let max_records = max_writes(controller) / 2;
+    controller.with_cluster(|cluster| {
+        let batches: Vec<Arc<str>> = cluster
+            .obsolete_batches
+            .iter()
+            .take(max_records)
+            .cloned()
+            .collect();
+        let pages = cluster
+            .completion_pages
+            .empty_pages(max_records - batches.len());
+        ObsoleteRecords { batches, pages }
+    })
+}
+
+fn removal_transaction(term_guard: &Condition, obsolete: &ObsoleteRecords) -> Transaction {
+    let mut transaction = new_transaction(term_guard);
+    for name in &obsolete.batches {
+        let key = placement_batch_key(name);
+        transaction.writes.push(Write::Remove { key });
+    }
+    add_page_writes(&mut transaction, &obsolete.pages);
+    transaction
+}
+
+fn record_removal(
+    controller: &Controller,
+    obsolete: &ObsoleteRecords,
+    outcome: Result<TransactionOutcome, StoreError>,
+) {
+    controller.with_cluster(|cluster| match outcome {
         Ok(TransactionOutcome::Committed(revision)) => {
-            for name in &batches {
-                c.obsolete_batches.remove(name);
+            for name in &obsolete.batches {
+                cluster.obsolete_batches.remove(name);
             }
-            for page in &pages {
-                c.completion_pages.mark_written(page, revision);
+            for page in &obsolete.pages {
+                cluster.completion_pages.mark_written(page, revision);
             }
         }
         Ok(TransactionOutcome::Conflict { .. })
         | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => {
-            c.completion_pages.mark_in_doubt(&pages)
+            cluster.completion_pages.mark_in_doubt(&obsolete.pages)
         }
         Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => {}
     });
--- a/crates/tallygauge/src/job_watch.rs
+++ b/crates/tallygauge/src/job_watch.rs
@@ -1,10 +1,20 @@
-//! What becomes of open jobs' records, taken up into the picture.
+//! Applies records of active jobs, and their changes, to the cluster state.
 
 use crate::user_api::ActiveJobRecord;
 use tallygauge_protocol::state::WatchEvent;
 use tallygauge_scheduler::{ClusterState, RangeSet};
 
-/// Takes an open job up into the picture, with the tasks known to be done.
+/// Prefix of the keys of active jobs' records.
+pub(crate) const ACTIVE_JOB_PREFIX: &str = "o/";
+
+/// The id of the active job whose record has this key.
+pub(crate) fn active_job_id(key: &str) -> Option<&str> {
+    key.strip_prefix(ACTIVE_JOB_PREFIX)
+}
+
+/// Adds an active job to the cluster state. `now` and `time_of_day` are the same
+/// instant on the controller's clock and since the epoch, in seconds; `finished` are the
+/// tasks known to be done.
 pub fn add_job(
     cluster: &mut ClusterState,
     record: ActiveJobRecord,
@@ -12,28 +22,29 @@
     (now, time_of_day): (f64, f64),
     finished: &RangeSet,
 ) {
-    let accepted = now - (time_of_day - record.at).max(0.0);
+    let accepted_at = now - (time_of_day - record.at).max(0.0);
     let id = record.spec.id.clone();
-    cluster.add_job(record.spec, version, accepted, finished);
+    cluster.add_job(record.spec, version, accepted_at, finished);
     cluster.set_accepted_time_of_day(&id, record.at);
 }
 
-/// Takes a change of an open job's record up into the picture.
-pub fn apply_event(cluster: &mut ClusterState, change: WatchEvent, now: f64, time_of_day: f64) {
-    match change {
+/// Applies a change of an active job's record to the cluster state: a job was submitted
+/// or changed, or its record was removed because it ended.
+pub fn apply_event(cluster: &mut ClusterState, event: WatchEvent, now: f64, time_of_day: f64) {
+    match event {
         WatchEvent::Set {
             value,
             version,
             key,
         } => match serde_json::from_value::<ActiveJobRecord>(value) {
             Ok(record) => {
-                let none = RangeSet::default();
-                add_job(cluster, record, version, (now, time_of_day), &none);
+                let finished = RangeSet::default();
+                add_job(cluster, record, version, (now, time_of_day), &finished);
             }
-            Err(error) => tracing::error!(%error, key, "an open job can't be read"),
+            Err(error) => tracing::error!(%error, key, "malformed record of an active job"),
         },
         WatchEvent::Remove { key, .. } => {
-            if let Some(id) = key.strip_prefix("o/") {
+            if let Some(id) = active_job_id(&key) {
                 cluster.remove_job(id, now);
             }
         }
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -1,257 +1,346 @@
-//! Records that a leader keeps beside the jobs, at the state service: read once
-//! when a term begins, written now and then, many in one change.
+//! Auxiliary records of the leader in the key-value store: read once when a term
+//! begins, written behind, many per transaction.
 
 use crate::{
-    controller::Controller, deadline_settings::CutoffSettings, scheduling_loop::record_bytes,
+    controller::Controller,
+    deadline_settings::CutoffSettings,
+    leader_transaction::{max_writes, new_transaction},
+    pacing::{heartbeat_intervals, retry_pause},
+    scheduling_loop::record_bytes,
 };
 use serde_json::Value;
-use std::{collections::BTreeMap, sync::Arc, time::Duration};
-use tallygauge_protocol::state::{Condition, Transaction, Write};
-use tallygauge_records::{Record, StoredRecord, WriteBatch, WriteBehind, decode, record_name};
+use std::{collections::BTreeMap, sync::Arc};
+use tallygauge_protocol::state::{Condition, KeyValue, Transaction, Write};
+use tallygauge_records::{Record, WriteBatch, WriteBehind, decode, record_name};
 use tallygauge_scheduler::{LedgerChange, PriorityRules};
 use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
-/// What the keys of kept records begin with.
-const PREFIX: &str = "s/";
+/// Prefix of the keys of the leader's records.
+const KEY_PREFIX: &str = "s/";
 
-/// Report intervals between two looks at what has changed.
-const STAGE_INTERVAL: f64 = 2.0;
+/// Heartbeat intervals between two looks for records that have changed.
+const STAGE_INTERVALS: f64 = 2.0;
 
-/// Parts that the beliefs of where images lie may have.
+/// Heartbeat intervals between two log lines with the state of all records.
+const STATUS_LOG_INTERVALS: f64 = 16.0;
+
+/// Shards that the record of image locations may have.
 const IMAGE_SHARDS: usize = 4;
 
-/// Records as they were found when the term began, by name, with the versions
-/// of their keys.
+/// Records of one write-ahead transaction.
+const MAX_WRITE_AHEAD_RECORDS: usize = 2;
+
+/// Bytes that are added to a record when it is encoded.
+const ENCODING_OVERHEAD_BYTES: usize = 64;
+
+/// A record's value and the version of its key.
+#[derive(Debug, Clone)]
+struct StoredEntry {
+    value: Value,
+    version: u64,
+}
+
+/// Records as they were stored when the term began, by name.
 #[derive(Debug, Default, Clone)]
 pub struct StoredRecords {
-    found: BTreeMap<String, (Value, u64)>,
+    entries: BTreeMap<String, StoredEntry>,
     /// The cutoffs in force.
     pub calendar: Option<CutoffSettings>,
 }
 
 impl StoredRecords {
-    /// Takes up one record; what can't be read is said once.
+    /// Decodes a record, or one of its shards. One that can't be decoded is logged and
+    /// treated as missing.
     #[must_use]
-    pub fn decode<T: Record>(&self, part: Option<usize>) -> Option<T> {
-        let name = record_name::<T>(part);
-        let found: StoredRecord<T> = decode(self.found.get(&name).map(|f| f.0.clone()));
-        if let Some(why) = found.problem() {
-            tracing::warn!(
-                record = name,
-                why,
-                "a kept record is passed over and rebuilt"
-            );
+    pub fn decode<T: Record>(&self, shard: Option<usize>) -> Option<T> {
+        let name = record_name::<T>(shard);
+        let value = self.entries.get(&name).map(|entry| entry.value.clone());
+        match decode(value) {
+            Ok(stored) => stored.map(|stored| stored.record),
+            Err(error) => {
+                tracing::warn!(record = name, %error, "ignored a stored record, it is rebuilt");
+                None
+            }
         }
-        found.into_record()
     }
 
-    /// Takes up all parts of a record.
+    /// Decodes all shards of a record.
     #[must_use]
     pub fn decode_shards<T: Record>(&self) -> Vec<T> {
         (0..IMAGE_SHARDS)
-            .filter_map(|part| self.decode(Some(part)))
+            .filter_map(|shard| self.decode(Some(shard)))
             .collect()
     }
 }
 
-/// Reads what earlier leaders kept. It may be missing: never a reason not to
-/// lead.
+/// Reads what earlier leaders stored. It may be missing or unreadable, which never keeps
+/// a controller from leading.
 pub async fn load(controller: &Controller) -> StoredRecords {
-    let mut kept = StoredRecords::default();
-    if let Ok((rows, _)) = controller
+    let mut stored = StoredRecords::default();
+    if let Ok((entries, _)) = controller
         .store
-        .list(RequestPriority::Leadership, PREFIX)
+        .list(RequestPriority::Leadership, KEY_PREFIX)
         .await
     {
-        for row in rows {
-            if let Some(name) = row.key.strip_prefix(PREFIX) {
-                kept.found
-                    .insert(name.to_string(), (row.value, row.version));
+        for KeyValue {
+            key,
+            value,
+            version,
+        } in entries
+        {
+            if let Some(name) = key.strip_prefix(KEY_PREFIX) {
+                let entry = StoredEntry { value, version };
+                stored.entries.insert(name.to_string(), entry);
             }
         }
     }
-    kept.calendar = kept.decode(None);
-    kept
+    stored.calendar = stored.decode(None);
+    stored
+}
+
+/// Writes the leader's records for as long as this controller leads: declared settings
+/// ahead, the others behind. What is not written for want of request budget is written
+/// later. Never returns.
+pub async fn run(controller: &Arc<Controller>, term_guard: &Condition, stored: StoredRecords) {
+    let pause = heartbeat_intervals(controller, STAGE_INTERVALS);
+    let mut writer = RecordWriter::new(controller, term_guard, &stored);
+    writer.stage_declared_settings(stored.calendar.as_ref());
+    writer.commit_write_ahead().await;
+    writer.apply_declared_settings();
+    loop {
+        tokio::time::sleep(pause).await;
+        writer.stage_cluster_records();
+        writer.commit_next_batch().await;
+        writer.log_status();
+    }
 }
 
-/// Keeps records at the state service, as long as this node leads. What isn't
-/// written for want of budget is written later.
-pub async fn run(controller: &Arc<Controller>, term_guard: &Condition, kept: StoredRecords) {
-    let report = controller.settings.deployment.workers.heartbeat_interval_s;
-    let pause = Duration::from_secs_f64(report * STAGE_INTERVAL);
-    let bytes = record_bytes(controller);
-    let mut shelf = WriteBehind::new(bytes);
-    let mut versions: BTreeMap<String, u64> = kept
-        .found
-        .iter()
-        .map(|(name, f)| (name.clone(), f.1))
-        .collect();
-    let mut shown = controller.now();
-    stage_declared_settings(controller, &mut shelf, &kept);
-    // What is ahead is written before anything else, and in force when it is.
-    while let Some(parcel) = shelf.next_batch(2, bytes, true) {
-        write(controller, term_guard, &mut shelf, &mut versions, &parcel).await;
-        if parcel.entries.iter().any(|i| !shelf.is_durable(&i.name)) {
-            tokio::time::sleep(controller.leader_lease_ttl() / 8).await;
+/// The records of one term, and the versions of their keys.
+struct RecordWriter<'a> {
+    controller: &'a Arc<Controller>,
+    term_guard: &'a Condition,
+    records: WriteBehind,
+    versions: BTreeMap<String, u64>,
+    max_record_bytes: usize,
+    status_logged_at: f64,
+}
+
+impl<'a> RecordWriter<'a> {
+    fn new(
+        controller: &'a Arc<Controller>,
+        term_guard: &'a Condition,
+        stored: &StoredRecords,
+    ) -> Self {
+        let max_record_bytes = record_bytes(controller);
+        let versions = stored
+            .entries
+            .iter()
+            .map(|(name, entry)| (name.clone(), entry.version))
+            .collect();
+        Self {
+            controller,
+            term_guard,
+            records: WriteBehind::new(max_record_bytes),
+            versions,
+            max_record_bytes,
+            status_logged_at: controller.now(),
         }
     }
-    if let Some(ledger) = shelf.desired::<PriorityRules>() {
-        controller.with_cluster(|c| c.set_priority_rules(ledger));
+
+    /// Stages the cutoffs and priority rules that this controller's settings declare, if
+    /// they are newer than those in force.
+    fn stage_declared_settings(&mut self, cutoffs_in_force: Option<&CutoffSettings>) {
+        self.stage_declared_cutoffs(cutoffs_in_force);
+        self.stage_declared_rules();
     }
-    if let Some(calendar) = shelf.desired::<CutoffSettings>() {
-        controller.with_cluster(|c| calendar.apply_to(c));
+
+    fn stage_declared_cutoffs(&mut self, in_force: Option<&CutoffSettings>) {
+        let declared = &self.controller.operator_settings.cutoffs;
+        let version_in_force = in_force.map_or(0, |cutoffs| cutoffs.version);
+        if declared.version > version_in_force {
+            let now = self.controller.time_of_day();
+            let staged = self.records.stage(None, declared, now);
+            tracing::info!(version = declared.version, ?staged, "declared cutoffs");
+        } else if declared.version == version_in_force
+            && in_force.is_some_and(|cutoffs| cutoffs != declared)
+        {
+            tracing::warn!(
+                version = version_in_force,
+                "other cutoffs of this version are in force: raise the version"
+            );
+        }
     }
-    controller.wake_scheduler.notify_one();
-    loop {
-        tokio::time::sleep(pause).await;
-        stage_current(controller, &mut shelf, bytes);
-        let most = controller
-            .settings
-            .deployment
-            .store
-            .max_writes_per_transaction
-            / 2;
-        if let Some(parcel) = shelf.next_batch(most, bytes, false) {
-            write(controller, term_guard, &mut shelf, &mut versions, &parcel).await;
+
+    fn stage_declared_rules(&mut self) {
+        let settings = &self.controller.operator_settings;
+        let now = self.controller.time_of_day();
+        let Ok(declared) = settings.ranks.declared(&settings.cutoffs) else {
+            return;
+        };
+        let change = self
+            .controller
+            .with_cluster(|cluster| cluster.priority_rules().declare(&declared, now));
+        let version = declared.version;
+        match change {
+            Some(LedgerChange::New(rules)) => match self.records.stage(None, &rules, now) {
+                Ok(_) => tracing::info!(version, "declared priority rules"),
+                Err(error) => {
+                    tracing::warn!(%error, "priority rules can't be stored and are not in force");
+                }
+            },
+            Some(LedgerChange::VersionConflict) => {
+                tracing::warn!(
+                    version,
+                    "other priority rules of this version are in force: raise the version"
+                );
+            }
+            Some(LedgerChange::Unchanged) | None => {}
         }
-        let now = controller.now();
-        if now - shown > report * STAGE_INTERVAL * 8.0 {
-            shown = now;
-            let records: Vec<String> = shelf
-                .status(now)
-                .iter()
-                .map(|s| match s.age_s {
-                    Some(age_s) => format!("{}:{}B/{age_s:.0}s", s.name, s.bytes),
-                    None => format!("{}:{}B/never", s.name, s.bytes),
-                })
-                .collect();
-            tracing::debug!(records = records.join(" "), "kept");
+    }
+
+    /// Commits write-ahead records until all are durable, before anything else.
+    async fn commit_write_ahead(&mut self) {
+        while let Some(batch) =
+            self.records
+                .next_batch(MAX_WRITE_AHEAD_RECORDS, self.max_record_bytes, true)
+        {
+            self.commit(&batch).await;
+            let is_durable = |name: &str| self.records.is_durable(name);
+            if !batch.entries.iter().all(|entry| is_durable(&entry.name)) {
+                tokio::time::sleep(retry_pause(self.controller)).await;
+            }
         }
     }
-}
 
-/// Puts the cutoffs and ranks that this node's settings declare on the shelf, if
-/// they are newer than those in force.
-fn stage_declared_settings(controller: &Controller, shelf: &mut WriteBehind, kept: &StoredRecords) {
-    let calendar = &controller.operator_settings.cutoffs;
-    let before = kept.calendar.as_ref();
-    let in_force = before.map_or(0, |c| c.version);
-    if calendar.version > in_force {
-        let put = shelf.stage(None, calendar, controller.time_of_day());
-        tracing::info!(version = calendar.version, ?put, "cutoffs are declared");
-    } else if calendar.version == in_force && before.is_some_and(|c| c != calendar) {
-        let version = in_force;
-        tracing::warn!(
-            version,
-            "other cutoffs of this version are in force: raise the version"
-        );
+    /// Puts the declared settings into force, now that they are durable.
+    fn apply_declared_settings(&self) {
+        if let Some(rules) = self.records.desired::<PriorityRules>() {
+            self.controller
+                .with_cluster(|cluster| cluster.set_priority_rules(rules));
+        }
+        if let Some(cutoffs) = self.records.desired::<CutoffSettings>() {
+            self.controller
+                .with_cluster(|cluster| cutoffs.apply_to(cluster));
+        }
+        self.controller.wake_scheduler.notify_one();
     }
-    let declared = controller
-        .operator_settings
-        .ranks
-        .declared(&controller.operator_settings.cutoffs);
-    let at = controller.time_of_day();
-    let change = declared.ok().and_then(|d| {
-        let change = controller.with_cluster(|c| c.priority_rules().declare(&d, at))?;
-        Some((d.version, change))
-    });
-    match change {
-        Some((version, LedgerChange::New(ledger))) => {
-            if let Err(why) = shelf.stage(None, &ledger, at) {
-                tracing::warn!(why, "the ranks can't be kept and are not in force");
-            } else {
-                tracing::info!(version, "ranks are declared");
-            }
+
+    /// Stages the records that follow from the cluster state as it is now.
+    fn stage_cluster_records(&mut self) {
+        let now = self.controller.time_of_day();
+        let max_bytes = self
+            .max_record_bytes
+            .saturating_sub(ENCODING_OVERHEAD_BYTES);
+        let min_fetch_s = self.controller.operator_settings.locality.remember_from;
+        let Some((images, service_counts, deadlines)) = self.controller.with_cluster(|cluster| {
+            (
+                cluster.image_locations(min_fetch_s, max_bytes, IMAGE_SHARDS),
+                cluster.service_counts_record(max_bytes),
+                cluster.deadline_tracker().clone(),
+            )
+        }) else {
+            return;
+        };
+        let mut staged = vec![
+            self.records.stage(None, &service_counts, now),
+            self.records.stage(None, &deadlines, now),
+        ];
+        for (shard, record) in images.iter().enumerate() {
+            staged.push(self.records.stage(Some(shard), record, now));
         }
-        Some((version, LedgerChange::VersionConflict)) => {
-            tracing::warn!(
-                version,
-                "other ranks of this version are in force: raise the version"
-            );
+        for error in staged.into_iter().filter_map(Result::err) {
+            tracing::warn!(%error, "record can't be stored");
         }
-        Some((_, LedgerChange::Unchanged)) | None => {}
     }
-}
 
-/// Puts the records on the shelf as they should be now.
-fn stage_current(controller: &Controller, shelf: &mut WriteBehind, bytes: usize) {
-    let at = controller.time_of_day();
-    // What the keeper adds to a record.
-    let room = bytes.saturating_sub(64);
-    let least_s = controller.operator_settings.locality.remember_from;
-    let Some((floor, images, calendar)) = controller.with_cluster(|c| {
-        let images = c.image_locations(least_s, room, IMAGE_SHARDS);
-        (
-            c.service_counts_record(room),
-            images,
-            c.deadline_tracker().clone(),
-        )
-    }) else {
-        return;
-    };
-    let mut complaints = vec![
-        shelf.stage(None, &floor, at),
-        shelf.stage(None, &calendar, at),
-    ];
-    for (part, record) in images.iter().enumerate() {
-        complaints.push(shelf.stage(Some(part), record, at));
+    async fn commit_next_batch(&mut self) {
+        let max_records = max_writes(self.controller) / 2;
+        let batch = self
+            .records
+            .next_batch(max_records, self.max_record_bytes, false);
+        if let Some(batch) = batch {
+            self.commit(&batch).await;
+        }
     }
-    for why in complaints.into_iter().filter_map(Result::err) {
-        tracing::warn!(why, "a record can't be kept");
+
+    /// Sends a batch once, and records what became of it.
+    async fn commit(&mut self, batch: &WriteBatch) {
+        let transaction = self.batch_transaction(batch);
+        let outcome = self
+            .controller
+            .store
+            .transact(RequestPriority::Maintenance, &transaction)
+            .await;
+        match outcome {
+            Ok(TransactionOutcome::Committed(revision)) => {
+                for entry in &batch.entries {
+                    self.versions.insert(entry.name.clone(), revision);
+                }
+                self.records.mark_written(batch, self.controller.now());
+            }
+            // A write in doubt may have been executed.
+            Ok(TransactionOutcome::Conflict { .. })
+            | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => {
+                self.reload_versions().await;
+            }
+            Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => {}
+        }
     }
-}
 
-/// Writes a parcel in one change, on condition of the term and of each record
-/// being as it was last written: a late write must not land on a newer one.
-async fn write(
-    controller: &Controller,
-    term_guard: &Condition,
-    shelf: &mut WriteBehind,
-    versions: &mut BTreeMap<String, u64>,
-    parcel: &WriteBatch,
-) {
-    let mut txn = Transaction {
-        conditions: vec![term_guard.clone()],
-        writes: Vec::new(),
-    };
-    for item in &parcel.entries {
-        let key = format!("{PREFIX}{}", item.name);
-        txn.conditions.push(Condition {
-            key: key.clone(),
-            version: versions.get(&item.name).copied().unwrap_or(0),
-        });
-        txn.writes.push(Write::Set {
-            key,
-            value: item.value.clone(),
-            lease: None,
-        });
+    /// The transaction of a batch, conditioned on the term and on each record being as
+    /// it was last written: a late write must not replace a newer one.
+    fn batch_transaction(&self, batch: &WriteBatch) -> Transaction {
+        let mut transaction = new_transaction(self.term_guard);
+        for entry in &batch.entries {
+            let key = format!("{KEY_PREFIX}{}", entry.name);
+            transaction.conditions.push(Condition {
+                key: key.clone(),
+                version: self.versions.get(&entry.name).copied().unwrap_or(0),
+            });
+            transaction.writes.push(Write::Set {
+                key,
+                value: entry.value.clone(),
+                lease: None,
+            });
+        }
+        transaction
     }
-    match controller
-        .store
-        .transact(RequestPriority::Maintenance, &txn)
-        .await
-    {
-        Ok(TransactionOutcome::Committed(revision)) => {
-            for item in &parcel.entries {
-                versions.insert(item.name.clone(), revision);
-            }
-            shelf.mark_written(parcel, controller.now());
+
+    async fn reload_versions(&mut self) {
+        let listing = self
+            .controller
+            .store
+            .list(RequestPriority::Maintenance, KEY_PREFIX)
+            .await;
+        if let Ok((entries, _)) = listing {
+            self.versions = entries
+                .into_iter()
+                .filter_map(|entry| {
+                    let name = entry.key.strip_prefix(KEY_PREFIX)?;
+                    Some((name.to_string(), entry.version))
+                })
+                .collect();
         }
-        // An unanswered write may have been made: what is there is read again.
-        Ok(TransactionOutcome::Conflict { .. })
-        | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => {
-            if let Ok((rows, _)) = controller
-                .store
-                .list(RequestPriority::Maintenance, PREFIX)
-                .await
-            {
-                *versions = rows
-                    .into_iter()
-                    .filter_map(|r| Some((r.key.strip_prefix(PREFIX)?.to_string(), r.version)))
-                    .collect();
-            }
+    }
+
+    /// Logs the size and age of all records from time to time.
+    fn log_status(&mut self) {
+        let now = self.controller.now();
+        let interval = heartbeat_intervals(self.controller, STATUS_LOG_INTERVALS);
+        if now - self.status_logged_at <= interval.as_secs_f64() {
+            return;
         }
-        Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => {}
+        self.status_logged_at = now;
+        let records: Vec<String> = self
+            .records
+            .status(now)
+            .iter()
+            .map(|status| match status.age_s {
+                Some(age_s) => format!("{}:{}B/{age_s:.0}s", status.name, status.bytes),
+                None => format!("{}:{}B/never", status.name, status.bytes),
+            })
+            .collect();
+        tracing::debug!(records = records.join(" "), "leader records");
     }
 }
 
--- a/crates/tallygauge/src/leader_records/tests.rs
+++ b/crates/tallygauge/src/leader_records/tests.rs
@@ -1,8 +1,8 @@
-//! Where kept records lie at the state service.
+//! Where the leader's records are in the key-value store.
 
 use super::*;
 
 #[test]
-fn kept_records_lie_under_the_stored_prefix() {
-    assert_eq!(PREFIX, "s/");
+fn leader_records_have_the_stored_key_prefix() {
+    assert_eq!(KEY_PREFIX, "s/");
 }
--- /dev/null
+++ b/crates/tallygauge/src/leader_transaction.rs
@@ -0,0 +1,39 @@
+//! What the leader's transactions have in common: all are conditioned on the term, so
+//! that a deposed leader can't write.
+
+use crate::controller::{Controller, TERM_KEY};
+use serde::Serialize;
+use tallygauge_protocol::state::{Condition, Transaction, Write};
+
+/// A transaction without writes, conditioned on the term.
+pub(crate) fn new_transaction(term_guard: &Condition) -> Transaction {
+    Transaction {
+        conditions: vec![term_guard.clone()],
+        writes: Vec::new(),
+    }
+}
+
+/// Writes of one transaction, as the store limits them.
+pub(crate) fn max_writes(controller: &Controller) -> usize {
+    let limits = &controller.settings.deployment.store;
+    limits.max_writes_per_transaction
+}
+
+/// A write of a record without a lease.
+pub(crate) fn set_record(key: String, record: &impl Serialize) -> Write {
+    Write::Set {
+        key,
+        value: serde_json::to_value(record).unwrap_or_default(),
+        lease: None,
+    }
+}
+
+/// Steps down if a transaction failed on its term condition: another controller has
+/// been elected. Returns whether it did.
+pub(crate) fn step_down_if_deposed(controller: &Controller, failed_keys: &[String]) -> bool {
+    let is_deposed = failed_keys.iter().any(|key| key == TERM_KEY);
+    if is_deposed {
+        controller.step_down("a write found another term");
+    }
+    is_deposed
+}
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -1,84 +1,87 @@
-//! Durable placements: batches whose transactions are under way at the same time.
+//! Durable placements: batches whose transactions are in flight concurrently.
 
 use crate::{
-    controller::{Controller, TERM_KEY, active_job_key, placement_batch_key},
+    controller::{Controller, active_job_key, placement_batch_key},
+    leader_transaction::{new_transaction, set_record, step_down_if_deposed},
+    pacing::retry_pause,
     worker_api,
 };
 use futures_util::{
     future::BoxFuture,
     stream::{FuturesUnordered, StreamExt},
 };
-use std::{collections::VecDeque, sync::Arc, time::Duration};
-use tallygauge_protocol::state::{Condition, Transaction, Write};
+use std::{collections::VecDeque, sync::Arc};
+use tallygauge_protocol::state::{Condition, Transaction};
 use tallygauge_scheduler::PlacementBatch;
-use tallygauge_store::{RequestPriority, TransactionOutcome};
+use tallygauge_store::{CommitResult, RequestPriority, TransactionOutcome};
+use tokio::time::Instant;
 
-/// Part of the leader's writes of a second that may be placements under way.
+/// Part of the store's writes of a second that may be placements in flight.
 const IN_FLIGHT_WRITE_SHARE: f64 = 0.125;
 
-/// Batches under way, however few writes there are.
+/// Batches that may be in flight however few writes the store allows.
 const MIN_IN_FLIGHT: usize = 3;
 
-/// Batches that a leader is making durable. One in doubt holds its own tasks,
-/// capacity and quota, and nothing else: rounds go on over the rest.
+/// Writes the leader's placement batches. One in doubt holds back its own tasks,
+/// capacity and quota, and nothing else: scheduling rounds go on over the rest.
 pub struct PlacementWriter<'a> {
     controller: &'a Arc<Controller>,
     term_guard: &'a Condition,
-    /// Planned and not sent yet, for want of a turn.
-    waiting: VecDeque<PlacementBatch>,
+    /// Planned, and not sent yet because enough others are in flight.
+    queued: VecDeque<PlacementBatch>,
     in_flight: FuturesUnordered<BoxFuture<'a, ()>>,
     max_in_flight: usize,
 }
 
 impl<'a> PlacementWriter<'a> {
-    /// None under way.
+    /// A writer with nothing in flight, for the term of `term_guard`.
     #[must_use]
     pub fn new(controller: &'a Arc<Controller>, term_guard: &'a Condition) -> Self {
-        let writes = controller.settings.deployment.store.writes_per_s;
+        let writes_per_s = controller.settings.deployment.store.writes_per_s;
+        let max_in_flight = (writes_per_s * IN_FLIGHT_WRITE_SHARE) as usize;
         Self {
             controller,
             term_guard,
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             in_flight: FuturesUnordered::new(),
-            max_in_flight: ((writes * IN_FLIGHT_WRITE_SHARE) as usize).max(MIN_IN_FLIGHT),
+            max_in_flight: max_in_flight.max(MIN_IN_FLIGHT),
         }
     }
 
-    /// Whether another round may plan: what it plans could be sent at once.
+    /// Whether another round may plan placements: they could be sent at once.
     #[must_use]
     pub fn has_capacity(&self) -> bool {
-        self.waiting.is_empty() && self.in_flight.len() < self.max_in_flight
+        self.queued.is_empty() && self.in_flight.len() < self.max_in_flight
     }
 
-    /// Takes batches over; they are sent in order, as turns come.
+    /// Queues batches; they are sent in order, as capacity allows.
     pub fn push(&mut self, batches: Vec<PlacementBatch>) {
-        self.waiting.extend(batches);
-        self.send();
+        self.queued.extend(batches);
+        self.send_queued();
     }
 
-    fn send(&mut self) {
+    fn send_queued(&mut self) {
         while self.in_flight.len() < self.max_in_flight
-            && let Some(batch) = self.waiting.pop_front()
+            && let Some(batch) = self.queued.pop_front()
         {
-            let (controller, term_guard) = (self.controller, self.term_guard);
-            self.in_flight
-                .push(Box::pin(commit_batch(controller, term_guard, batch)));
+            let commit = commit_batch(self.controller, self.term_guard, batch);
+            self.in_flight.push(Box::pin(commit));
         }
     }
 
-    /// Works on what is under way for as long as something else takes. A turn
-    /// that comes free where there was none brings a round.
+    /// Drives the batches in flight until `work` is done. Capacity that becomes free
+    /// where there was none wakes the scheduler.
     pub async fn run_until(&mut self, work: impl Future<Output = ()>) {
         tokio::pin!(work);
         loop {
-            let had_turn = self.has_capacity();
+            let had_capacity = self.has_capacity();
             tokio::select! {
-                // A fixed order of polling, so that simulations repeat themselves.
+                // A fixed polling order keeps simulations reproducible.
                 biased;
                 () = &mut work => return,
                 Some(()) = self.in_flight.next(), if !self.in_flight.is_empty() => {
-                    self.send();
-                    if !had_turn && self.has_capacity() {
+                    self.send_queued();
+                    if !had_capacity && self.has_capacity() {
                         self.controller.wake_scheduler.notify_one();
                     }
                 }
@@ -87,94 +90,105 @@
     }
 }
 
-/// The transaction that makes a batch durable. Conditioned on the term, on the
-/// batch's name being new, and on the records of the jobs, so that nothing starts
-/// after a cancellation.
-fn transaction(term_guard: &Condition, batch: &PlacementBatch) -> Transaction {
+/// The transaction that makes a batch durable. It is conditioned on the term, on the
+/// batch's name being new, and on the records of the jobs, so that nothing starts after
+/// a cancellation.
+fn batch_transaction(term_guard: &Condition, batch: &PlacementBatch) -> Transaction {
     let key = placement_batch_key(&batch.name);
-    let mut guards = vec![
-        term_guard.clone(),
-        Condition {
-            key: key.clone(),
-            version: 0,
-        },
-    ];
-    guards.extend(batch.jobs.iter().map(|(id, version)| Condition {
+    let mut transaction = new_transaction(term_guard);
+    transaction.conditions.push(Condition {
+        key: key.clone(),
+        version: 0,
+    });
+    let job_conditions = batch.jobs.iter().map(|(id, version)| Condition {
         key: active_job_key(id),
         version: *version,
-    }));
-    Transaction {
-        conditions: guards,
-        writes: vec![Write::Set {
-            key,
-            value: serde_json::to_value(&batch.record).unwrap_or_default(),
-            lease: None,
-        }],
-    }
+    });
+    transaction.conditions.extend(job_conditions);
+    transaction.writes.push(set_record(key, &batch.record));
+    transaction
 }
 
-/// Makes a batch durable. Only then may its starts go out.
+/// Makes a batch durable; only then may its start commands go out.
 ///
-/// Unanswered, the same transaction is sent until it is answered: it can be
-/// made once at most, and a refusal on its conditions is final, since neither
-/// a removed job nor a term comes back.
+/// Unanswered, the same transaction is sent until it is answered: it can be executed at
+/// most once, and a conflict is final, since neither a removed job nor a past term comes
+/// back.
 async fn commit_batch(controller: &Arc<Controller>, term_guard: &Condition, batch: PlacementBatch) {
-    let txn = transaction(term_guard, &batch);
-    let settled = controller
+    let transaction = batch_transaction(term_guard, &batch);
+    let result = controller
         .store
-        .commit_with_retries(RequestPriority::Placement, &txn, None)
+        .commit_with_retries(RequestPriority::Placement, &transaction, None)
         .await;
-    let made = match settled.outcome {
-        Ok(TransactionOutcome::Committed(_)) => {
-            if let Some(lead) = controller.lock(&controller.leadership).as_mut() {
-                let asked = controller.instant_to_seconds(settled.sent_at);
-                lead.term_confirmed_at = lead.term_confirmed_at.max(asked);
-            }
-            true
-        }
-        Ok(TransactionOutcome::Conflict {
-            failed_keys: failed,
-        }) => {
-            if failed.iter().any(|k| k == TERM_KEY) {
-                controller.step_down("a write found another term");
-                return;
-            }
-            let now = controller.now();
-            // The jobs are over; the watch will say how.
-            controller.with_cluster(|c| {
-                for (id, _) in &batch.jobs {
-                    if failed.contains(&active_job_key(id)) {
-                        c.remove_job(id, now);
-                    }
-                }
-            });
-            // Made by an earlier copy, it is there now; else it never will be.
-            settled.in_doubt && exists(controller, &batch).await
-        }
-        Ok(TransactionOutcome::LeaseExpired) | Err(_) => false,
+    let Some(committed) = resolve_commit(controller, &batch, result).await else {
+        return;
     };
     let now = controller.now();
-    controller.with_cluster(|c| {
-        if made {
-            c.record_batch_committed(&batch, now);
+    controller.with_cluster(|cluster| {
+        if committed {
+            cluster.record_batch_committed(&batch, now);
         } else {
-            c.record_batch_rejected(&batch, now);
+            cluster.record_batch_rejected(&batch, now);
         }
     });
-    tracing::debug!(batch = &*batch.name, made, "placements");
-    if !made {
+    tracing::debug!(batch = &*batch.name, committed, "placement batch");
+    if !committed {
         controller.wake_scheduler.notify_one();
     }
     worker_api::send_direct_messages(controller);
 }
 
-/// Whether a batch is on record.
-async fn exists(controller: &Controller, batch: &PlacementBatch) -> bool {
+/// Whether a batch was committed; `None` when the controller was deposed.
+async fn resolve_commit(
+    controller: &Controller,
+    batch: &PlacementBatch,
+    result: CommitResult,
+) -> Option<bool> {
+    match result.outcome {
+        Ok(TransactionOutcome::Committed(_)) => {
+            confirm_term(controller, result.sent_at);
+            Some(true)
+        }
+        Ok(TransactionOutcome::Conflict { failed_keys }) => {
+            if step_down_if_deposed(controller, &failed_keys) {
+                return None;
+            }
+            remove_ended_jobs(controller, batch, &failed_keys);
+            // An earlier attempt that was executed is in the store by now.
+            Some(result.in_doubt && is_stored(controller, batch).await)
+        }
+        Ok(TransactionOutcome::LeaseExpired) | Err(_) => Some(false),
+    }
+}
+
+/// The term was in force when a transaction that has been committed was sent.
+fn confirm_term(controller: &Controller, sent_at: Instant) {
+    if let Some(leadership) = controller.lock(&controller.leadership).as_mut() {
+        let confirmed_at = controller.instant_to_seconds(sent_at);
+        leadership.term_confirmed_at = leadership.term_confirmed_at.max(confirmed_at);
+    }
+}
+
+/// Removes jobs of a batch whose records are gone; the watch of active jobs tells how
+/// they ended.
+fn remove_ended_jobs(controller: &Controller, batch: &PlacementBatch, failed_keys: &[String]) {
+    let now = controller.now();
+    controller.with_cluster(|cluster| {
+        for (id, _) in &batch.jobs {
+            if failed_keys.contains(&active_job_key(id)) {
+                cluster.remove_job(id, now);
+            }
+        }
+    });
+}
+
+/// Whether a batch is in the store, asked until the store answers.
+async fn is_stored(controller: &Controller, batch: &PlacementBatch) -> bool {
     let key = placement_batch_key(&batch.name);
-    let pause: Duration = controller.leader_lease_ttl() / 8;
+    let pause = retry_pause(controller);
     loop {
-        if let Ok(row) = controller.store.get(RequestPriority::Placement, &key).await {
-            return row.is_some();
+        if let Ok(stored) = controller.store.get(RequestPriority::Placement, &key).await {
+            return stored.is_some();
         }
         tokio::time::sleep(pause).await;
     }
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -1,14 +1,14 @@
-//! Durable progress: the ends of whole jobs, and pages of finished tasks.
+//! Durable progress: completions of whole jobs, and pages of finished tasks.
 
 use crate::{
-    controller::{
-        CachedJob, Controller, TERM_KEY, active_job_key, completion_page_key, terminal_job_key,
-    },
+    controller::{CachedJob, Controller, active_job_key, completion_page_key, terminal_job_key},
+    leader_transaction::{max_writes, new_transaction, set_record, step_down_if_deposed},
+    pacing::heartbeat_intervals,
     scheduling_loop::VALUE_BYTES,
     user_api::TerminalJobRecord,
 };
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use std::{collections::BTreeSet, sync::Arc, time::Duration};
+use std::{collections::BTreeSet, sync::Arc};
 use tallygauge_protocol::{
     state::{Condition, Transaction, Write},
     users::JobStatus,
@@ -16,215 +16,207 @@
 use tallygauge_scheduler::{Completion, Flush, PageWrite};
 use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
-/// Report intervals between two looks at what has ended, at most.
-const FLUSH_EVERY: f64 = 0.4;
+/// Heartbeat intervals after which completed jobs and finished tasks are looked for
+/// even if nothing woke the loop.
+const MAX_FLUSH_INTERVALS: f64 = 0.4;
 
-/// Report intervals between two looks at what has ended, at least.
-const PAUSE: f64 = 0.05;
+/// Heartbeat intervals between two looks for completed jobs, at the least.
+const MIN_FLUSH_INTERVALS: f64 = 0.05;
 
-/// Transactions that call jobs done, under way at a time.
-const MOST_UNDER_WAY: usize = 4;
+/// Completion transactions in flight at a time.
+const MAX_IN_FLIGHT: usize = 4;
 
-/// Makes the ends of jobs durable, as long as this node leads. A transaction in
-/// doubt keeps only its own jobs waiting.
+/// Writes of one job's completion: its active record goes, its terminal one comes.
+const WRITES_PER_COMPLETION: usize = 2;
+
+/// Makes completions of jobs durable for as long as this controller leads. A
+/// transaction in doubt keeps only its own jobs waiting. Never returns.
 pub async fn complete_jobs(controller: &Controller, term_guard: &Condition) {
-    let report = controller.settings.deployment.workers.heartbeat_interval_s;
-    let pause = Duration::from_secs_f64(report * PAUSE);
-    let between = Duration::from_secs_f64(report * FLUSH_EVERY);
-    let most = controller
-        .settings
-        .deployment
-        .store
-        .max_writes_per_transaction
-        / 2;
-    let mut under_way = FuturesUnordered::new();
-    let mut sent: BTreeSet<String> = BTreeSet::new();
+    let min_pause = heartbeat_intervals(controller, MIN_FLUSH_INTERVALS);
+    let max_wait = heartbeat_intervals(controller, MAX_FLUSH_INTERVALS);
+    let max_jobs = max_writes(controller) / WRITES_PER_COMPLETION;
+    let mut in_flight = FuturesUnordered::new();
+    let mut in_flight_jobs: BTreeSet<String> = BTreeSet::new();
     loop {
         let wait = async {
-            let _ = tokio::time::timeout(between, controller.wake_completions.notified()).await;
-            tokio::time::sleep(pause).await;
+            let woken = controller.wake_completions.notified();
+            let _ = tokio::time::timeout(max_wait, woken).await;
+            tokio::time::sleep(min_pause).await;
         };
         tokio::pin!(wait);
         loop {
             tokio::select! {
-                // A fixed order of polling, so that simulations repeat themselves.
+                // A fixed polling order keeps simulations reproducible.
                 biased;
                 () = &mut wait => break,
-                Some(settled) = under_way.next(), if !under_way.is_empty() => {
-                    let settled: Vec<Completion> = settled;
-                    for job in settled {
-                        sent.remove(&job.job);
+                Some(answered) = in_flight.next(), if !in_flight.is_empty() => {
+                    let answered: Vec<Completion> = answered;
+                    for completion in answered {
+                        in_flight_jobs.remove(&completion.job);
                     }
                 }
             }
         }
-        while under_way.len() < MOST_UNDER_WAY {
-            let due = controller.with_cluster(|c| c.completions(most, &sent));
-            let due = due.unwrap_or_default();
+        while in_flight.len() < MAX_IN_FLIGHT {
+            let due = controller
+                .with_cluster(|cluster| cluster.completions(max_jobs, &in_flight_jobs))
+                .unwrap_or_default();
             if due.is_empty() {
                 break;
             }
-            sent.extend(due.iter().map(|j| j.job.clone()));
-            under_way.push(complete(controller, term_guard, due));
+            in_flight_jobs.extend(due.iter().map(|completion| completion.job.clone()));
+            in_flight.push(commit_completions(controller, term_guard, due));
         }
     }
 }
 
-/// Makes finished tasks of other jobs durable now and then, as long as this node
-/// leads. One flush at a time: a page is guarded on its version.
+/// Makes finished tasks of unfinished jobs durable for as long as this controller
+/// leads. One flush at a time: a page is conditioned on its version. Never returns.
 pub async fn flush_pages(controller: &Arc<Controller>, term_guard: &Condition) {
-    let report = controller.settings.deployment.workers.heartbeat_interval_s;
-    let between = Duration::from_secs_f64(report * FLUSH_EVERY);
-    let ops = controller
-        .settings
-        .deployment
-        .store
-        .max_writes_per_transaction;
+    let pause = heartbeat_intervals(controller, MAX_FLUSH_INTERVALS);
+    let max_writes = max_writes(controller);
     loop {
-        tokio::time::sleep(between).await;
+        tokio::time::sleep(pause).await;
         resolve_pages_in_doubt(controller).await;
-        let due = controller
-            .with_cluster(|c| c.next_flush(ops, VALUE_BYTES))
+        let flush = controller
+            .with_cluster(|cluster| cluster.next_flush(max_writes, VALUE_BYTES))
             .flatten();
-        if let Some(due) = due {
-            commit_pages(controller, term_guard, &due).await;
+        if let Some(flush) = flush {
+            commit_pages(controller, term_guard, &flush).await;
         }
     }
 }
 
-/// Calls jobs done. Conditioned on their records, as a cancellation is, so that
-/// only one of them comes true; for the same reason a copy of it does no harm. Returns
-/// the jobs that it was about.
-async fn complete(
+/// Commits completions of jobs and returns them, whatever the outcome.
+async fn commit_completions(
     controller: &Controller,
     term_guard: &Condition,
-    due: Vec<Completion>,
+    completions: Vec<Completion>,
 ) -> Vec<Completion> {
-    let mut txn = Transaction {
-        conditions: vec![term_guard.clone()],
-        writes: Vec::new(),
-    };
-    for job in &due {
-        let over = TerminalJobRecord {
+    let transaction = completion_transaction(term_guard, &completions);
+    let result = controller
+        .store
+        .commit_with_retries(RequestPriority::Users, &transaction, None)
+        .await;
+    match result.outcome {
+        Ok(TransactionOutcome::Committed(_)) => record_completions(controller, &completions),
+        Ok(TransactionOutcome::Conflict { failed_keys }) => {
+            if !step_down_if_deposed(controller, &failed_keys) {
+                drop_jobs_without_record(controller, &completions, &failed_keys);
+            }
+        }
+        Ok(TransactionOutcome::LeaseExpired) | Err(_) => {}
+    }
+    completions
+}
+
+/// The transaction that replaces the active records of jobs by terminal ones. It is
+/// conditioned on the active records, as a cancellation is, so that only one of the two
+/// is committed; for the same reason it may be sent several times.
+fn completion_transaction(term_guard: &Condition, completions: &[Completion]) -> Transaction {
+    let mut transaction = new_transaction(term_guard);
+    for completion in completions {
+        let record = TerminalJobRecord {
             status: JobStatus::Done,
-            done: job.tasks,
+            done: completion.tasks,
         };
-        let key = active_job_key(&job.job);
-        txn.conditions.push(Condition {
+        let key = active_job_key(&completion.job);
+        transaction.conditions.push(Condition {
             key: key.clone(),
-            version: job.version,
-        });
-        txn.writes.push(Write::Remove { key });
-        txn.writes.push(Write::Set {
-            key: terminal_job_key(&job.job),
-            value: serde_json::to_value(&over).unwrap_or_default(),
-            lease: None,
+            version: completion.version,
         });
+        transaction.writes.push(Write::Remove { key });
+        let terminal_key = terminal_job_key(&completion.job);
+        transaction.writes.push(set_record(terminal_key, &record));
     }
-    let settled = controller
-        .store
-        .commit_with_retries(RequestPriority::Users, &txn, None)
-        .await;
+    transaction
+}
+
+/// Removes jobs whose completion was committed from the cluster state.
+fn record_completions(controller: &Controller, completions: &[Completion]) {
     let now = controller.now();
-    match settled.outcome {
-        Ok(TransactionOutcome::Committed(_)) => {
-            for job in &due {
-                controller.with_cluster(|c| c.remove_job(&job.job, now));
-                let known = CachedJob::Terminal(JobStatus::Done, job.tasks);
-                controller.lock(&controller.jobs).insert(&job.job, known);
-                tracing::debug!(job = job.job, "done");
-            }
-            controller.wake_scheduler.notify_one();
-        }
-        Ok(TransactionOutcome::Conflict {
-            failed_keys: failed,
-        }) => {
-            if failed.iter().any(|k| k == TERM_KEY) {
-                controller.step_down("a write found another term");
-                return due;
-            }
-            // Cancelled first, or an unanswered try was made after all.
-            let over = due
-                .iter()
-                .filter(|j| failed.contains(&active_job_key(&j.job)));
-            for job in over {
-                controller.with_cluster(|c| c.remove_job(&job.job, now));
-            }
-        }
-        Ok(TransactionOutcome::LeaseExpired) | Err(_) => {}
+    for completion in completions {
+        let job = &completion.job;
+        controller.with_cluster(|cluster| cluster.remove_job(job, now));
+        let cached = CachedJob::Terminal(JobStatus::Done, completion.tasks);
+        controller.lock(&controller.jobs).insert(job, cached);
+        tracing::debug!(job, "job completed");
     }
-    due
+    controller.wake_scheduler.notify_one();
 }
 
-/// Adds pages to a transaction, each conditioned on its version: a late write
-/// must not land after a newer one.
-pub(crate) fn page_writes(txn: &mut Transaction, pages: &[PageWrite]) {
+/// Removes jobs whose active record is gone: they were cancelled first, or an
+/// unanswered attempt to complete them was executed.
+fn drop_jobs_without_record(
+    controller: &Controller,
+    completions: &[Completion],
+    failed_keys: &[String],
+) {
+    let now = controller.now();
+    let removed = completions
+        .iter()
+        .filter(|completion| failed_keys.contains(&active_job_key(&completion.job)));
+    for completion in removed {
+        controller.with_cluster(|cluster| cluster.remove_job(&completion.job, now));
+    }
+}
+
+/// Adds pages to a transaction, each conditioned on its version: a late write must not
+/// replace a newer one.
+pub(crate) fn add_page_writes(transaction: &mut Transaction, pages: &[PageWrite]) {
     for page in pages {
         let key = completion_page_key(page.page);
-        txn.conditions.push(Condition {
+        transaction.conditions.push(Condition {
             key: key.clone(),
             version: page.version,
         });
-        txn.writes.push(if page.record.is_empty() {
+        transaction.writes.push(if page.record.is_empty() {
             Write::Remove { key }
         } else {
-            Write::Set {
-                key,
-                value: serde_json::to_value(&page.record).unwrap_or_default(),
-                lease: None,
-            }
+            set_record(key, &page.record)
         });
     }
 }
 
+/// Commits a flush of completion pages and records its outcome.
 async fn commit_pages(controller: &Controller, term_guard: &Condition, flush: &Flush) {
     if flush.pages.writes.is_empty() {
         return;
     }
-    let mut txn = Transaction {
-        conditions: vec![term_guard.clone()],
-        writes: Vec::new(),
-    };
-    page_writes(&mut txn, &flush.pages.writes);
-    let settled = controller
+    let mut transaction = new_transaction(term_guard);
+    add_page_writes(&mut transaction, &flush.pages.writes);
+    let result = controller
         .store
-        .commit_with_retries(RequestPriority::Progress, &txn, None)
+        .commit_with_retries(RequestPriority::Progress, &transaction, None)
         .await;
-    let outcome = settled.outcome;
-    if let Ok(TransactionOutcome::Conflict {
-        failed_keys: failed,
-    }) = &outcome
-        && failed.iter().any(|k| k == TERM_KEY)
+    if let Ok(TransactionOutcome::Conflict { failed_keys }) = &result.outcome
+        && step_down_if_deposed(controller, failed_keys)
     {
-        controller.step_down("a write found another term");
         return;
     }
-    controller.with_cluster(|c| match outcome {
-        Ok(TransactionOutcome::Committed(revision)) => c.record_flushed(flush, revision),
+    controller.with_cluster(|cluster| match result.outcome {
+        Ok(TransactionOutcome::Committed(revision)) => cluster.record_flushed(flush, revision),
         Ok(TransactionOutcome::Conflict { .. })
-        | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => {
-            c.completion_pages.mark_flush_failed(&flush.pages, true)
-        }
-        Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => {
-            c.completion_pages.mark_flush_failed(&flush.pages, false)
-        }
+        | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => cluster
+            .completion_pages
+            .mark_flush_failed(&flush.pages, true),
+        Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => cluster
+            .completion_pages
+            .mark_flush_failed(&flush.pages, false),
     });
 }
 
-/// Reads the versions of pages again that an unanswered write may have changed.
+/// Reads the versions of pages that a write in doubt may have changed.
 async fn resolve_pages_in_doubt(controller: &Controller) {
-    let unsure = controller
-        .with_cluster(|c| c.completion_pages.pages_in_doubt())
+    let pages = controller
+        .with_cluster(|cluster| cluster.completion_pages.pages_in_doubt())
         .unwrap_or_default();
-    for page in unsure {
-        let Ok(row) = controller
-            .store
-            .get(RequestPriority::Progress, &completion_page_key(page))
-            .await
-        else {
+    for page in pages {
+        let key = completion_page_key(page);
+        let Ok(stored) = controller.store.get(RequestPriority::Progress, &key).await else {
             return;
         };
-        let version = row.map_or(0, |r| r.version);
-        controller.with_cluster(|c| c.completion_pages.resolve_version(page, version));
+        let version = stored.map_or(0, |entry| entry.version);
+        controller.with_cluster(|cluster| cluster.completion_pages.resolve_version(page, version));
     }
 }
--- a/crates/tallygauge/src/reconciliation.rs
+++ b/crates/tallygauge/src/reconciliation.rs
@@ -1,143 +1,178 @@
-//! The slow sweep of the daemon: open jobs on record against the picture, and
-//! the picture against itself. What is found is said and mended.
+//! Periodic reconciliation: the cluster state is compared with itself and with the
+//! records of active jobs. Every difference is logged and repaired.
 
-use crate::{controller::Controller, job_watch};
-use std::{collections::BTreeSet, time::Duration};
+use crate::{
+    controller::Controller,
+    job_watch::{self, ACTIVE_JOB_PREFIX, active_job_id},
+    pacing::heartbeat_intervals,
+};
+use std::collections::BTreeSet;
 use tallygauge_protocol::state::{KeyValue, WatchEvent};
+use tallygauge_scheduler::ClusterState;
 use tallygauge_store::RequestPriority;
 
-/// Jobs and machines looked at in one step.
-const STEP: usize = 16;
+/// Jobs and machines checked in one step.
+const STEP_SIZE: usize = 16;
 
-/// Steps in a report interval.
-const STEPS: f64 = 2.0;
+/// Heartbeat intervals between two steps.
+const STEP_INTERVALS: f64 = 0.5;
 
-/// Sweeps as long as this node leads: a step of the picture now and then, all
-/// records of open jobs once a lease.
+/// Jobs that reconciliation with the store repaired.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct RepairedJobs {
+    /// Active jobs that the cluster state did not know.
+    pub added: usize,
+    /// Ended jobs that the cluster state still had.
+    pub removed: usize,
+}
+
+/// Reconciles for as long as this controller leads: a step of the cluster state at a
+/// time, and all records of active jobs once per worker lease. Never returns.
 pub async fn run(controller: &Controller) {
-    let w = &controller.settings.deployment.workers;
-    let pause = Duration::from_secs_f64(w.heartbeat_interval_s / STEPS);
-    let mut listed = controller.now();
+    let lease_s = controller.settings.deployment.workers.lease_s;
+    let pause = heartbeat_intervals(controller, STEP_INTERVALS);
+    let mut listed_at = controller.now();
     loop {
         tokio::time::sleep(pause).await;
-        let found = controller
-            .with_cluster(|c| c.reconcile(STEP))
-            .unwrap_or_default();
-        for text in &found {
-            tracing::warn!(found = text, "the sweep mends");
-        }
-        if !found.is_empty() {
-            controller.wake_scheduler.notify_one();
-        }
+        reconcile_step(controller);
         let now = controller.now();
-        if now - listed > w.lease_s {
-            listed = now;
+        if now - listed_at > lease_s {
+            listed_at = now;
             reconcile_with_store(controller).await;
         }
     }
 }
 
-/// Compares the picture with the records of open jobs. Returns how many jobs
-/// were missing, and how many were over.
+/// Compares the next jobs and machines of the cluster state with each other.
+fn reconcile_step(controller: &Controller) {
+    let differences = controller
+        .with_cluster(|cluster| cluster.reconcile(STEP_SIZE))
+        .unwrap_or_default();
+    for difference in &differences {
+        tracing::warn!(%difference, "reconciliation repaired the cluster state");
+    }
+    if !differences.is_empty() {
+        controller.wake_scheduler.notify_one();
+    }
+}
+
+/// Compares the cluster state with the records of active jobs and repairs it.
 ///
-/// What the picture had followed up to `followed` it must show: an open job that
-/// is older than that and was not in it before the records were listed was
-/// lost. One that was in it, and is not on record at a later time, is over.
-pub async fn reconcile_with_store(controller: &Controller) -> (usize, usize) {
-    let before = {
-        let lead = controller.lock(&controller.leadership);
-        lead.as_ref().and_then(|l| {
-            let cluster = l.cluster.as_ref()?;
-            Some((l.term, l.watched_revision, cluster.active_job_ids()))
-        })
-    };
-    let Some((term, followed, known)) = before else {
-        return (0, 0);
+/// The cluster state must have every active job up to the watched revision: one that is
+/// older and was not in it before the records were listed was lost. A job that was in it
+/// and has no record at a later time has ended.
+pub async fn reconcile_with_store(controller: &Controller) -> RepairedJobs {
+    let Some(snapshot) = take_snapshot(controller) else {
+        return RepairedJobs::default();
     };
-    let Ok((rows, _)) = controller
+    let Ok((stored, _)) = controller
         .store
-        .list(RequestPriority::Maintenance, "o/")
+        .list(RequestPriority::Maintenance, ACTIVE_JOB_PREFIX)
         .await
     else {
-        return (0, 0);
+        return RepairedJobs::default();
     };
-    let (missing, over) = differences(&known, rows, followed);
-    let (now, time_of_day) = (controller.now(), controller.time_of_day());
-    let mut counts = (0, 0);
-    {
-        let mut lead = controller.lock(&controller.leadership);
-        let lead = lead.as_mut().filter(|l| l.term == term);
-        let Some(cluster) = lead.and_then(|l| l.cluster.as_mut()) else {
-            return (0, 0);
-        };
-        for row in missing {
-            let key = row.key.clone();
-            let change = WatchEvent::Set {
-                key: row.key,
-                value: row.value,
-                version: row.version,
-            };
-            let jobs = cluster.jobs.len();
-            job_watch::apply_event(cluster, change, now, time_of_day);
-            if cluster.jobs.len() > jobs {
-                counts.0 += 1;
-                tracing::warn!(key, "the sweep mends: an open job was not in the picture");
-            }
-        }
-        for id in over {
-            if cluster.remove_job(&id, now) {
-                counts.1 += 1;
-                tracing::warn!(id, "the sweep mends: a job that is over was in the picture");
-            }
-        }
-    }
-    if counts != (0, 0) {
+    let differences = compare_jobs(&snapshot.job_ids, stored, snapshot.watched_revision);
+    let repaired = repair_in_term(controller, snapshot.term, differences);
+    if repaired != RepairedJobs::default() {
         controller.wake_scheduler.notify_one();
     }
-    counts
+    repaired
+}
+
+/// The active jobs that the cluster state knew before the records were listed.
+struct JobSnapshot {
+    term: u64,
+    watched_revision: u64,
+    job_ids: BTreeSet<String>,
+}
+
+fn take_snapshot(controller: &Controller) -> Option<JobSnapshot> {
+    let leadership = controller.lock(&controller.leadership);
+    let leadership = leadership.as_ref()?;
+    let cluster = leadership.cluster.as_ref()?;
+    Some(JobSnapshot {
+        term: leadership.term,
+        watched_revision: leadership.watched_revision,
+        job_ids: cluster.active_job_ids(),
+    })
+}
+
+/// Differences between the cluster state and the records of active jobs.
+struct JobDifferences {
+    /// Records of jobs that the cluster state should have.
+    missing: Vec<KeyValue>,
+    /// Ids of jobs that it should not have.
+    ended: Vec<String>,
 }
 
-/// Records of jobs that the picture should have, and ids of those that it should
-/// not: the picture as it was before the records were listed, having followed
-/// all changes up to `followed`.
-fn differences(
+/// Compares the ids that the cluster state knew, having followed all changes up to
+/// `watched_revision`, with the records listed after that.
+fn compare_jobs(
     known: &BTreeSet<String>,
-    rows: Vec<KeyValue>,
-    followed: u64,
-) -> (Vec<KeyValue>, Vec<String>) {
-    let id = |row: &KeyValue| row.key.strip_prefix("o/").map(str::to_string);
-    let open: BTreeSet<String> = rows.iter().filter_map(id).collect();
-    let lost = |row: &KeyValue| {
-        let known = id(row).is_some_and(|id| known.contains(&id));
-        row.version <= followed && !known
+    stored: Vec<KeyValue>,
+    watched_revision: u64,
+) -> JobDifferences {
+    let job_id = |entry: &KeyValue| active_job_id(&entry.key).map(str::to_string);
+    let active: BTreeSet<String> = stored.iter().filter_map(job_id).collect();
+    let is_missing = |entry: &KeyValue| {
+        let is_known = job_id(entry).is_some_and(|id| known.contains(&id));
+        entry.version <= watched_revision && !is_known
     };
-    let over = known.difference(&open).cloned().collect();
-    (rows.into_iter().filter(lost).collect(), over)
+    JobDifferences {
+        ended: known.difference(&active).cloned().collect(),
+        missing: stored.into_iter().filter(is_missing).collect(),
+    }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+/// Repairs the cluster state if the term has not changed meanwhile.
+fn repair_in_term(controller: &Controller, term: u64, differences: JobDifferences) -> RepairedJobs {
+    let (now, time_of_day) = (controller.now(), controller.time_of_day());
+    let mut leadership = controller.lock(&controller.leadership);
+    let leadership = leadership.as_mut().filter(|current| current.term == term);
+    let Some(cluster) = leadership.and_then(|current| current.cluster.as_mut()) else {
+        return RepairedJobs::default();
+    };
+    RepairedJobs {
+        added: add_missing_jobs(cluster, differences.missing, now, time_of_day),
+        removed: remove_ended_jobs(cluster, &differences.ended, now),
+    }
+}
 
-    fn row(n: u32, version: u64) -> KeyValue {
-        KeyValue {
-            key: format!("o/req-{n}"),
-            value: serde_json::Value::Null,
-            version,
+fn add_missing_jobs(
+    cluster: &mut ClusterState,
+    missing: Vec<KeyValue>,
+    now: f64,
+    time_of_day: f64,
+) -> usize {
+    let mut added = 0;
+    for entry in missing {
+        let key = entry.key.clone();
+        let event = WatchEvent::Set {
+            key: entry.key,
+            value: entry.value,
+            version: entry.version,
+        };
+        let jobs_before = cluster.jobs.len();
+        job_watch::apply_event(cluster, event, now, time_of_day);
+        if cluster.jobs.len() > jobs_before {
+            added += 1;
+            tracing::warn!(key, "reconciliation added a missing active job");
         }
     }
+    added
+}
 
-    // A job that came after what the picture had followed is not lost: the watch
-    // brings it.
-    #[test]
-    fn only_what_the_picture_must_know_is_taken_for_lost() {
-        let known = BTreeSet::from(["req-1".to_string(), "req-4".to_string()]);
-        let rows = vec![row(1, 5), row(2, 7), row(3, 11)];
-        let (missing, over) = differences(&known, rows, 10);
-        let missing: Vec<&str> = missing.iter().map(|r| r.key.as_str()).collect();
-        assert_eq!(
-            (missing, over),
-            (vec!["o/req-2"], vec!["req-4".to_string()])
-        );
+fn remove_ended_jobs(cluster: &mut ClusterState, ended: &[String], now: f64) -> usize {
+    let mut removed = 0;
+    for id in ended {
+        if cluster.remove_job(id, now) {
+            removed += 1;
+            tracing::warn!(id, "reconciliation removed a job that has ended");
+        }
     }
+    removed
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/tallygauge/src/reconciliation/tests.rs
@@ -0,0 +1,28 @@
+//! Which differences between the store and the cluster state are faults.
+
+use super::*;
+
+fn stored_job(number: u32, version: u64) -> KeyValue {
+    KeyValue {
+        key: format!("o/req-{number}"),
+        value: serde_json::Value::Null,
+        version,
+    }
+}
+
+// A job newer than the watched revision is not lost: the watch brings it.
+#[test]
+fn only_jobs_older_than_the_watched_revision_are_missing() {
+    let known = BTreeSet::from(["req-1".to_string(), "req-4".to_string()]);
+    let stored = vec![stored_job(1, 5), stored_job(2, 7), stored_job(3, 11)];
+    let differences = compare_jobs(&known, stored, 10);
+    let missing: Vec<&str> = differences
+        .missing
+        .iter()
+        .map(|entry| entry.key.as_str())
+        .collect();
+    assert_eq!(
+        (missing, differences.ended),
+        (vec!["o/req-2"], vec!["req-4".to_string()])
+    );
+}
--- a/crates/tallygauge/tests/golden.rs
+++ b/crates/tallygauge/tests/golden.rs
@@ -32,8 +32,8 @@
 
 fn kept<T: Record>(value: Value) -> Value {
     match decode::<T>(Some(value)) {
-        StoredRecord::Readable(record, at) => encode(&record, at).unwrap(),
-        other => panic!("{}: {:?}", T::NAME, other.problem()),
+        Ok(Some(StoredRecord { record, written_at })) => encode(&record, written_at).unwrap(),
+        other => panic!("{}: {:?}", T::NAME, other.err()),
     }
 }
 
