--- /dev/null
+++ b/crates/tallygauge-http/src/body.rs
@@ -0,0 +1,27 @@
+//! Request bodies of bounded size.
+
+use bytes::Buf;
+use futures_util::{Stream, StreamExt};
+use tallygauge_protocol::BODY_LIMIT;
+
+/// Reads a request body of at most [`BODY_LIMIT`] bytes; `None` if it is longer or
+/// breaks off.
+pub async fn bounded_body(
+    body: impl Stream<Item = Result<impl Buf, warp::Error>>,
+) -> Option<Vec<u8>> {
+    let mut body = std::pin::pin!(body);
+    let mut bytes = Vec::new();
+    while let Some(part) = body.next().await {
+        let mut part = part.ok()?;
+        if bytes.len() + part.remaining() > BODY_LIMIT {
+            return None;
+        }
+        while part.has_remaining() {
+            let chunk = part.chunk();
+            bytes.extend_from_slice(chunk);
+            let chunk_len = chunk.len();
+            part.advance(chunk_len);
+        }
+    }
+    Some(bytes)
+}
--- a/crates/tallygauge-http/src/lib.rs
+++ b/crates/tallygauge-http/src/lib.rs
@@ -1,6 +1,8 @@
-//! Serves HTTP connections: accepts them, closes idle ones, and reads request
-//! bodies of bounded size.
+//! Server side of HTTP connections: accepts them, closes idle ones, and reads request
+//! bodies of bounded size. The daemon's user and worker interfaces are served through it.
 
-mod listen;
+mod body;
+mod connections;
 
-pub use listen::{accept, bounded_body};
+pub use body::bounded_body;
+pub use connections::accept;
