--- a/crates/tallygauge-store/src/commit.rs
+++ b/crates/tallygauge-store/src/commit.rs
@@ -10,9 +10,9 @@
 
 use crate::{
     RequestPriority, StoreClient, StoreError, TransactionOutcome,
-    client::describe_transaction,
     error::{InDoubtReason, NotExecutedReason},
     in_doubt::InDoubtGuard,
+    transaction::describe_transaction,
 };
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use std::time::Duration;
--- a/crates/tallygauge-store/src/lib.rs
+++ b/crates/tallygauge-store/src/lib.rs
@@ -15,11 +15,13 @@
 mod error;
 pub mod http;
 mod in_doubt;
+mod lease;
 mod log_once;
 mod outcome;
 mod priority;
 mod retry_policy;
 pub mod round_trip;
+mod transaction;
 
 pub use budget::RequestBudget;
 pub use client::StoreClient;
--- /dev/null
+++ b/crates/tallygauge-store/src/transaction.rs
@@ -0,0 +1,134 @@
+//! Compare-and-swap transactions, sent once.
+
+use crate::{
+    RequestPriority, StoreClient, StoreError, TransactionOutcome,
+    client::{StoreRequest, decode},
+    error::NotExecutedReason,
+};
+use hyper::{Method, StatusCode};
+use tallygauge_protocol::state::{ConflictResponse, RevisionResponse, Transaction, Write};
+
+/// Path of transactions; their answers tell the round-trip time.
+pub(crate) const TRANSACTION_PATH: &str = "/multi";
+
+/// What the store's answer contains when a write refers to an expired lease.
+const LEASE_EXPIRED_TEXT: &[u8] = b"no such lease";
+
+/// Conditions of a transaction that an error names.
+const MAX_DESCRIBED_CONDITIONS: usize = 3;
+
+impl StoreClient {
+    /// Takes the permit for a transaction from the request budget.
+    pub(crate) async fn acquire_permit(
+        &self,
+        priority: RequestPriority,
+        transaction: &Transaction,
+    ) -> bool {
+        let writes = transaction.writes.len();
+        self.budget.acquire(priority, writes).await
+    }
+
+    /// Sends a transaction once.
+    ///
+    /// # Errors
+    /// [`StoreError::NotExecuted`]: certainly not committed. Any other: it may have been
+    /// committed, or may yet be.
+    pub async fn transact(
+        &self,
+        priority: RequestPriority,
+        transaction: &Transaction,
+    ) -> Result<TransactionOutcome, StoreError> {
+        if !self.acquire_permit(priority, transaction).await {
+            return Err(StoreError::not_executed(
+                describe_transaction(transaction),
+                NotExecutedReason::BudgetExhausted,
+            ));
+        }
+        self.send_transaction(transaction).await
+    }
+
+    /// Sends a transaction that the budget has been charged for.
+    pub(crate) async fn send_transaction(
+        &self,
+        transaction: &Transaction,
+    ) -> Result<TransactionOutcome, StoreError> {
+        let request = StoreRequest {
+            method: Method::POST,
+            path: TRANSACTION_PATH,
+            body: Some(transaction),
+            timeout: self.timeout,
+        };
+        let answer = self.exchange(request).await;
+        let (status, body) = answer
+            .map_err(|failure| failure.into_store_error(describe_transaction(transaction)))?;
+        match status {
+            StatusCode::OK => {
+                let committed = decode::<RevisionResponse>(TRANSACTION_PATH, &body)?;
+                Ok(TransactionOutcome::Committed(committed.revision))
+            }
+            StatusCode::CONFLICT => Ok(self.conflict(transaction, &body)),
+            StatusCode::BAD_REQUEST if contains(&body, LEASE_EXPIRED_TEXT) => {
+                Ok(TransactionOutcome::LeaseExpired)
+            }
+            StatusCode::BAD_REQUEST => Err(rejected_as_malformed(transaction, &body)),
+            _ => Err(StoreError::unexpected_status(
+                describe_transaction(transaction),
+                status,
+            )),
+        }
+    }
+
+    /// The outcome of a transaction whose conditions failed.
+    fn conflict(&self, transaction: &Transaction, body: &[u8]) -> TransactionOutcome {
+        if transaction.writes.is_empty() {
+            self.budget.charge_failed_comparison();
+        }
+        // A conflict whose keys can't be decoded is still certainly not committed.
+        let failed_keys = decode::<ConflictResponse>(TRANSACTION_PATH, body)
+            .map_or_else(|_| Vec::new(), |conflict| conflict.failed);
+        TransactionOutcome::Conflict { failed_keys }
+    }
+}
+
+/// A transaction in words, for errors: its first conditions and how much it writes.
+pub(crate) fn describe_transaction(transaction: &Transaction) -> String {
+    let conditions: Vec<String> = transaction
+        .conditions
+        .iter()
+        .take(MAX_DESCRIBED_CONDITIONS)
+        .map(|condition| format!("{} at version {}", condition.key, condition.version))
+        .collect();
+    format!(
+        "transaction of {} writes on {} conditions, first [{}]",
+        transaction.writes.len(),
+        transaction.conditions.len(),
+        conditions.join(", ")
+    )
+}
+
+/// Logs and returns the error of a transaction that the store answered with 400.
+fn rejected_as_malformed(transaction: &Transaction, body: &[u8]) -> StoreError {
+    let (largest_key, largest_bytes) = largest_write(transaction);
+    tracing::error!(
+        answer = %String::from_utf8_lossy(body),
+        writes = transaction.writes.len(),
+        largest_key,
+        largest_bytes,
+        "key-value store rejected a transaction as malformed"
+    );
+    let request = describe_transaction(transaction);
+    StoreError::not_executed(request, NotExecutedReason::Rejected)
+}
+
+/// The key with the longest value of a transaction, and the value's bytes.
+fn largest_write(transaction: &Transaction) -> (&str, usize) {
+    let sizes = transaction.writes.iter().map(|write| match write {
+        Write::Set { key, value, .. } => (key.as_str(), value.to_string().len()),
+        Write::Remove { key } => (key.as_str(), 0),
+    });
+    sizes.max_by_key(|(_, bytes)| *bytes).unwrap_or_default()
+}
+
+fn contains(body: &[u8], text: &[u8]) -> bool {
+    body.windows(text.len()).any(|window| window == text)
+}
--- a/crates/tallygauge-store/tests/commit_with_retries.rs
+++ b/crates/tallygauge-store/tests/commit_with_retries.rs
@@ -32,8 +32,12 @@
     Lost,
     /// Answered 503.
     Refused,
-    /// Executed and answered after so many milliseconds.
+    /// Executed and answered after this many milliseconds.
     Slow(u64),
+    /// Executed and answered 200 with a body that can't be decoded.
+    Malformed,
+    /// Executed and answered 500.
+    ServerError,
 }
 
 /// A store with one key, written at most once.
@@ -83,6 +87,10 @@
             match request_outcome {
                 RequestOutcome::Answered => Ok(answer),
                 RequestOutcome::Refused => Ok((StatusCode::SERVICE_UNAVAILABLE, Bytes::new())),
+                RequestOutcome::Malformed => Ok((StatusCode::OK, Bytes::from_static(b"{"))),
+                RequestOutcome::ServerError => {
+                    Ok((StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()))
+                }
                 RequestOutcome::Slow(ms) => {
                     tokio::time::sleep(Duration::from_millis(ms)).await;
                     Ok(answer)
@@ -129,7 +137,7 @@
 
 // A lost answer must not cost a whole request time-out.
 #[tokio::test(start_paused = true)]
-async fn lost_answers_are_result_by_copies_and_the_write_is_made_once() {
+async fn lost_answers_are_resolved_by_hedged_attempts_and_the_write_executes_once() {
     use RequestOutcome::{AnswerLost, Answered, Lost};
     for (request_outcomes, conflict) in [
         (vec![Answered], false),
@@ -191,6 +199,38 @@
     assert!(matches!(result.outcome, Ok(TransactionOutcome::Conflict { .. })) && result.in_doubt);
 }
 
+#[tokio::test(start_paused = true)]
+async fn an_unusable_answer_counts_as_possibly_executed() {
+    for outcome in [RequestOutcome::Malformed, RequestOutcome::ServerError] {
+        let (client, _) = client(&[outcome], None);
+        let error = client
+            .transact(RequestPriority::Users, &transaction())
+            .await
+            .unwrap_err();
+        assert!(error.may_have_executed(), "{error}");
+        let (client, store) = self::client(&[outcome], None);
+        let result = client
+            .commit_with_retries(RequestPriority::Users, &transaction(), None)
+            .await;
+        assert!(matches!(
+            result.outcome,
+            Ok(TransactionOutcome::Conflict { .. })
+        ));
+        assert!(result.in_doubt && store.lock().unwrap().executed == 1);
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_refusal_counts_as_not_executed_and_names_the_conditions() {
+    let (client, store) = client(&[RequestOutcome::Refused], None);
+    let error = client
+        .transact(RequestPriority::Users, &transaction())
+        .await
+        .unwrap_err();
+    assert!(!error.may_have_executed() && store.lock().unwrap().executed == 0);
+    assert!(error.to_string().contains("k at version 0"), "{error}");
+}
+
 #[tokio::test(start_paused = true)]
 async fn deadline_ends_in_doubt_and_the_oldest_in_doubt_write_is_reported() {
     let (client, _) = client(&[], Some(RequestOutcome::Lost));
