--- a/crates/tallygauge-priority/src/lib.rs
+++ b/crates/tallygauge-priority/src/lib.rs
@@ -1,12 +1,13 @@
-//! Which work comes first among what is equally urgent.
+//! Priority rules: which work comes first among what is equally urgent.
 //!
-//! Pure: no clock, no input or output. Operators declare ranks by class, team
-//! and calendar window ([`Declared`]); a leader puts them into the [`Ledger`],
-//! which is on record before anybody acts on it. A change is an [`Epoch`], with
-//! the time of day from which it is in force; the last ones are kept, so that
-//! any leader works out alike which rank a job was accepted with. Of two
-//! declarations the later version wins; an older file never sets it back, and
-//! one that lacks a class takes nothing away. `docs/ledger.md` says why.
+//! Pure: no clock, no input or output. Operators declare ranks by class, team and cutoff
+//! window ([`DeclaredRules`]). The leader merges them into the [`PriorityRules`], which
+//! are on record before anybody acts on them. Each change is a [`RulesRevision`] with
+//! the wall-clock time from which it is in force. The last revisions are kept, so that
+//! every leader finds the same rank for a job as that which it was accepted with.
+//!
+//! Of two declarations the higher version wins: an older settings file never undoes a
+//! newer one, and a file that lacks a class removes nothing. `docs/ledger.md` says why.
 
 mod priority_rules;
 mod rank;
--- a/crates/tallygauge-priority/src/priority_rules.rs
+++ b/crates/tallygauge-priority/src/priority_rules.rs
@@ -1,49 +1,50 @@
-//! The ledger on record.
+//! The priority rules on record, with their last revisions.
 
-use crate::rank::{DeclaredRules, Rank, RankRule, merged, rank_of};
+use crate::rank::{DeclaredRules, Rank, RankRule, merge_rules, rank_of};
 use serde::{Deserialize, Serialize};
 use tallygauge_records::{Durability, Record};
 
-/// Epochs that are kept, the one in force among them.
-const KEPT: usize = 8;
+/// Most revisions that are kept, with the one in force.
+const MAX_REVISIONS: usize = 8;
 
-/// Rules of one epoch, at most.
-const MOST_RULES: usize = 64;
+/// Most rules of one revision; further ones are dropped.
+const MAX_RULES: usize = 64;
 
-/// Ranks in force from a time of day on.
+/// Rules in force since a time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RulesRevision {
-    /// Its number; it grows by one with each change.
+    /// Number of the revision; it grows by one with each change.
     #[serde(rename = "e")]
     pub number: u64,
-    /// Version of the declaration that it was made of.
+    /// Version of the declaration that it was made from.
     #[serde(rename = "d")]
     pub declared: u64,
-    /// Since when it is in force, seconds of the time of day.
+    /// Wall-clock time since which it is in force, seconds; never before that of the
+    /// revision before it.
     #[serde(rename = "s")]
     pub since: f64,
-    /// The ranks.
+    /// The rules.
     #[serde(rename = "r")]
     pub rules: Vec<RankRule>,
 }
 
-/// What a declaration does to the ledger.
+/// Effect of a declaration on the rules in force.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RulesChange {
-    /// Nothing: it is in force already, or an older one.
+    /// None: it is in force already, or a newer one is.
     Unchanged,
-    /// Nothing, and operators should know: another declaration of the same
-    /// version is in force.
+    /// None, and operators should know: another declaration of the same version is in
+    /// force.
     VersionConflict,
-    /// The ledger as it should be kept. Until that is durable, the present one
-    /// is in force.
+    /// The rules with a new revision, to be stored. Until they are durable, the present
+    /// ones are in force.
     New(PriorityRules),
 }
 
-/// All epochs that are kept, the oldest first.
+/// Priority rules with their last revisions.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PriorityRules {
-    /// The epochs.
+    /// The revisions, the oldest first.
     #[serde(rename = "e")]
     revisions: Vec<RulesRevision>,
 }
@@ -55,64 +56,81 @@
 }
 
 impl PriorityRules {
-    /// The epoch in force, if any was declared.
+    /// The revision in force, if any was declared.
     #[must_use]
     pub fn current(&self) -> Option<&RulesRevision> {
         self.revisions.last()
     }
 
-    /// What a declaration does, at a time of day. Windows' times differ by what
-    /// clocks do; an epoch is never older than the one before it.
+    /// The effect of a declaration at the wall-clock time `at`, in seconds.
     #[must_use]
     pub fn declare(&self, declared: &DeclaredRules, at: f64) -> RulesChange {
-        let (number, before, since, rules): (u64, u64, f64, &[RankRule]) = match self.current() {
-            Some(e) => (e.number, e.declared, e.since, &e.rules),
-            None if declared.rules.is_empty() => return RulesChange::Unchanged,
-            None => (0, 0, f64::NEG_INFINITY, &[]),
+        let Some(current) = self.current() else {
+            if declared.rules.is_empty() {
+                return RulesChange::Unchanged;
+            }
+            let rules = merge_rules(&[], &declared.rules);
+            return self.with_revision(declared.version, 1, at, rules);
         };
-        let first = self.revisions.is_empty();
-        if !first && declared.version < before {
+        if declared.version < current.declared {
             return RulesChange::Unchanged;
         }
-        let next = merged(rules, &declared.rules);
-        if !first && declared.version == before {
-            return if next == rules {
+        let rules = merge_rules(&current.rules, &declared.rules);
+        if declared.version == current.declared {
+            return if rules == current.rules {
                 RulesChange::Unchanged
             } else {
                 RulesChange::VersionConflict
             };
         }
-        let mut ledger = self.clone();
-        let mut next = next;
-        next.truncate(MOST_RULES);
-        ledger.revisions.push(RulesRevision {
-            number: number + 1,
-            declared: declared.version,
-            since: at.max(since),
-            rules: next,
+        // Wall clocks differ and may step back.
+        let since = at.max(current.since);
+        self.with_revision(declared.version, current.number + 1, since, rules)
+    }
+
+    fn with_revision(
+        &self,
+        declared: u64,
+        number: u64,
+        since: f64,
+        mut rules: Vec<RankRule>,
+    ) -> RulesChange {
+        rules.truncate(MAX_RULES);
+        let mut changed = self.clone();
+        changed.revisions.push(RulesRevision {
+            number,
+            declared,
+            since,
+            rules,
         });
-        let over = ledger.revisions.len().saturating_sub(KEPT);
-        ledger.revisions.drain(..over);
-        RulesChange::New(ledger)
+        let excess = changed.revisions.len().saturating_sub(MAX_REVISIONS);
+        changed.revisions.drain(..excess);
+        RulesChange::New(changed)
     }
 
-    /// The rank of a job that was accepted at a time of day, while the windows
-    /// that `open` names are open at a time: the better of the one it was
-    /// accepted with and the one in force now.
+    /// The rank of a job of a class and team: the higher of the one it was accepted with
+    /// and the one in force now.
+    ///
+    /// `accepted_at` and `now` are wall-clock times in seconds. `is_window_open` is asked
+    /// whether the window of a cutoff, by its name, is open at such a time.
     #[must_use]
     pub fn rank(
         &self,
         (class, team): (&str, &str),
         accepted_at: f64,
         now: f64,
-        open: &dyn Fn(&str, f64) -> bool,
+        is_window_open: &dyn Fn(&str, f64) -> bool,
     ) -> Rank {
-        let rank = |epoch: &RulesRevision, at: f64| {
-            rank_of(&epoch.rules, class, team, &|window| open(window, at))
+        let rank_at = |revision: &RulesRevision, at: f64| {
+            rank_of(&revision.rules, class, team, &|window| {
+                is_window_open(window, at)
+            })
         };
-        let then = self.revisions.iter().rev().find(|e| e.since <= accepted_at);
-        let then = then.map_or(0, |e| rank(e, accepted_at));
-        self.current().map_or(0, |e| rank(e, now)).max(then)
+        let mut newest_first = self.revisions.iter().rev();
+        let accepted_under = newest_first.find(|revision| revision.since <= accepted_at);
+        let rank_at_acceptance = accepted_under.map_or(0, |r| rank_at(r, accepted_at));
+        let rank_now = self.current().map_or(0, |r| rank_at(r, now));
+        rank_now.max(rank_at_acceptance)
     }
 }
 
--- a/crates/tallygauge-priority/src/priority_rules/tests.rs
+++ b/crates/tallygauge-priority/src/priority_rules/tests.rs
@@ -18,10 +18,10 @@
     }
 }
 
-fn taken(ledger: &mut PriorityRules, what: &DeclaredRules, at: f64) -> bool {
-    match ledger.declare(what, at) {
+fn apply_if_new(rules_on_record: &mut PriorityRules, what: &DeclaredRules, at: f64) -> bool {
+    match rules_on_record.declare(what, at) {
         RulesChange::New(next) => {
-            *ledger = next;
+            *rules_on_record = next;
             true
         }
         RulesChange::Unchanged | RulesChange::VersionConflict => false,
@@ -29,17 +29,22 @@
 }
 
 #[test]
-fn the_rule_that_says_most_counts_and_windows_open_and_close() {
-    let mut ledger = PriorityRules::default();
+fn the_most_specific_rule_counts_while_its_window_is_open() {
+    let mut rules_on_record = PriorityRules::default();
     let rules = [
         rule("lectures", "", "", 10),
         rule("lectures", "", "exams", 60),
         rule("", "ops", "", 30),
         rule("lectures", "ops", "", 20),
     ];
-    assert!(taken(&mut ledger, &declared(1, &rules), 100.0));
+    assert!(apply_if_new(
+        &mut rules_on_record,
+        &declared(1, &rules),
+        100.0
+    ));
     let open = |window: &str, at: f64| window == "exams" && (200.0..300.0).contains(&at);
-    let rank = |class, team, accepted, now| ledger.rank((class, team), accepted, now, &open);
+    let rank =
+        |class, team, accepted, now| rules_on_record.rank((class, team), accepted, now, &open);
     assert_eq!(rank("lectures", "x", 110.0, 120.0), 10);
     assert_eq!(
         rank("lectures", "x", 110.0, 250.0),
@@ -61,49 +66,56 @@
     );
 }
 
-// Controllers of two settings files in a roll: whoever leads, the newest
-// declaration stays in force.
+// Controllers with two settings files during a rolling update: whichever is the leader,
+// the newest declaration stays in force.
 #[test]
-fn an_older_file_sets_nothing_back_and_one_that_lacks_a_class_takes_nothing_away() {
-    let mut ledger = PriorityRules::default();
+fn an_older_file_undoes_nothing_and_one_that_lacks_a_class_removes_nothing() {
+    let mut rules_on_record = PriorityRules::default();
     let old = declared(1, &[rule("a", "", "", 10), rule("b", "", "", 5)]);
     let new = declared(2, &[rule("a", "", "", 20)]);
-    assert!(taken(&mut ledger, &old, 10.0));
-    assert!(taken(&mut ledger, &new, 20.0));
-    let kept = ledger.clone();
+    assert!(apply_if_new(&mut rules_on_record, &old, 10.0));
+    assert!(apply_if_new(&mut rules_on_record, &new, 20.0));
+    let kept = rules_on_record.clone();
     for file in [&old, &new, &DeclaredRules::default()] {
-        assert!(!taken(&mut ledger, file, 30.0));
-        assert_eq!(ledger, kept);
+        assert!(!apply_if_new(&mut rules_on_record, file, 30.0));
+        assert_eq!(rules_on_record, kept);
     }
     let never = |_: &str, _: f64| false;
-    assert_eq!(ledger.rank(("a", "x"), 40.0, 50.0, &never), 20);
-    assert_eq!(ledger.rank(("b", "x"), 40.0, 50.0, &never), 5);
-    // Another file of the same version is said, not taken.
+    assert_eq!(rules_on_record.rank(("a", "x"), 40.0, 50.0, &never), 20);
+    assert_eq!(rules_on_record.rank(("b", "x"), 40.0, 50.0, &never), 5);
+    // Another file of the same version is reported, not applied.
     let other = declared(2, &[rule("a", "", "", 99)]);
-    assert_eq!(ledger.declare(&other, 60.0), RulesChange::VersionConflict);
+    assert_eq!(
+        rules_on_record.declare(&other, 60.0),
+        RulesChange::VersionConflict
+    );
 }
 
 #[test]
-fn a_job_keeps_the_better_rank_as_long_as_its_epoch_is_kept() {
-    let mut ledger = PriorityRules::default();
+fn a_job_keeps_the_higher_rank_as_long_as_its_revision_is_kept() {
+    let mut rules_on_record = PriorityRules::default();
     let never = |_: &str, _: f64| false;
     for version in 1..=20u64 {
         let rank = if version == 1 { 90 } else { 10 };
         let file = declared(version, &[rule("a", "", "", rank)]);
-        assert!(taken(&mut ledger, &file, version as f64 * 10.0));
+        assert!(apply_if_new(
+            &mut rules_on_record,
+            &file,
+            version as f64 * 10.0
+        ));
         let now = version as f64 * 10.0 + 1.0;
-        let then = ledger.rank(("a", "x"), 15.0, now, &never);
+        let then = rules_on_record.rank(("a", "x"), 15.0, now, &never);
         assert_eq!(then, if version <= 8 { 90 } else { 10 }, "{version}");
     }
-    assert!(serde_json::to_string(&ledger).unwrap().len() < 1000);
-    // A clock that steps back makes no epoch older than the one before it.
-    assert!(taken(
-        &mut ledger,
+    assert!(serde_json::to_string(&rules_on_record).unwrap().len() < 1000);
+    // A clock that steps back makes no revision older than the one before it.
+    assert!(apply_if_new(
+        &mut rules_on_record,
         &declared(21, &[rule("a", "", "", 1)]),
         0.0
     ));
     assert!(
-        ledger
+        rules_on_record
             .revisions
             .is_sorted_by(|a, b| a.since <= b.since && a.number < b.number)
     );
@@ -115,7 +127,7 @@
     // writes are lost: the declaration in force only ever gets newer, and all
     // who read the record give the same ranks.
     #[test]
-    fn whoever_leads_the_newest_declaration_wins(
+    fn the_newest_declaration_wins_under_any_leader(
         leaders in prop::collection::vec((0usize..4, any::<bool>()), 1..24),
     ) {
         let files: Vec<DeclaredRules> = (0..4u64).map(|v| {
--- a/crates/tallygauge-priority/src/rank.rs
+++ b/crates/tallygauge-priority/src/rank.rs
@@ -1,16 +1,17 @@
-//! Ranks as operators declare them.
+//! Ranks as operators declare them, and the rules that give them to jobs.
 
 use serde::{Deserialize, Serialize};
 
-/// The highest rank. 0 is what all work has that nothing is declared for.
+/// The highest rank.
 pub const MAX_RANK: u8 = 100;
 
-/// A rank, 0 to [`HIGHEST`].
+/// A rank, 0 to [`MAX_RANK`]; the higher comes first. 0 is that of all jobs which no rule
+/// is declared for.
 pub type Rank = u8;
 
-/// One declared rank. Of several that fit a job the one that says most of it
-/// counts: class and team before class, before team; within a window before
-/// always.
+/// Rule that gives jobs a rank. Of several that match a job the most specific counts:
+/// class and team before class, before team; within a window before always; of equally
+/// specific ones the highest rank.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RankRule {
     /// Class of jobs; `None`: any.
@@ -19,7 +20,7 @@
     /// Team; `None`: any.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub team: Option<String>,
-    /// Only while this window of the calendar is open; `None`: always.
+    /// Name of the cutoff in whose window alone it holds; `None`: always.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub window: Option<String>,
     /// The rank.
@@ -27,58 +28,60 @@
     pub rank: Rank,
 }
 
+/// Class, team and window of a rule.
+type Scope<'a> = (&'a Option<String>, &'a Option<String>, &'a Option<String>);
+
 impl RankRule {
-    /// What the rule is for: one declared later for the same takes its place.
-    fn scope(&self) -> (&Option<String>, &Option<String>, &Option<String>) {
+    /// What the rule is for: a rule declared later for the same scope replaces it.
+    fn scope(&self) -> Scope<'_> {
         (&self.class, &self.team, &self.window)
     }
 
-    fn matches(&self, class: &str, team: &str, open: &dyn Fn(&str) -> bool) -> bool {
-        self.class.as_ref().is_none_or(|c| c == class)
-            && self.team.as_ref().is_none_or(|t| t == team)
-            && self.window.as_ref().is_none_or(|w| open(w))
+    fn matches(&self, class: &str, team: &str, is_window_open: &dyn Fn(&str) -> bool) -> bool {
+        self.class.as_ref().is_none_or(|own| own == class)
+            && self.team.as_ref().is_none_or(|own| own == team)
+            && self.window.as_ref().is_none_or(|own| is_window_open(own))
     }
 
-    fn specificity(&self) -> (bool, bool, bool) {
-        (
+    /// Orders rules by how specific they are: by class, then team, then window.
+    fn specificity(&self) -> [bool; 3] {
+        [
             self.class.is_some(),
             self.team.is_some(),
             self.window.is_some(),
-        )
+        ]
     }
 }
 
-/// What one settings file declares.
+/// Rules that one settings file declares.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DeclaredRules {
-    /// Grows with every change that operators make.
+    /// Version of the file; operators raise it with every change.
     pub version: u64,
-    /// The ranks.
+    /// The rules.
     pub rules: Vec<RankRule>,
 }
 
-/// The rank that rules give a job, while the windows that `open` names are open.
+/// The rank that rules give to a job; `is_window_open` is asked by a cutoff's name.
 pub(crate) fn rank_of(
     rules: &[RankRule],
     class: &str,
     team: &str,
-    open: &dyn Fn(&str) -> bool,
+    is_window_open: &dyn Fn(&str) -> bool,
 ) -> Rank {
-    let fitting = rules.iter().filter(|r| r.matches(class, team, open));
-    let best = fitting.max_by(|a, b| {
-        a.specificity()
-            .cmp(&b.specificity())
-            .then(a.rank.cmp(&b.rank))
-    });
-    best.map_or(0, |r| r.rank)
+    rules
+        .iter()
+        .filter(|rule| rule.matches(class, team, is_window_open))
+        .max_by_key(|rule| (rule.specificity(), rule.rank))
+        .map_or(0, |rule| rule.rank)
 }
 
-/// Rules in force and those declared later, which take the place of those about
-/// the same; what is not declared any more stays.
-pub(crate) fn merged(before: &[RankRule], later: &[RankRule]) -> Vec<RankRule> {
-    let mut rules: Vec<RankRule> = before.to_vec();
+/// Merges later rules into earlier ones: they replace those of the same scope. Scopes
+/// that are not declared any more keep their rule.
+pub(crate) fn merge_rules(earlier: &[RankRule], later: &[RankRule]) -> Vec<RankRule> {
+    let mut rules: Vec<RankRule> = earlier.to_vec();
     for rule in later {
-        rules.retain(|r| r.scope() != rule.scope());
+        rules.retain(|other| other.scope() != rule.scope());
         rules.push(rule.clone());
     }
     rules.sort();
