--- a/crates/tallygauge-deadlines/src/deadline_tracker.rs
+++ b/crates/tallygauge-deadlines/src/deadline_tracker.rs
@@ -1,4 +1,4 @@
-//! What is done of each cutoff, and how the last ones ended.
+//! Progress of cutoffs, and how the last ones ended.
 
 use crate::rule::CutoffWindow;
 use serde::{Deserialize, Serialize};
@@ -8,57 +8,94 @@
 };
 use tallygauge_records::{Durability, Record};
 
-/// Results that are kept.
-const RESULTS: usize = 24;
+/// Most closed cutoffs whose results are kept.
+const MAX_RESULTS: usize = 24;
 
-/// Cutoffs that are counted at a time; jobs of further ones are not.
-const MOST_OPEN: usize = 32;
+/// Most cutoffs that are tracked at a time; jobs of further ones are not counted.
+const MAX_OPEN: usize = 32;
 
-/// One cutoff, as far as it is not told by the jobs that are open.
+/// Progress of one cutoff, as far as the open jobs don't show it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CutoffProgress {
-    /// The cutoff, seconds of the time of day.
+    /// The cutoff, wall-clock time in seconds.
     #[serde(rename = "c")]
     pub cutoff: f64,
-    /// Jobs that are done, and how many of them after the cutoff.
+    /// Jobs done.
     #[serde(rename = "d")]
-    pub done: (u32, u32),
-    /// Tasks of these.
+    pub done: DoneJobs,
+    /// Tasks of the jobs done.
     #[serde(rename = "t")]
     pub tasks: u64,
-    /// When the last of them was done.
+    /// When the last job was done, wall-clock time in seconds; 0: none was.
     #[serde(rename = "l")]
     pub last: f64,
-    /// Operators declared it.
+    /// Whether operators declared it; otherwise it was inferred from jobs.
     #[serde(rename = "o")]
     pub declared: bool,
 }
 
-/// What happened to a cutoff.
+/// Numbers of jobs done for a cutoff. Stored as the pair (total, late).
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u32, u32)", into = "(u32, u32)")]
+pub struct DoneJobs {
+    /// All jobs done.
+    pub total: u32,
+    /// Those that were done after the cutoff.
+    pub late: u32,
+}
+
+impl From<(u32, u32)> for DoneJobs {
+    fn from((total, late): (u32, u32)) -> Self {
+        Self { total, late }
+    }
+}
+
+impl From<DoneJobs> for (u32, u32) {
+    fn from(done: DoneJobs) -> Self {
+        (done.total, done.late)
+    }
+}
+
+/// What happened to a cutoff, with its name.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CutoffEvent {
-    /// The first job that counts for it is there.
+    /// The first job that counts for it was accepted.
     Opened(Arc<str>),
-    /// It has passed with work left.
+    /// It has passed with jobs still open.
     Missed(Arc<str>),
-    /// It has passed and all its jobs are over: whether it was met, and by how
-    /// many seconds its last job was late.
+    /// It has passed and all its jobs have ended: whether it was met, and by how many
+    /// seconds its last job was late.
     Closed(Arc<str>, bool, f64),
 }
 
-/// All of them.
+/// Progress of all cutoffs. Bounded.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct DeadlineTracker {
+    /// Open cutoffs, by name.
     #[serde(rename = "o")]
     open: BTreeMap<String, CutoffProgress>,
-    /// The last results, the oldest first: name, line.
+    /// The last closed cutoffs, the oldest first.
     #[serde(rename = "r")]
-    results: VecDeque<(String, CutoffProgress)>,
-    /// Open ones that have been missed.
+    results: VecDeque<CutoffResult>,
+    /// Names of open cutoffs that were missed.
     #[serde(rename = "m", default)]
     missed: BTreeSet<String>,
 }
 
+/// A closed cutoff. Stored as the pair (name, progress).
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+struct CutoffResult(String, CutoffProgress);
+
+impl CutoffResult {
+    fn name(&self) -> &str {
+        &self.0
+    }
+
+    fn progress(&self) -> &CutoffProgress {
+        &self.1
+    }
+}
+
 impl Record for DeadlineTracker {
     const NAME: &'static str = "calendar";
     const VERSION: u32 = 1;
@@ -66,57 +103,59 @@
 }
 
 impl CutoffProgress {
-    /// Whether it was met: nothing of it was done too late.
+    fn new(window: &CutoffWindow) -> Self {
+        Self {
+            cutoff: window.cutoff,
+            done: DoneJobs::default(),
+            tasks: 0,
+            last: 0.0,
+            declared: window.declared,
+        }
+    }
+
+    /// Whether the cutoff was met so far: no job was done after it.
     #[must_use]
     pub fn is_met(&self) -> bool {
-        self.done.1 == 0
+        self.done.late == 0
     }
 }
 
 impl DeadlineTracker {
-    /// A job that counts for a cutoff is open. Returns what that means.
-    pub fn add_job(&mut self, due: &CutoffWindow) -> Option<CutoffEvent> {
-        if self.open.contains_key(&*due.name) || self.open.len() >= MOST_OPEN {
+    /// Tracks the cutoff of a job that was accepted. Returns
+    /// [`Opened`](CutoffEvent::Opened) if it was not tracked before; `None` also if as
+    /// many cutoffs are tracked as may be.
+    pub fn add_job(&mut self, window: &CutoffWindow) -> Option<CutoffEvent> {
+        if self.open.contains_key(&*window.name) || self.open.len() >= MAX_OPEN {
             return None;
         }
-        // One more job of a cutoff that was closed: it goes on where it was.
-        let closed = self.results.iter().position(|r| r.0 == *due.name);
-        let line = closed.and_then(|at| self.results.remove(at));
-        let line = line.map_or(
-            CutoffProgress {
-                cutoff: due.cutoff,
-                done: (0, 0),
-                tasks: 0,
-                last: 0.0,
-                declared: due.declared,
-            },
-            |r| r.1,
-        );
-        self.open.insert(due.name.to_string(), line);
-        Some(CutoffEvent::Opened(due.name.clone()))
+        // A cutoff that was closed already goes on from where it was.
+        let closed = self
+            .results
+            .iter()
+            .position(|result| result.name() == &*window.name);
+        let progress = closed
+            .and_then(|index| self.results.remove(index))
+            .map_or_else(|| CutoffProgress::new(window), |CutoffResult(_, p)| p);
+        self.open.insert(window.name.to_string(), progress);
+        Some(CutoffEvent::Opened(window.name.clone()))
     }
 
-    /// A job that counts for a cutoff is done.
+    /// Counts a job that was done at the wall-clock time `at`, in seconds, for the cutoff
+    /// of this name.
     pub fn record_job_done(&mut self, name: &str, tasks: u32, at: f64) {
-        if let Some(line) = self.open.get_mut(name) {
-            line.done.0 += 1;
-            line.done.1 += u32::from(at > line.cutoff);
-            line.tasks += u64::from(tasks);
-            line.last = line.last.max(at);
+        if let Some(progress) = self.open.get_mut(name) {
+            progress.done.total += 1;
+            progress.done.late += u32::from(at > progress.cutoff);
+            progress.tasks += u64::from(tasks);
+            progress.last = progress.last.max(at);
         }
     }
 
-    /// Lets time pass: cutoffs that are over are closed. `open_jobs` says how
-    /// many jobs of a cutoff are open.
+    /// Closes the cutoffs that have passed by the wall-clock time `at`, in seconds, and
+    /// have no open jobs; `open_jobs` gives the number of open jobs by a cutoff's name.
     pub fn expire(&mut self, at: f64, open_jobs: &dyn Fn(&str) -> usize) -> Vec<CutoffEvent> {
         let mut events = Vec::new();
-        let due: Vec<String> = self
-            .open
-            .iter()
-            .filter(|(_, line)| line.cutoff <= at)
-            .map(|(name, _)| name.clone())
-            .collect();
-        for name in due {
+        for name in self.names_passed(at) {
             if open_jobs(&name) > 0 {
                 if self.missed.insert(name.clone()) {
                     events.push(CutoffEvent::Missed(name.into()));
@@ -124,31 +163,41 @@
                 continue;
             }
             self.missed.remove(&name);
-            if let Some(line) = self.open.remove(&name) {
-                let late = (line.last - line.cutoff).max(0.0);
-                events.push(CutoffEvent::Closed(
-                    name.as_str().into(),
-                    line.is_met(),
-                    late,
-                ));
-                self.results.push_back((name, line));
-                let over = self.results.len().saturating_sub(RESULTS);
-                self.results.drain(..over);
-            }
+            events.extend(self.close(name));
         }
         events
     }
 
-    /// Cutoffs that are open, by name.
+    fn names_passed(&self, at: f64) -> Vec<String> {
+        self.open
+            .iter()
+            .filter(|(_, progress)| progress.cutoff <= at)
+            .map(|(name, _)| name.clone())
+            .collect()
+    }
+
+    fn close(&mut self, name: String) -> Option<CutoffEvent> {
+        let progress = self.open.remove(&name)?;
+        let late_s = (progress.last - progress.cutoff).max(0.0);
+        let event = CutoffEvent::Closed(name.as_str().into(), progress.is_met(), late_s);
+        self.results.push_back(CutoffResult(name, progress));
+        let excess = self.results.len().saturating_sub(MAX_RESULTS);
+        self.results.drain(..excess);
+        Some(event)
+    }
+
+    /// Open cutoffs with their names, in the order of these.
     pub fn open(&self) -> impl Iterator<Item = (&str, &CutoffProgress)> {
-        self.open.iter().map(|(name, line)| (name.as_str(), line))
+        self.open
+            .iter()
+            .map(|(name, progress)| (name.as_str(), progress))
     }
 
-    /// The last results, the oldest first.
+    /// The last closed cutoffs with their names, the oldest first.
     pub fn results(&self) -> impl Iterator<Item = (&str, &CutoffProgress)> {
         self.results
             .iter()
-            .map(|(name, line)| (name.as_str(), line))
+            .map(|result| (result.name(), result.progress()))
     }
 }
 
--- a/crates/tallygauge-deadlines/src/forecast/tests.rs
+++ b/crates/tallygauge-deadlines/src/forecast/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn at_risk_is_what_can_still_be_met_and_will_not() {
+fn a_cutoff_is_at_risk_if_it_can_be_met_but_has_too_little_slack() {
     let load = |left_s, work, cpus, longest_s| CutoffLoad {
         left_s,
         cpu_s: work,
@@ -10,7 +10,7 @@
         longest_s,
     };
     let loads = [
-        load(100.0, 500.0, 100.0, 20.0),  // calm
+        load(100.0, 500.0, 100.0, 20.0),  // enough slack
         load(200.0, 1400.0, 100.0, 20.0), // late beside the first
         load(50.0, 10.0, 100.0, 80.0),    // its task is longer than the time left
         load(300.0, 900.0, 3.0, 20.0),    // bound by its team's limit
@@ -26,10 +26,10 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, rng_seed: proptest::test_runner::RngSeed::Fixed(97), failure_persistence: None, ..ProptestConfig::default() })]
-    // Work done second by second, earliest cutoff first, ends as said: where
-    // nothing but the room for all bounds it, to the step.
+    // Work done in small steps, earliest cutoff first, ends as forecast, to the step, where
+    // only the CPUs of all together limit it.
     #[test]
-    fn the_end_is_that_of_work_done_step_by_step(works in prop::collection::vec((1.0f64..300.0, 0.0f64..500.0), 1..8), cpus in 1.0f64..20.0) {
+    fn the_end_is_that_of_a_simulation_in_small_steps(works in prop::collection::vec((1.0f64..300.0, 0.0f64..500.0), 1..8), cpus in 1.0f64..20.0) {
         let loads: Vec<CutoffLoad> = works.iter().map(|(left_s, work)| CutoffLoad { left_s: *left_s, cpu_s: *work, cpus: f64::MAX, longest_s: 0.0 }).collect();
         let found = forecasts(&loads, cpus);
         let mut left: Vec<f64> = loads.iter().map(|l| l.cpu_s).collect();
@@ -37,20 +37,20 @@
         let (step, mut now) = (0.05, 0.0);
         while left.iter().any(|w| *w > 0.0) {
             now += step;
-            let mut room = cpus * step;
+            let mut capacity = cpus * step;
             let mut order: Vec<usize> = (0..loads.len()).filter(|n| left[*n] > 0.0).collect();
             order.sort_by(|a, b| loads[*a].left_s.total_cmp(&loads[*b].left_s).then(a.cmp(b)));
             for n in order {
-                let done = left[n].min(room);
+                let done = left[n].min(capacity);
                 left[n] -= done;
-                room -= done;
+                capacity -= done;
                 if left[n] <= 1e-9 { left[n] = 0.0; ends[n] = now; }
-                if room <= 1e-12 { break; }
+                if capacity <= 1e-12 { break; }
             }
         }
         for (n, load) in loads.iter().enumerate().filter(|l| l.1.cpu_s > 0.0) {
-            let said = load.left_s - found[n].slack_s;
-            prop_assert!((said - ends[n]).abs() <= step * 1.5 + 1e-6, "{} {}", said, ends[n]);
+            let forecast_end = load.left_s - found[n].slack_s;
+            prop_assert!((forecast_end - ends[n]).abs() <= step * 1.5 + 1e-6, "{} {}", forecast_end, ends[n]);
         }
     }
 }
--- a/crates/tallygauge-deadlines/src/lib.rs
+++ b/crates/tallygauge-deadlines/src/lib.rs
@@ -1,16 +1,18 @@
-//! Deadlines in civil time: each night's batch, each month end's runs.
+//! Batch deadlines in civil time: the cutoff of each night's batch and of each month
+//! end's runs.
 //!
-//! Pure: no clock, no input or output; time zones come with the program. A
-//! [`Rule`] says which days have a cutoff, and which jobs count for it: those
-//! accepted within its window. Which [`Due`] a job belongs to follows from what
-//! is on record of it alone, so every leader finds the same. The [`Book`] counts
-//! what is done of each and how the last ones ended; [`verdicts`] says what can
-//! still be met. `docs/calendar.md` says why it is so.
+//! Pure: no clock, no input or output; time zones are part of the program. A
+//! [`CutoffRule`] says which days have a cutoff, and which jobs count for it: those
+//! accepted within its window. Which [`CutoffWindow`] a job counts for follows from its
+//! record alone, so every leader finds the same. The [`DeadlineTracker`] counts what is
+//! done for each cutoff and how the last ones ended; [`forecasts`] says which can still
+//! be met. The scheduler's batch deadlines call it. `docs/calendar.md` says why the
+//! rules are as they are.
 
 mod deadline_tracker;
 mod forecast;
 mod rule;
 
-pub use deadline_tracker::{CutoffEvent, CutoffProgress, DeadlineTracker};
+pub use deadline_tracker::{CutoffEvent, CutoffProgress, DeadlineTracker, DoneJobs};
 pub use forecast::{CutoffLoad, Forecast, forecasts};
 pub use rule::{CutoffDays, CutoffRule, CutoffRuleError, CutoffWindow, inferred};
--- a/crates/tallygauge-deadlines/src/rule.rs
+++ b/crates/tallygauge-deadlines/src/rule.rs
@@ -1,4 +1,4 @@
-//! Which days have a cutoff, and which jobs count for it.
+//! Rules that say which days have a cutoff, and which jobs count for it.
 
 use jiff::{
     Timestamp, ToSpan,
@@ -10,50 +10,50 @@
 /// Days that have a cutoff.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CutoffDays {
-    /// Each day.
+    /// Every day.
     Daily,
-    /// Monday to Friday, but for holidays.
+    /// Monday to Friday, without holidays.
     Weekdays,
-    /// So many working days before the last working day of each month.
+    /// One working day near the end of each month.
     MonthEnd {
-        /// Working days before.
+        /// Working days from it to the last working day of the month.
         before: u8,
     },
 }
 
-/// A declared cutoff.
+/// A cutoff that operators declared.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CutoffRule {
-    /// Name.
+    /// Name, unique among the rules.
     pub name: String,
-    /// Time zone that its times are in.
+    /// Time zone of its times.
     pub zone: TimeZone,
-    /// Classes of jobs that it is for; empty: all.
+    /// Classes whose jobs count for it; empty: all.
     pub classes: BTreeSet<String>,
-    /// Teams that it is for; empty: all.
+    /// Teams whose jobs count for it; empty: all.
     pub teams: BTreeSet<String>,
     /// Days that have a cutoff.
     pub days: CutoffDays,
-    /// Time of the cutoff.
+    /// Time of day of the cutoff.
     pub at: Time,
-    /// Time at which the window opens.
+    /// Time of day at which the window opens.
     pub opens: Time,
-    /// Days before the cutoff's on which it opens.
+    /// Days from the day on which the window opens to that of the cutoff.
     pub opens_before: u8,
-    /// Days that are no working days.
+    /// Dates that are not working days.
     pub holidays: BTreeSet<Date>,
 }
 
 /// One cutoff, and the window in which jobs count for it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CutoffWindow {
-    /// Name of the rule and date, or of what it was drawn from.
+    /// Name of the rule with the date, or what the cutoff was inferred from.
     pub name: Arc<str>,
-    /// When the window opens, seconds of the time of day.
+    /// When the window opens, wall-clock time in seconds.
     pub opens: f64,
-    /// The cutoff, and the window's end.
+    /// The cutoff, at which the window closes, wall-clock time in seconds.
     pub cutoff: f64,
-    /// Operators declared it.
+    /// Whether operators declared it; otherwise it was inferred from jobs.
     pub declared: bool,
 }
 
@@ -69,6 +69,9 @@
 /// Characters of a class's and of a team's name in the name of an inferred cutoff.
 const INFERRED_NAME_CHARS: usize = 24;
 
+/// Shortest interval of inferred cutoffs, seconds.
+const MIN_INTERVAL_S: f64 = 1.0;
+
 /// What is wrong with a declared cutoff. Displays in the words of the operators'
 /// settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Whether jobs of a class and team may count for it.
+    /// Whether jobs of a class and team can count for it.
     #[must_use]
     pub fn applies_to(&self, class: &str, team: &str) -> bool {
         (self.classes.is_empty() || self.classes.contains(class))
@@ -118,8 +121,8 @@
     }
 
     fn is_working_day(&self, date: Date) -> bool {
-        let rests = matches!(date.weekday(), Weekday::Saturday | Weekday::Sunday);
-        !rests && !self.holidays.contains(&date)
+        let is_weekend = matches!(date.weekday(), Weekday::Saturday | Weekday::Sunday);
+        !is_weekend && !self.holidays.contains(&date)
     }
 
     /// Whether a date has a cutoff.
@@ -129,57 +132,63 @@
             CutoffDays::Daily => true,
             CutoffDays::Weekdays => self.is_working_day(date),
             CutoffDays::MonthEnd { before } => {
-                let mut left = before;
-                let mut day = date.last_of_month();
-                loop {
-                    if self.is_working_day(day) {
-                        if left == 0 {
-                            return day == date;
-                        }
-                        left -= 1;
-                    }
-                    match day.yesterday() {
-                        Ok(earlier) if earlier >= date.first_of_month() => day = earlier,
-                        _ => return false,
-                    }
+                self.month_end_cutoff_day(date, before) == Some(date)
+            }
+        }
+    }
+
+    /// The day in the month of `date` which is `before` working days before its last
+    /// working day; `None` if the month has too few.
+    fn month_end_cutoff_day(&self, date: Date, before: u8) -> Option<Date> {
+        let mut working_days_left = before;
+        let mut day = date.last_of_month();
+        loop {
+            if self.is_working_day(day) {
+                if working_days_left == 0 {
+                    return Some(day);
                 }
+                working_days_left -= 1;
+            }
+            day = day.yesterday().ok()?;
+            if day < date.first_of_month() {
+                return None;
             }
         }
     }
 
-    /// A time of a date, in seconds of the time of day. One that clocks skip is
-    /// as long after the gap's begin as it says; one that comes twice is the
-    /// first.
+    /// A civil time as wall-clock time in seconds. A time that clocks skip is moved past
+    /// the gap by the gap's length; of a time that occurs twice, the first is meant.
     fn timestamp_at(&self, date: Date, time: Time) -> Option<f64> {
         let zoned = date.to_datetime(time).to_zoned(self.zone.clone()).ok()?;
         Some(zoned.timestamp().as_duration().as_secs_f64())
     }
 
-    /// The cutoff on a date, with its window.
+    /// The cutoff on a date with its window, if the date has one.
     fn window_on(&self, date: Date) -> Option<CutoffWindow> {
         if !self.is_cutoff_day(date) {
             return None;
         }
-        let from = date.checked_sub(i64::from(self.opens_before).days()).ok()?;
+        let opening_date = date.checked_sub(i64::from(self.opens_before).days()).ok()?;
         Some(CutoffWindow {
             name: format!("{}@{date}", self.name).into(),
-            opens: self.timestamp_at(from, self.opens)?,
+            opens: self.timestamp_at(opening_date, self.opens)?,
             cutoff: self.timestamp_at(date, self.at)?,
             declared: true,
         })
     }
 
-    /// The cutoff that a moment counts for: the earliest whose window it is in.
+    /// The cutoff whose window contains the wall-clock time `at`, in seconds; the earliest
+    /// if there are several.
     #[must_use]
     pub fn window_at(&self, at: f64) -> Option<CutoffWindow> {
-        let moment = Timestamp::from_nanosecond((at * 1e9) as i128).ok()?;
-        let mut date = moment.to_zoned(self.zone.clone()).date();
+        let timestamp = Timestamp::from_nanosecond((at * 1e9) as i128).ok()?;
+        let mut date = timestamp.to_zoned(self.zone.clone()).date();
         for _ in 0..=self.opens_before.saturating_add(1) {
-            if let Some(due) = self.window_on(date)
-                && due.opens <= at
-                && at < due.cutoff
+            if let Some(window) = self.window_on(date)
+                && window.opens <= at
+                && at < window.cutoff
             {
-                return Some(due);
+                return Some(window);
             }
             date = date.tomorrow().ok()?;
         }
@@ -187,18 +196,28 @@
     }
 }
 
-/// The cutoff drawn for a job that no rule covers: jobs of a class and team that
-/// are due within the same stretch of `width_s` go together.
+/// The cutoff inferred for a job that no rule covers: jobs of a class and team whose
+/// deadlines are in the same interval of `interval_s` seconds have one cutoff, at the end
+/// of that interval.
+///
+/// `accepted` is wall-clock time in seconds, `deadline_s` the job's deadline in seconds
+/// after it.
 #[must_use]
-pub fn inferred(class: &str, team: &str, accepted: f64, due_s: f64, width_s: f64) -> CutoffWindow {
-    let width = width_s.max(1.0);
-    let stretch = ((accepted + due_s) / width).floor();
-    let short = |name: &str| name.chars().take(INFERRED_NAME_CHARS).collect::<String>();
-    let (class, team) = (short(class), short(team));
+pub fn inferred(
+    class: &str,
+    team: &str,
+    accepted: f64,
+    deadline_s: f64,
+    interval_s: f64,
+) -> CutoffWindow {
+    let interval_s = interval_s.max(MIN_INTERVAL_S);
+    let interval = ((accepted + deadline_s) / interval_s).floor();
+    let shorten = |name: &str| name.chars().take(INFERRED_NAME_CHARS).collect::<String>();
+    let (class, team) = (shorten(class), shorten(team));
     CutoffWindow {
-        name: format!("{class}/{team}~{stretch:.0}").into(),
+        name: format!("{class}/{team}~{interval:.0}").into(),
         opens: f64::NEG_INFINITY,
-        cutoff: (stretch + 1.0) * width,
+        cutoff: (interval + 1.0) * interval_s,
         declared: false,
     }
 }
--- a/crates/tallygauge-deadlines/src/rule/tests.rs
+++ b/crates/tallygauge-deadlines/src/rule/tests.rs
@@ -16,7 +16,7 @@
     }
 }
 
-fn moment(text: &str) -> f64 {
+fn timestamp(text: &str) -> f64 {
     text.parse::<Timestamp>()
         .unwrap()
         .as_duration()
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_night_goes_across_midnight_and_daylight_saving() {
+fn a_window_spans_midnight_and_changes_of_daylight_saving() {
     let seoul = rule(
         "Asia/Seoul",
         CutoffDays::Daily,
@@ -39,8 +39,8 @@
         ("2026-12-02T22:59:59Z", Some("night@2026-12-03")),
         ("2026-12-02T23:00:00Z", None),
     ] {
-        let due = seoul.window_at(moment(at));
-        assert_eq!(due.as_ref().map(|d| &*d.name), name, "{at}");
+        let window = seoul.window_at(timestamp(at));
+        assert_eq!(window.as_ref().map(|d| &*d.name), name, "{at}");
     }
     // The night in which clocks go forward has 13 hours, the other one 15.
     let berlin = rule(
@@ -51,8 +51,8 @@
         time(8, 0, 0, 0),
     );
     let hours = |at: &str| {
-        let due = berlin.window_at(moment(at)).unwrap();
-        (due.cutoff - due.opens) / 3600.0
+        let window = berlin.window_at(timestamp(at)).unwrap();
+        (window.cutoff - window.opens) / 3600.0
     };
     assert_eq!(hours("2026-03-28T20:00:00Z"), 13.0);
     assert_eq!(hours("2026-10-24T20:00:00Z"), 15.0);
@@ -60,21 +60,21 @@
     let mut odd = berlin.clone();
     odd.at = time(2, 30, 0, 0);
     assert_eq!(
-        odd.window_at(moment("2026-03-28T20:00:00Z"))
+        odd.window_at(timestamp("2026-03-28T20:00:00Z"))
             .unwrap()
             .cutoff,
-        moment("2026-03-29T01:30:00Z")
+        timestamp("2026-03-29T01:30:00Z")
     );
     assert_eq!(
-        odd.window_at(moment("2026-10-24T20:00:00Z"))
+        odd.window_at(timestamp("2026-10-24T20:00:00Z"))
             .unwrap()
             .cutoff,
-        moment("2026-10-25T00:30:00Z")
+        timestamp("2026-10-25T00:30:00Z")
     );
 }
 
 #[test]
-fn month_ends_are_working_days_whatever_the_month() {
+fn month_end_cutoffs_are_on_working_days() {
     let mut accra = rule(
         "Africa/Accra",
         CutoffDays::MonthEnd { before: 0 },
@@ -83,29 +83,29 @@
         time(17, 0, 0, 0),
     );
     accra.holidays.insert(date(2026, 12, 31));
-    let due = |rule: &CutoffRule, y, m| -> Vec<i8> {
+    let cutoff_days = |rule: &CutoffRule, y, m| -> Vec<i8> {
         let days = (1..=31).filter_map(|d| Date::new(y, m, d).ok());
         days.filter(|d| rule.is_cutoff_day(*d))
             .map(Date::day)
             .collect()
     };
-    assert_eq!(due(&accra, 2026, 11), [30]);
-    assert_eq!(due(&accra, 2026, 12), [30], "a holiday");
-    assert_eq!(due(&accra, 2027, 1), [29], "a Sunday");
-    assert_eq!(due(&accra, 2028, 2), [29], "a leap day");
+    assert_eq!(cutoff_days(&accra, 2026, 11), [30]);
+    assert_eq!(cutoff_days(&accra, 2026, 12), [30], "a holiday");
+    assert_eq!(cutoff_days(&accra, 2027, 1), [29], "a Sunday");
+    assert_eq!(cutoff_days(&accra, 2028, 2), [29], "a leap day");
     accra.days = CutoffDays::MonthEnd { before: 3 };
-    assert_eq!(due(&accra, 2026, 12), [25]);
-    let inside = accra.window_at(moment("2026-12-23T10:00:00Z")).unwrap();
+    assert_eq!(cutoff_days(&accra, 2026, 12), [25]);
+    let inside = accra.window_at(timestamp("2026-12-23T10:00:00Z")).unwrap();
     assert_eq!(&*inside.name, "night@2026-12-25");
-    assert_eq!(accra.window_at(moment("2026-12-27T10:00:00Z")), None);
+    assert_eq!(accra.window_at(timestamp("2026-12-27T10:00:00Z")), None);
     let mut weekdays = accra.clone();
     (weekdays.days, weekdays.opens_before) = (CutoffDays::Weekdays, 1);
     // Friday evening's work is due on Monday only if the window says so.
-    assert_eq!(weekdays.window_at(moment("2026-12-04T18:00:00Z")), None);
+    assert_eq!(weekdays.window_at(timestamp("2026-12-04T18:00:00Z")), None);
     weekdays.opens_before = 3;
     assert_eq!(
         &*weekdays
-            .window_at(moment("2026-12-04T18:00:00Z"))
+            .window_at(timestamp("2026-12-04T18:00:00Z"))
             .unwrap()
             .name,
         "night@2026-12-07"
@@ -113,36 +113,36 @@
 }
 
 #[test]
-fn what_cannot_be_is_refused_with_a_word() {
-    let good = rule(
+fn invalid_rules_are_refused_with_the_field_named() {
+    let valid = rule(
         "UTC",
         CutoffDays::Daily,
         time(1, 0, 0, 0),
         0,
         time(8, 0, 0, 0),
     );
-    assert!(good.validate().is_ok());
-    let mut bad = good.clone();
-    bad.opens = time(9, 0, 0, 0);
+    assert!(valid.validate().is_ok());
+    let mut invalid = valid.clone();
+    invalid.opens = time(9, 0, 0, 0);
     assert!(
-        bad.validate()
+        invalid
+            .validate()
             .unwrap_err()
             .to_string()
             .contains("opens-before")
     );
-    bad.opens_before = 200;
-    assert!(bad.validate().unwrap_err().to_string().contains("35"));
-    bad = good;
-    bad.name = String::new();
-    assert!(bad.validate().unwrap_err().to_string().contains("name"));
+    invalid.opens_before = 200;
+    assert!(invalid.validate().unwrap_err().to_string().contains("35"));
+    invalid = valid;
+    invalid.name = String::new();
+    assert!(invalid.validate().unwrap_err().to_string().contains("name"));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(83), failure_persistence: None, ..ProptestConfig::default() })]
-    // The cutoff found is the earliest of all days' whose window the moment
-    // is in, looked for one by one.
+    // All days around are tried one by one.
     #[test]
-    fn the_cutoff_is_that_of_the_plain_model(
+    fn the_window_found_is_the_earliest_that_contains_the_time(
         at in 1.76e9f64..1.83e9, opens in 0i8..24, cutoff in 0i8..24, before in 0u8..6, kind in 0u8..4, zone in 0usize..4,
     ) {
         let zones = ["Asia/Seoul", "Europe/Berlin", "America/New_York", "Africa/Accra"];
--- a/crates/tallygauge-fairness/src/selection.rs
+++ b/crates/tallygauge-fairness/src/selection.rs
@@ -79,7 +79,7 @@
 /// one is long overdue. Jobs that need not be served yet don't count, so that no group
 /// is behind while work is done in time. A job counts for all its groups alike.
 ///
-/// `at` is the time of day in seconds. Called by the scheduler's minimum share.
+/// `at` is wall-clock time in seconds. Called by the scheduler's minimum share.
 #[must_use]
 pub fn select_underserved(
     counts: &ServiceCounts,
--- a/crates/tallygauge-fairness/src/service_counts.rs
+++ b/crates/tallygauge-fairness/src/service_counts.rs
@@ -233,7 +233,7 @@
         [DAY_S, self.recent_s]
     }
 
-    /// Jobs of a group that were done within each window before the time of day `at`,
+    /// Jobs of a group that were done within each window before the wall-clock time `at`,
     /// in the order of [`window_lengths_s`](Self::window_lengths_s).
     ///
     /// # Panics
@@ -247,7 +247,7 @@
         ]
     }
 
-    /// Counts a job that ended at the time of day `at`, in seconds, for its groups.
+    /// Counts a job that ended at the wall-clock time `at`, in seconds, for its groups.
     pub fn record_end(&mut self, groups: GroupIds, end: JobEnd, at: f64) {
         for group in groups.iter() {
             let counts = &mut self.counts[group];
--- a/crates/tallygauge-fairness/src/sliding_window.rs
+++ b/crates/tallygauge-fairness/src/sliding_window.rs
@@ -9,7 +9,7 @@
 const MIN_BUCKET_S: f64 = 1e-3;
 
 /// Number of events in a sliding window of fixed length, counted in [`BUCKETS`]
-/// buckets by time of day. Buckets that have left the window are dropped.
+/// buckets by wall-clock time. Buckets that have left the window are dropped.
 ///
 /// The window's length is not stored: all calls for one counter must pass the same.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,18 +37,18 @@
     }
 }
 
-/// Number of the bucket that a time of day falls into.
+/// Number of the bucket that a wall-clock time falls into.
 fn bucket_number(at: f64, window_s: f64) -> u64 {
     (at.max(0.0) / (window_s / BUCKETS as f64).max(MIN_BUCKET_S)) as u64
 }
 
-/// Number of the oldest bucket in the window that ends at a time of day.
+/// Number of the oldest bucket in the window that ends at a wall-clock time.
 fn oldest_bucket_number(at: f64, window_s: f64) -> u64 {
     bucket_number(at, window_s).saturating_sub(BUCKETS as u64 - 1)
 }
 
 impl SlidingWindow {
-    /// Counts an event at the time of day `at`. All arguments are seconds.
+    /// Counts an event at the wall-clock time `at`. All arguments are seconds.
     pub fn add(&mut self, at: f64, window_s: f64) {
         let number = bucket_number(at, window_s);
         // The clocks of controllers differ a little: an earlier bucket may come up
@@ -64,13 +64,13 @@
         let oldest = oldest_bucket_number(at, window_s);
         self.0.retain(|bucket| bucket.number >= oldest);
         self.0.sort_unstable();
-        // A time of day that leaps ahead leaves buckets in the future, which must
+        // A clock that leaps ahead leaves buckets in the future, which must
         // not accumulate.
         let excess = self.0.len().saturating_sub(BUCKETS);
         self.0.drain(..excess);
     }
 
-    /// Number of events in the window that ends at the time of day `at`. All arguments
+    /// Number of events in the window that ends at the wall-clock time `at`. All arguments
     /// are seconds.
     #[must_use]
     pub fn sum(&self, at: f64, window_s: f64) -> u32 {
--- a/crates/tallygauge-scheduler/src/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines.rs
@@ -255,7 +255,7 @@
                 name: name.to_string(),
                 declared: line.declared,
                 left_s: line.cutoff - at,
-                done: line.done,
+                done: line.done.into(),
                 open: open.get(name).copied().unwrap_or(0),
                 forecast: self.batch_deadlines.forecasts.get(name).copied(),
             })
