--- a/crates/tallygauge-locality/src/image_index/tests.rs
+++ b/crates/tallygauge-locality/src/image_index/tests.rs
@@ -9,59 +9,67 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: proptest::test_runner::RngSeed::Fixed(29), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn what_is_left_is_what_the_successor_believes(
-        held in prop::collection::btree_set((0u32..200, 0u8..20), 0..400), bytes in 400usize..8000, most in 1usize..5,
+    fn the_next_leader_restores_what_was_stored(
+        held in prop::collection::btree_set((0u32..200, 0u8..20), 0..400), max_bytes in 400usize..8000, max_shards in 1usize..5,
     ) {
         let names = names(200);
         let images: Vec<String> = (0..20).map(|n| format!("img-{n}")).collect();
-        let holdings: Vec<CachedImage> = held.iter().map(|(m, i)| CachedImage {
+        let cached: Vec<CachedImage> = held.iter().map(|(m, i)| CachedImage {
             machine: &names[*m as usize], image: &images[usize::from(*i)],
             gb: f64::from(*i) + 0.5, fetch_s: f64::from(*i) * 2.0,
         }).collect();
-        let parts = ImageIndex::shards(&holdings, 5.0, bytes, most);
-        prop_assert!(parts.len() <= most);
-        let mut atlas = ImageIndex::default();
-        for part in &parts {
-            let text = serde_json::to_string(part).unwrap();
-            prop_assert!(text.len() <= bytes, "{} of {}", text.len(), bytes);
-            prop_assert_eq!(atlas.restore(&serde_json::from_str(&text).unwrap()), 0);
+        let shards = ImageIndex::shards(&cached, 5.0, max_bytes, max_shards);
+        prop_assert!(shards.len() <= max_shards);
+        let mut index = ImageIndex::default();
+        for shard in &shards {
+            let text = serde_json::to_string(shard).unwrap();
+            prop_assert!(text.len() <= max_bytes, "{} of {}", text.len(), max_bytes);
+            prop_assert_eq!(index.restore(&serde_json::from_str(&text).unwrap()), 0);
         }
-        let mut believed = BTreeSet::new();
+        let mut restored = BTreeSet::new();
         for (n, name) in names.iter().enumerate() {
-            for (image, gb) in atlas.take_images_of(name) {
+            for (image, gb) in index.take_images_of(name) {
                 let i: u8 = image[4..].parse().unwrap();
                 prop_assert_eq!(gb, f64::from(i) + 0.5);
-                believed.insert((n as u32, i));
+                restored.insert((n as u32, i));
             }
         }
-        // Nothing is made up, whole images are left out at most, and with
-        // room enough only those not worth it are.
-        prop_assert!(believed.is_subset(&held));
+        // Only what was cached is restored, an image with all its machines or not at
+        // all, and with enough bytes only images below the least fetch time are missing.
+        prop_assert!(restored.is_subset(&held));
         for i in 0..20u8 {
             let all: Vec<_> = held.iter().filter(|h| h.1 == i).collect();
-            let some = believed.iter().filter(|h| h.1 == i).count();
+            let some = restored.iter().filter(|h| h.1 == i).count();
             prop_assert!(some == 0 || some == all.len());
-            if bytes * most > 20_000 { prop_assert_eq!(some == all.len() || all.is_empty(), i > 2 || all.is_empty()); }
+            if max_bytes * max_shards > 20_000 { prop_assert_eq!(some == all.len() || all.is_empty(), i > 2 || all.is_empty()); }
         }
     }
 }
 
 #[test]
-fn torn_parts_and_odd_names_are_passed_over() {
-    let holdings = ["host-7", "host-8", "odd", "rack-1"].map(|machine| CachedImage {
+fn corrupt_entries_and_uncommon_names_are_skipped() {
+    let cached = ["host-7", "host-8", "odd", "rack-1"].map(|machine| CachedImage {
         machine,
         image: "llm",
         gb: 60.0,
         fetch_s: 120.0,
     });
-    let mut parts = ImageIndex::shards(&holdings, 1.0, 4000, 2);
-    assert_eq!(parts.len(), 1);
-    let mut atlas = ImageIndex::default();
-    assert_eq!(atlas.restore(&parts[0]), 0);
-    assert_eq!(atlas.machine_count(), 2, "those with the usual names");
-    parts[0].images[0].2 = "AAAA".into();
-    parts[0].images.push(("x".into(), f64::NAN, String::new()));
-    let mut atlas = ImageIndex::default();
-    assert_eq!((atlas.restore(&parts[0]), atlas.machine_count()), (2, 0));
+    let mut shards = ImageIndex::shards(&cached, 1.0, 4000, 2);
+    assert_eq!(shards.len(), 1);
+    let mut index = ImageIndex::default();
+    assert_eq!(index.restore(&shards[0]), 0);
+    assert_eq!(
+        index.machine_count(),
+        2,
+        "those with the most common form of name"
+    );
+    shards[0].images[0].machines = "AAAA".into();
+    shards[0].images.push(ImageEntry {
+        name: "x".into(),
+        gb: f64::NAN,
+        machines: String::new(),
+    });
+    let mut index = ImageIndex::default();
+    assert_eq!((index.restore(&shards[0]), index.machine_count()), (2, 0));
     assert!(ImageIndex::shards(&[], 1.0, 4000, 2).is_empty());
 }
--- a/crates/tallygauge-locality/src/replica_spread.rs
+++ b/crates/tallygauge-locality/src/replica_spread.rs
@@ -1,43 +1,44 @@
-//! Seconds of fetch against replicas at risk.
+//! Cost of placing replicas together, in seconds of image fetch.
 
-/// What a replica placed somewhere shares with those of its job that run.
+/// Replicas of a job that a further one would be placed beside.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicaCounts {
-    /// Replicas of the job on that machine.
+    /// Replicas of the job on the machine.
     pub on_machine: u32,
-    /// Replicas of the job in that zone.
+    /// Replicas of the job in the machine's zone.
     pub in_zone: u32,
-    /// Replicas of the job anywhere.
+    /// Replicas of the job in all zones.
     pub running: u32,
     /// Zones in which the job may run.
     pub zones: u32,
 }
 
-/// How much a replica that one failure takes along with others is worth, in
-/// seconds of fetch: the operators' one weight.
+/// Weight of replicas that one failure would take together against image fetches, as
+/// operators set it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReplicaSpread {
-    /// Seconds of fetch for a replica at risk.
+    /// Seconds of fetch that a replica at risk is worth.
     pub risk_s: f64,
 }
 
 impl ReplicaSpread {
-    /// Seconds that a place costs besides the fetch: each replica that is on the
-    /// machine already counts whole, and in a zone each beyond an even part,
-    /// which is the first in a zone always, so that the first replicas go apart
-    /// and later ones may go together.
+    /// Cost of a placement besides the fetch, seconds.
+    ///
+    /// Each replica that is on the machine already counts in full. In a zone, those
+    /// beyond an even share count. The first replica of a zone is never beyond it, so
+    /// the first replicas of a job spread and later ones may be placed together.
     #[must_use]
-    pub fn cost_s(&self, place: ReplicaCounts) -> f64 {
-        let machine = f64::from(place.on_machine);
-        self.risk_s * machine + self.zone_cost_s(place)
+    pub fn cost_s(&self, replicas: ReplicaCounts) -> f64 {
+        self.risk_s * f64::from(replicas.on_machine) + self.zone_cost_s(replicas)
     }
 
-    /// The part of that cost that is the same on all machines of a zone.
+    /// The part of [`cost_s`](Self::cost_s) that is the same for all machines of a zone,
+    /// seconds.
     #[must_use]
-    pub fn zone_cost_s(&self, place: ReplicaCounts) -> f64 {
-        let even = (place.running + 1).div_ceil(place.zones.max(1));
-        let beyond = (place.in_zone + 1).saturating_sub(even);
-        self.risk_s * f64::from(beyond)
+    pub fn zone_cost_s(&self, replicas: ReplicaCounts) -> f64 {
+        let even_share = (replicas.running + 1).div_ceil(replicas.zones.max(1));
+        let beyond_share = (replicas.in_zone + 1).saturating_sub(even_share);
+        self.risk_s * f64::from(beyond_share)
     }
 }
 
