--- a/crates/tallygauge-capacity/examples/capacity.rs
+++ b/crates/tallygauge-capacity/examples/capacity.rs
@@ -9,5 +9,5 @@
     for table in demand::tables(&target) {
         println!("{table}");
     }
-    println!("leader's loss: {:.1} s", demand::leader_loss_s(&target));
+    println!("leader's loss: {:.1} s", demand::failover_s(&target));
 }
--- a/crates/tallygauge-capacity/src/target.rs
+++ b/crates/tallygauge-capacity/src/target.rs
@@ -1,36 +1,36 @@
-//! The size that the operators want to reach.
+//! The size of the fleet that the operators want to reach.
 
 /// A fleet, its load and its settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Target {
-    /// Machines with a worker each.
+    /// Machines, each with one worker.
     pub workers: f64,
-    /// Tasks that run at a time.
+    /// Tasks running at a time.
     pub tasks: f64,
-    /// Task starts a second at the peak.
+    /// Task starts a second at peak load.
     pub starts_per_s: f64,
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: f64,
-    /// Zones.
+    /// Number of zones.
     pub zones: f64,
-    /// Regions.
+    /// Number of regions.
     pub regions: f64,
     /// Machines that fail in a day.
-    pub failures_a_day: f64,
+    pub failures_per_day: f64,
     /// Machines that restart in a day.
-    pub restarts_a_day: f64,
-    /// Seconds within which urgent work is to start.
+    pub restarts_per_day: f64,
+    /// Time within which jobs of high priority are to start, seconds.
     pub urgent_start_s: f64,
-    /// Bytes a second that control may cost a worker.
+    /// Limit on control traffic for each worker, bytes a second.
     pub worker_bytes_per_s: f64,
-    /// Report interval of workers, seconds: as on the fleet deployments of today.
-    pub report_s: f64,
-    /// Lease of workers, seconds: likewise.
+    /// Heartbeat interval of workers, seconds, as in the fleet deployments of today.
+    pub heartbeat_interval_s: f64,
+    /// Lease of workers, seconds, as in the fleet deployments of today.
     pub lease_s: f64,
 }
 
 impl Target {
-    /// The operators' figures.
+    /// The figures that the operators gave.
     #[must_use]
     pub fn operators() -> Self {
         Self {
@@ -40,18 +40,18 @@
             controllers: 7.0,
             zones: 12.0,
             regions: 3.0,
-            failures_a_day: 110.0,
-            restarts_a_day: 530.0,
+            failures_per_day: 110.0,
+            restarts_per_day: 530.0,
             urgent_start_s: 5.6,
             worker_bytes_per_s: 3_000.0,
-            report_s: 5.0,
+            heartbeat_interval_s: 5.0,
             lease_s: 26.5,
         }
     }
 
-    /// Tasks on a worker.
+    /// Mean number of tasks running on a worker.
     #[must_use]
-    pub fn tasks_on_a_worker(&self) -> f64 {
+    pub fn tasks_per_worker(&self) -> f64 {
         self.tasks / self.workers
     }
 }
