--- a/crates/tallygauge/src/peers.rs
+++ b/crates/tallygauge/src/peers.rs
@@ -1,230 +1,175 @@
-//! Controller to controller: gRPC on `back`. Hints and display only.
+//! Controller to controller, by gRPC. What peers tell each other is a hint or for
+//! display: safety rests on the store alone.
+
+mod relay;
+mod service;
+
+pub use service::serve;
 
 use crate::{
-    controller::Controller,
-    leader,
-    user_api::{self, Relay, RelayFuture, Reply},
-    worker_api,
+    controller::Controller, leader, leadership::LeaderView, settings::Settings, worker_api,
 };
 use futures_util::future::join_all;
-use std::{
-    sync::{Arc, Weak},
-    time::Duration,
-};
-use tallygauge_protocol::peer::{
-    Announcement, JobProgress, ProgressReply, ProgressRequest, RelayReply, RelayRequest,
-    peer_client::PeerClient,
-    peer_server::{Peer, PeerServer},
-};
-use tokio::sync::Semaphore;
-use tonic::{
-    Request, Response, Status,
-    transport::{Channel, Endpoint, Server},
-};
-use warp::http::Method;
+use relay::PeerRelay;
+use std::{net::SocketAddr, sync::Arc, time::Duration};
+use tallygauge_protocol::peer::{Announcement, ProgressRequest, peer_client::PeerClient};
+use tonic::transport::{Channel, Endpoint};
+
+/// Longest time between two looks at what peers should be told or asked.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-struct Service(Arc<Controller>);
+/// Timeout of a request to a peer, as a fraction of the heartbeat interval.
+const TIMEOUT_FRACTION: f64 = 0.5;
 
-/// The other nodes, as takers of users' requests.
-struct Peers {
-    controller: Weak<Controller>,
-    clients: Vec<(String, PeerClient<Channel>)>,
-    /// Bounds the requests that are under way.
-    turns: Semaphore,
+/// Seconds after which task counts that nobody asks about are dropped.
+const TASK_COUNTS_EXPIRY_S: f64 = 60.0;
+
+/// Another controller.
+#[derive(Clone)]
+struct PeerNode {
+    name: String,
+    client: PeerClient<Channel>,
 }
 
-/// Other nodes that a request is passed to before it is given up.
-const RELAY_TRIES: usize = 2;
-
-impl Relay for Peers {
-    fn relay<'a>(&'a self, method: &'a Method, path: &'a str, body: &'a [u8]) -> RelayFuture<'a> {
-        Box::pin(async move {
-            let _turn = self.turns.try_acquire().ok()?;
-            let leader = self.controller.upgrade()?;
-            let leader = leader.leadership.view().leader;
-            // The leader is served by the state service, or soon another leads.
-            let (first, others): (Vec<_>, Vec<_>) = self
-                .clients
+/// Tells the peers of every new term of this controller, and probes them as needed.
+/// Never returns.
+pub async fn run(controller: Arc<Controller>) {
+    let peers = connect_peers(&controller.settings);
+    let connections = controller.settings.deployment.resource_limits.connections as usize;
+    let relay = PeerRelay::new(Arc::downgrade(&controller), peers.clone(), connections);
+    *controller.lock(&controller.relay) = Some(Arc::new(relay));
+    let mut announced_term = 0;
+    loop {
+        let view_change = controller.leadership.wait_for_view_change();
+        let _ = tokio::time::timeout(POLL_INTERVAL, view_change).await;
+        let view = controller.leadership.view();
+        let announcement = announcement(&view);
+        let is_leader = view.leader.as_ref() == Some(&controller.settings.node_name);
+        if is_leader && view.term > announced_term {
+            announced_term = view.term;
+            announce_to_all(&controller, &peers, &announcement);
+        }
+        if is_leader && worker_api::lacks_heartbeats(&controller) {
+            yield_to_reachable_peer(&controller, &peers, &announcement).await;
+        }
+        probe_for_load_shedding(&controller, &peers, &announcement, is_leader).await;
+        probe_for_isolation(&controller, &peers, &announcement).await;
+        if !is_leader {
+            let leader = peers
                 .iter()
-                .partition(|c| Some(&c.0) == leader.as_ref());
-            for (_, client) in first.into_iter().chain(others).take(RELAY_TRIES) {
-                let request = RelayRequest {
-                    method: method.to_string(),
-                    path: path.to_string(),
-                    body: body.to_vec(),
-                };
-                if let Ok(reply) = client.clone().relay(request).await {
-                    let reply = reply.into_inner();
-                    let status = u16::try_from(reply.status).ok()?;
-                    return Some((status, reply.body));
-                }
+                .find(|peer| Some(&peer.name) == view.leader.as_ref());
+            if let Some(leader) = leader {
+                refresh_task_counts(&controller, leader.client.clone()).await;
             }
-            None
-        })
-    }
-}
-
-#[tonic::async_trait]
-impl Peer for Service {
-    async fn relay(&self, request: Request<RelayRequest>) -> Result<Response<RelayReply>, Status> {
-        let asked = request.into_inner();
-        let method = Method::from_bytes(asked.method.as_bytes())
-            .map_err(|_| Status::invalid_argument("no such method"))?;
-        match user_api::local(&self.0, &method, &asked.path, &asked.body).await {
-            None => Err(Status::invalid_argument("no request of users")),
-            Some(Reply::RetryLater(why, _)) => Err(Status::unavailable(why)),
-            Some(reply) => Ok(Response::new(RelayReply {
-                status: u32::from(reply.status()),
-                body: reply.body(),
-            })),
         }
     }
-
-    async fn announce(
-        &self,
-        request: Request<Announcement>,
-    ) -> Result<Response<Announcement>, Status> {
-        let told = request.into_inner();
-        let leader = (!told.leader.is_empty()).then_some(told.leader.as_str());
-        self.0.observe_term(told.term, leader);
-        let role = self.0.leadership.view();
-        Ok(Response::new(Announcement {
-            term: role.term,
-            leader: role.leader.unwrap_or_default(),
-            workers_call: worker_api::has_recent_heartbeats(&self.0),
-        }))
-    }
-
-    async fn progress(
-        &self,
-        request: Request<ProgressRequest>,
-    ) -> Result<Response<ProgressReply>, Status> {
-        let ids = request.into_inner().ids;
-        let jobs = self
-            .0
-            .with_cluster(|c| {
-                ids.into_iter()
-                    .filter_map(|id| {
-                        let (done, running) = c.task_counts(&id)?;
-                        Some(JobProgress { id, done, running })
-                    })
-                    .collect()
-            })
-            .ok_or_else(|| Status::unavailable("does not lead"))?;
-        Ok(Response::new(ProgressReply { jobs }))
-    }
 }
 
-/// Serves the peers. Returns only when it can't listen.
-///
-/// # Errors
-/// When the address can't be taken.
-pub async fn serve(controller: Arc<Controller>) -> Result<(), tonic::transport::Error> {
-    let addr = controller.settings.peer_listen;
-    Server::builder()
-        .http2_keepalive_interval(Some(Duration::from_secs(20)))
-        .add_service(PeerServer::new(Service(controller)))
-        .serve(addr)
-        .await
+fn connect_peers(settings: &Settings) -> Vec<PeerNode> {
+    let heartbeat_interval_s = settings.deployment.workers.heartbeat_interval_s;
+    let timeout = Duration::from_secs_f64(heartbeat_interval_s * TIMEOUT_FRACTION);
+    let peers = settings.peers.iter();
+    peers
+        .filter_map(|peer| {
+            Some(PeerNode {
+                name: peer.node_name.clone(),
+                client: new_client(peer.addr, timeout)?,
+            })
+        })
+        .collect()
 }
 
-fn client(addr: std::net::SocketAddr, timeout: Duration) -> Option<PeerClient<Channel>> {
-    let endpoint = Endpoint::from_shared(format!("http://{addr}"))
+/// A client that connects when it is first used.
+fn new_client(address: SocketAddr, timeout: Duration) -> Option<PeerClient<Channel>> {
+    let endpoint = Endpoint::from_shared(format!("http://{address}"))
         .ok()?
         .connect_timeout(timeout)
         .timeout(timeout);
     Some(PeerClient::new(endpoint.connect_lazy()))
 }
 
-/// Tells the peers who leads whenever that changes, and reads task counts from
-/// the leader while users ask for them.
-pub async fn run(controller: Arc<Controller>) {
-    let timeout =
-        Duration::from_secs_f64(controller.settings.deployment.workers.heartbeat_interval_s / 2.0);
-    let clients: Vec<(String, PeerClient<Channel>)> = controller
-        .settings
-        .peers
-        .iter()
-        .filter_map(|p| Some((p.node_name.clone(), client(p.addr, timeout)?)))
-        .collect();
-    let peers = Peers {
-        controller: Arc::downgrade(&controller),
-        clients: clients.clone(),
-        turns: Semaphore::new(
-            controller.settings.deployment.resource_limits.connections as usize / 16,
-        ),
-    };
-    *controller.lock(&controller.relay) = Some(Arc::new(peers));
-    let mut told = 0;
-    loop {
-        let _ = tokio::time::timeout(
-            Duration::from_secs(1),
-            controller.leadership.wait_for_view_change(),
-        )
-        .await;
-        let role = controller.leadership.view();
-        let mine = role.leader.as_deref() == Some(controller.settings.node_name.as_str());
-        let announcement = Announcement {
-            term: role.term,
-            leader: role.leader.clone().unwrap_or_default(),
-            workers_call: false,
-        };
-        if mine && role.term > told {
-            told = role.term;
-            for (_, client) in &clients {
-                let mut client = client.clone();
-                let controller = controller.clone();
-                let announcement = announcement.clone();
-                tokio::spawn(async move {
-                    if let Ok(answer) = client.announce(announcement).await {
-                        let answer = answer.into_inner();
-                        let leader = (!answer.leader.is_empty()).then_some(answer.leader.as_str());
-                        controller.observe_term(answer.term, leader);
-                    }
-                });
-            }
-        }
-        if mine && worker_api::lacks_heartbeats(&controller) {
-            for (_, client) in &clients {
-                let answer = client.clone().announce(announcement.clone()).await;
-                if answer.is_ok_and(|a| a.into_inner().workers_call) {
-                    leader::yield_leadership(&controller);
-                    break;
-                }
-            }
-        }
-        // Old answers do not count when it lags the next time.
-        let mut up = 0;
-        if mine && controller.load.should_shed_user_load(controller.now()) {
-            up = count_reachable(&clients, &announcement).await;
-        }
-        controller.peer_reachability.record_reachable(up);
-        // A node that the state service does not serve finds out if it is apart.
-        let served = controller.store.failing_since().is_none();
-        if served || count_reachable(&clients, &announcement).await > 0 {
-            controller
-                .peer_reachability
-                .record_contact(controller.now());
-        }
-        if !mine {
-            let leader = clients.iter().find(|c| Some(&c.0) == role.leader.as_ref());
-            if let Some((_, client)) = leader {
-                refresh_task_counts(&controller, client.clone()).await;
+fn announcement(view: &LeaderView) -> Announcement {
+    Announcement {
+        term: view.term,
+        leader: view.leader.clone().unwrap_or_default(),
+        workers_call: false,
+    }
+}
+
+/// Announces a term to every peer, each in a task of its own, and takes note of any
+/// higher term that a peer knows.
+fn announce_to_all(controller: &Arc<Controller>, peers: &[PeerNode], announcement: &Announcement) {
+    for peer in peers {
+        let mut client = peer.client.clone();
+        let controller = controller.clone();
+        let announcement = announcement.clone();
+        tokio::spawn(async move {
+            if let Ok(answer) = client.announce(announcement).await {
+                let answer = answer.into_inner();
+                let leader = (!answer.leader.is_empty()).then_some(answer.leader.as_str());
+                controller.observe_term(answer.term, leader);
             }
+        });
+    }
+}
+
+/// Yields leadership if a peer gets the workers' heartbeats that this leader lacks.
+async fn yield_to_reachable_peer(
+    controller: &Controller,
+    peers: &[PeerNode],
+    announcement: &Announcement,
+) {
+    for peer in peers {
+        let answer = peer.client.clone().announce(announcement.clone()).await;
+        if answer.is_ok_and(|answer| answer.into_inner().workers_call) {
+            leader::yield_leadership(controller);
+            return;
         }
     }
 }
 
-/// How many of the other nodes answer.
-async fn count_reachable(clients: &[(String, PeerClient<Channel>)], word: &Announcement) -> usize {
-    let asked = clients.iter().map(|(_, client)| {
-        let (mut client, word) = (client.clone(), word.clone());
-        async move { client.announce(word).await.is_ok() }
+/// Counts the reachable peers while this controller is an overloaded leader. At all
+/// other times the count is reset: it is too old when load is shed the next time.
+async fn probe_for_load_shedding(
+    controller: &Controller,
+    peers: &[PeerNode],
+    announcement: &Announcement,
+    is_leader: bool,
+) {
+    let mut reachable = 0;
+    if is_leader && controller.load.should_shed_user_load(controller.now()) {
+        reachable = count_reachable(peers, announcement).await;
+    }
+    controller.peer_reachability.record_reachable(reachable);
+}
+
+/// Probes the peers while the store does not serve this controller, to find out
+/// whether it is isolated.
+async fn probe_for_isolation(
+    controller: &Controller,
+    peers: &[PeerNode],
+    announcement: &Announcement,
+) {
+    let store_is_available = controller.store.failing_since().is_none();
+    if store_is_available || count_reachable(peers, announcement).await > 0 {
+        controller
+            .peer_reachability
+            .record_contact(controller.now());
+    }
+}
+
+/// Number of peers that answer.
+async fn count_reachable(peers: &[PeerNode], announcement: &Announcement) -> usize {
+    let probes = peers.iter().map(|peer| {
+        let (mut client, announcement) = (peer.client.clone(), announcement.clone());
+        async move { client.announce(announcement).await.is_ok() }
     });
-    join_all(asked).await.into_iter().filter(|up| *up).count()
+    let answers = join_all(probes).await;
+    answers.into_iter().filter(|answered| *answered).count()
 }
 
-async fn refresh_task_counts(controller: &Controller, mut client: PeerClient<Channel>) {
+/// Reads from the leader the task counts that users have asked about.
+async fn refresh_task_counts(controller: &Controller, mut leader: PeerClient<Channel>) {
     let ids: Vec<String> = {
         let mut counts = controller.lock(&controller.task_counts);
         std::mem::take(&mut counts.asked).into_iter().collect()
@@ -232,13 +177,15 @@
     if ids.is_empty() {
         return;
     }
-    if let Ok(reply) = client.progress(ProgressRequest { ids }).await {
+    if let Ok(reply) = leader.progress(ProgressRequest { ids }).await {
         let now = controller.now();
         let mut counts = controller.lock(&controller.task_counts);
         for job in reply.into_inner().jobs {
             counts.known.insert(job.id, (job.done, job.running, now));
         }
-        // Nobody asks about these any more.
-        counts.known.retain(|_, c| now - c.2 < 60.0);
+        let is_recent = |read_at: f64| now - read_at < TASK_COUNTS_EXPIRY_S;
+        counts
+            .known
+            .retain(|_, (_, _, read_at)| is_recent(*read_at));
     }
 }
