--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -1,88 +1,112 @@
-//! What a leader logs now and then: how much there is of everything.
+//! The leader's periodic summary in the log: totals of the cluster state, and why
+//! the oldest pending job waits.
 
 use crate::{controller::Controller, fairness_summary};
 use std::time::Duration;
-use tallygauge_scheduler::ClusterState;
+use tallygauge_scheduler::{ClusterState, CutoffStatus, Worker};
 
-/// Report intervals between two summaries.
-const EVERY: f64 = 4.0;
+/// Heartbeat intervals between two summaries.
+const INTERVAL_HEARTBEATS: f64 = 4.0;
 
-/// Logs a summary now and then, as long as this node leads, whatever else waits.
+/// Measurements of this process, as opposed to the cluster state.
+struct ProcessMeasurements {
+    longest_round_s: f64,
+    scheduling_delay_s: f64,
+    /// Requests that wait for the rate limiter of the store.
+    requests_waiting: usize,
+    writes_in_doubt: usize,
+    oldest_in_doubt: Duration,
+    /// Longest time that a job's user has gone without an answer.
+    oldest_unanswered_s: f64,
+    connections: usize,
+    connections_free: usize,
+}
+
+/// Logs a summary periodically for as long as the term lasts.
 pub async fn run(controller: &Controller) {
-    let report = controller.settings.deployment.workers.heartbeat_interval_s;
-    let pause = Duration::from_secs_f64(report * EVERY);
+    let heartbeat_interval_s = controller.settings.deployment.workers.heartbeat_interval_s;
+    let interval = Duration::from_secs_f64(heartbeat_interval_s * INTERVAL_HEARTBEATS);
     loop {
-        tokio::time::sleep(pause).await;
-        let longest_round_s = controller.load.take_longest_round_s();
-        summarize(controller, longest_round_s);
+        tokio::time::sleep(interval).await;
+        let process = measure_process(controller);
+        let now = controller.now();
+        controller.with_cluster(|cluster| {
+            log_totals(cluster, &process, now);
+            log_oldest_pending_job(cluster, now);
+            log_cutoffs(cluster, now);
+            log_group_statuses(cluster);
+        });
     }
 }
 
-fn summarize(controller: &Controller, longest_round_s: f64) {
-    let backlog = controller.store.budget().waiting();
-    let lag = controller.load.scheduling_delay_s();
+fn measure_process(controller: &Controller) -> ProcessMeasurements {
     let (now, memory_s) = (controller.now(), controller.caller_expiry_s());
-    let unanswered_s = {
-        let unanswered = controller.lock(&controller.pending_callers);
-        unanswered.longest(now, memory_s).map_or(0.0, |l| l.1)
-    };
-    let (writes_in_doubt, in_doubt) = controller.store.in_doubt_writes();
-    let (sockets, sockets_free) = (
-        controller.connection_limits.used(),
-        controller.connection_limits.free(),
+    let (writes_in_doubt, oldest_in_doubt) = controller.store.in_doubt_writes();
+    let oldest_unanswered_s = controller
+        .lock(&controller.pending_callers)
+        .longest(now, memory_s)
+        .map_or(0.0, |(_, unanswered_s)| unanswered_s);
+    ProcessMeasurements {
+        longest_round_s: controller.load.take_longest_round_s(),
+        scheduling_delay_s: controller.load.scheduling_delay_s(),
+        requests_waiting: controller.store.budget().waiting(),
+        writes_in_doubt,
+        oldest_in_doubt,
+        oldest_unanswered_s,
+        connections: controller.connection_limits.used(),
+        connections_free: controller.connection_limits.free(),
+    }
+}
+
+fn log_totals(cluster: &ClusterState, process: &ProcessMeasurements, now: f64) {
+    let [cpus_starting, cpus_fetching, cpus_running, cpus_free] = cluster.cpu_usage();
+    let (start_claims, oldest_unstarted_s) = cluster.unstarted_summary(now);
+    tracing::info!(
+        jobs = cluster.jobs.len(),
+        tasks_running = running_tasks(cluster),
+        tasks_pending = pending_tasks(cluster),
+        machines = cluster.workers.len(),
+        machines_up = cluster.workers.values().filter(|w| w.is_up()).count(),
+        cpus_starting,
+        cpus_fetching,
+        cpus_running,
+        cpus_free,
+        start_claims,
+        oldest_unstarted_s = oldest_unstarted_s as u64,
+        longest_round_ms = (process.longest_round_s * 1000.0) as u64,
+        scheduling_delay_ms = (process.scheduling_delay_s * 1000.0) as u64,
+        requests_waiting = process.requests_waiting,
+        writes_in_doubt = process.writes_in_doubt,
+        oldest_in_doubt_ms = process.oldest_in_doubt.as_millis() as u64,
+        oldest_unanswered_s = process.oldest_unanswered_s as u64,
+        connections = process.connections,
+        connections_free = process.connections_free,
+        "summary"
     );
-    controller.with_cluster(|c| {
-        let held = |w: &tallygauge_scheduler::Worker| {
-            w.attempts.iter().filter(|h| h.occupies_capacity()).count()
-        };
-        let running: usize = c.workers.values().map(held).sum();
-        let waiting: usize = c
-            .jobs
-            .values()
-            .map(|j| j.pending.len() as usize + j.resumable.len())
-            .sum();
-        let up = c.workers.values().filter(|w| w.is_up()).count();
-        let [starting, fetching, busy, free] = c.cpu_usage();
-        let (to_begin, not_begun_s) = c.unstarted_summary(now);
-        tracing::info!(
-            jobs = c.jobs.len(),
-            running,
-            waiting,
-            machines = c.workers.len(),
-            up,
-            cpus_starting = starting,
-            cpus_fetching = fetching,
-            cpus_running = busy,
-            cpus_free = free,
-            to_begin,
-            not_begun_s = not_begun_s as u64,
-            round_ms = (longest_round_s * 1000.0) as u64,
-            lag_ms = (lag * 1000.0) as u64,
-            writes_waiting = backlog,
-            writes_in_doubt,
-            in_doubt_ms = in_doubt.as_millis() as u64,
-            unanswered_s = unanswered_s as u64,
-            sockets,
-            sockets_free,
-            "summary"
-        );
-        explain_longest_wait(c, now);
-        let cutoffs = shown_cutoffs(c, now);
-        if !cutoffs.is_empty() {
-            tracing::info!(cutoffs, "calendar");
-        }
-        let (classes, teams) = fairness_summary::format_group_statuses(c);
-        tracing::info!(classes, teams, "served");
-    });
 }
 
-/// Logs why the job that has waited longest has not begun: what is missing.
-fn explain_longest_wait(cluster: &ClusterState, now: f64) {
-    let Some((job, large)) = cluster.oldest_unstarted_job() else {
+fn running_tasks(cluster: &ClusterState) -> usize {
+    let occupying = |worker: &Worker| {
+        let attempts = worker.attempts.iter();
+        attempts
+            .filter(|attempt| attempt.occupies_capacity())
+            .count()
+    };
+    cluster.workers.values().map(occupying).sum()
+}
+
+fn pending_tasks(cluster: &ClusterState) -> usize {
+    let jobs = cluster.jobs.values();
+    jobs.map(|job| job.pending.len() as usize + job.resumable.len())
+        .sum()
+}
+
+/// Logs why the job that has waited longest has not started.
+fn log_oldest_pending_job(cluster: &ClusterState, now: f64) {
+    let Some((job, is_large)) = cluster.oldest_unstarted_job() else {
         return;
     };
-    let waited_s = (now - job.accepted_at) as u64;
-    let Some(why) = cluster.explain_pending(&job.spec.id, now) else {
+    let Some(explanation) = cluster.explain_pending(&job.spec.id, now) else {
         return;
     };
     tracing::info!(
@@ -91,33 +115,47 @@
         team = job.spec.team,
         tasks = job.spec.tasks,
         cpus = job.spec.cpus,
-        large,
-        waited_s,
-        within_guarantee = why.within_guarantee,
-        reasons = ?why.reasons,
-        "waits longest"
+        large = is_large,
+        waited_s = (now - job.accepted_at) as u64,
+        within_guarantee = explanation.within_guarantee,
+        reasons = ?explanation.reasons,
+        "oldest pending job"
     );
 }
 
-/// Cutoffs that operators declared or that are at risk in one field: seconds
-/// until each, jobs done, of these too late, open; slack in seconds, `!` when at
-/// risk.
-fn shown_cutoffs(c: &ClusterState, now: f64) -> String {
-    let mut out = Vec::new();
-    for cutoff in c.cutoff_statuses(now) {
-        let risk = cutoff.forecast.is_some_and(|v| v.at_risk);
-        if !cutoff.declared && !risk {
-            continue;
-        }
-        let (left_s, (done, late), open) = (cutoff.left_s, cutoff.done, cutoff.open);
-        let slack = cutoff
-            .forecast
-            .map_or(String::new(), |v| format!("/{:.0}", v.slack_s));
-        let mark = if risk { "!" } else { "" };
-        out.push(format!(
-            "{}:{left_s:.0}/{done}/{late}/{open}{slack}{mark}",
-            cutoff.name
-        ));
+/// Logs the cutoffs that operators declared or that are at risk.
+fn log_cutoffs(cluster: &ClusterState, now: f64) {
+    let cutoffs: Vec<String> = cluster
+        .cutoff_statuses(now)
+        .iter()
+        .filter(|cutoff| cutoff.declared || is_at_risk(cutoff))
+        .map(format_cutoff)
+        .collect();
+    if !cutoffs.is_empty() {
+        tracing::info!(cutoffs = cutoffs.join(" "), "cutoff status");
     }
-    out.join(" ")
+}
+
+fn is_at_risk(cutoff: &CutoffStatus) -> bool {
+    cutoff
+        .forecast
+        .as_ref()
+        .is_some_and(|forecast| forecast.at_risk)
+}
+
+/// `name:seconds left/jobs done/of these late/jobs open/slack in seconds`; the slack
+/// is absent without a forecast, and `!` follows when the cutoff is at risk.
+fn format_cutoff(cutoff: &CutoffStatus) -> String {
+    let (name, left_s, open) = (&cutoff.name, cutoff.left_s, cutoff.open);
+    let (done, late) = cutoff.done;
+    let slack = cutoff.forecast.as_ref().map_or(String::new(), |forecast| {
+        format!("/{:.0}", forecast.slack_s)
+    });
+    let mark = if is_at_risk(cutoff) { "!" } else { "" };
+    format!("{name}:{left_s:.0}/{done}/{late}/{open}{slack}{mark}")
+}
+
+fn log_group_statuses(cluster: &ClusterState) {
+    let (classes, teams) = fairness_summary::format_group_statuses(cluster);
+    tracing::info!(classes, teams, "service counts");
 }
