--- a/crates/tallygauge/src/main.rs
+++ b/crates/tallygauge/src/main.rs
@@ -6,6 +6,12 @@
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::{Layer, filter::Targets, layer::SubscriberExt, util::SubscriberInitExt};
 
+/// Environment variable of the log level: `debug`, `info` or `error`.
+const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
+
+/// Exit code for settings that can't be read or are invalid.
+const INVALID_SETTINGS: u8 = 2;
+
 /// A controller of the tallygauge cluster scheduler.
 #[derive(Debug, Parser)]
 #[command(version, about)]
@@ -21,58 +27,67 @@
     check: bool,
 }
 
+/// Reads both settings.
 fn load(arguments: &Arguments) -> Result<(Settings, OperatorSettings), String> {
     let settings = Settings::load(&arguments.config)?;
-    let tuning = match &arguments.settings {
+    let operator_settings = match &arguments.settings {
         Some(path) => OperatorSettings::load(path)?,
         None => OperatorSettings::default(),
     };
-    Ok((settings, tuning))
+    Ok((settings, operator_settings))
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let (settings, tuning) = match load(&arguments) {
+    let (settings, operator_settings) = match load(&arguments) {
         Ok(loaded) => loaded,
         Err(error) => {
             eprintln!("tallygauge: {error}");
-            return ExitCode::from(2);
+            return ExitCode::from(INVALID_SETTINGS);
         }
     };
     if arguments.check {
         println!("settings are valid");
         return ExitCode::SUCCESS;
     }
-    let level = match std::env::var("LOG_LEVEL").as_deref() {
+    start_logging();
+    match run(settings, operator_settings) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            tracing::error!(%error, "controller failed");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+/// Logs to standard error, at the level that the environment names. Libraries log
+/// errors only: an operator follows the scheduler, not its connections.
+fn start_logging() {
+    let level = match std::env::var(LOG_LEVEL_VARIABLE).as_deref() {
         Ok("debug") => LevelFilter::DEBUG,
         Ok("error") => LevelFilter::ERROR,
         _ => LevelFilter::INFO,
     };
-    // Libraries are heard only when something is wrong: an operator follows
-    // the scheduler, not its connections.
-    let ours = Targets::new()
+    let targets = Targets::new()
         .with_default(LevelFilter::ERROR)
         .with_target("tallygauge", level)
         .with_target("warp", LevelFilter::OFF);
-    let lines = tracing_subscriber::fmt::layer()
+    let format = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_target(false);
     tracing_subscriber::registry()
-        .with(lines.with_filter(ours))
+        .with(format.with_filter(targets))
         .init();
+}
+
+/// Runs the controller on a single-threaded runtime until it fails.
+fn run(
+    settings: Settings,
+    operator_settings: OperatorSettings,
+) -> Result<(), Box<dyn std::error::Error>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build();
-    let result = match runtime {
-        Ok(runtime) => runtime.block_on(tallygauge::run(settings, tuning)),
-        Err(error) => Err(error.into()),
-    };
-    match result {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            tracing::error!(%error, "ends");
-            ExitCode::FAILURE
-        }
-    }
+        .build()?;
+    runtime.block_on(tallygauge::run(settings, operator_settings))
 }
--- a/crates/tallygauge/src/server.rs
+++ b/crates/tallygauge/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP: users, workers and health checks on one address.
+//! The HTTP server: users, workers and health checks on one address.
 
 use crate::{
     controller::Controller,
@@ -15,9 +15,9 @@
     http::{HeaderValue, Method, Response, StatusCode, header::CONNECTION},
 };
 
-type Answer = Response<Vec<u8>>;
+type HttpResponse = Response<Vec<u8>>;
 
-fn respond(status: u16, body: Vec<u8>, retry_after: Option<u64>) -> Answer {
+fn json_response(status: u16, body: Vec<u8>, retry_after: Option<u64>) -> HttpResponse {
     let mut builder = Response::builder()
         .status(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR))
         .header("content-type", "application/json");
@@ -27,64 +27,77 @@
     builder.body(body).unwrap_or_default()
 }
 
-fn error(status: u16, text: &str) -> Answer {
+fn error_response(status: u16, text: &str) -> HttpResponse {
     let body = ErrorResponse { error: text.into() };
-    respond(status, serde_json::to_vec(&body).unwrap_or_default(), None)
+    json_response(status, serde_json::to_vec(&body).unwrap_or_default(), None)
 }
 
-/// A user's connection is closed after the answer where connections are short.
-fn user(controller: &Controller, reply: &Reply) -> Answer {
-    let retry = match reply {
+/// The response to a user; the connection is closed after it if connections are
+/// critically few.
+fn user_response(controller: &Controller, reply: &Reply) -> HttpResponse {
+    let retry_after = match reply {
         Reply::RetryLater(_, seconds) => Some(*seconds),
         _ => None,
     };
-    let mut answer = respond(reply.status(), reply.body(), retry);
+    let mut response = json_response(reply.status(), reply.body(), retry_after);
     if controller.connection_limits.is_critical() {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    answer
+    response
 }
 
-fn worker(answer: &HeartbeatReply) -> Answer {
-    match answer {
-        HeartbeatReply::Accepted(answer) => {
-            respond(200, serde_json::to_vec(answer).unwrap_or_default(), None)
+/// The response to a worker's heartbeat.
+fn heartbeat_response(reply: &HeartbeatReply) -> HttpResponse {
+    match reply {
+        HeartbeatReply::Accepted(response) => {
+            json_response(200, serde_json::to_vec(response).unwrap_or_default(), None)
         }
-        HeartbeatReply::Redirected(to) => {
-            respond(421, serde_json::to_vec(to).unwrap_or_default(), None)
+        HeartbeatReply::Redirected(redirect) => {
+            json_response(421, serde_json::to_vec(redirect).unwrap_or_default(), None)
         }
-        HeartbeatReply::Unavailable => error(503, "not entitled to act for the controllers now"),
-        HeartbeatReply::Malformed(why) => error(400, why),
+        HeartbeatReply::Unavailable => {
+            error_response(503, "not entitled to act for the controllers now")
+        }
+        HeartbeatReply::Malformed(reason) => error_response(400, reason),
     }
 }
 
-async fn route(controller: Arc<Controller>, method: Method, path: String, body: Vec<u8>) -> Answer {
-    let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
-    let get = method == Method::GET;
-    let post = method == Method::POST;
-    match parts.as_slice() {
+/// Routes a request by its path and method.
+async fn route(
+    controller: Arc<Controller>,
+    method: Method,
+    path: String,
+    body: Vec<u8>,
+) -> HttpResponse {
+    let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
+    let is_get = method == Method::GET;
+    let is_post = method == Method::POST;
+    match segments.as_slice() {
         ["work", ..] => match user_api::serve(&controller, &method, &path, &body).await {
-            Some(reply) => user(&controller, &reply),
-            None => error(405, "no such request about jobs"),
+            Some(reply) => user_response(&controller, &reply),
+            None => error_response(405, "no such request about jobs"),
         },
-        ["checkin"] if post => worker(&worker_api::handle_heartbeat(&controller, &body)),
-        ["ready"] if get => {
-            if ready(&controller) {
-                respond(200, b"{}".to_vec(), None)
+        ["checkin"] if is_post => {
+            heartbeat_response(&worker_api::handle_heartbeat(&controller, &body))
+        }
+        ["ready"] if is_get => {
+            if is_ready(&controller) {
+                json_response(200, b"{}".to_vec(), None)
             } else {
-                error(503, "not ready")
+                error_response(503, "not ready")
             }
         }
-        ["checkin"] | ["ready"] => error(405, "no such method here"),
-        _ => error(404, "no such path"),
+        ["checkin"] | ["ready"] => error_response(405, "no such method here"),
+        _ => error_response(404, "no such path"),
     }
 }
 
-/// Whether the node can judge submissions and tell the state of jobs, and is
-/// not better left to its work by users. It answers them all the same. One that
-/// is apart can tell them nothing: their connections must not stay with it.
-fn ready(controller: &Controller) -> bool {
+/// The readiness check: whether users should be sent to this controller. It must be
+/// able to validate submissions and to tell the state of jobs, and neither be
+/// overloaded nor isolated. It answers users all the same; but while it is isolated
+/// it can tell them nothing, and their connections must not stay with it.
+fn is_ready(controller: &Controller) -> bool {
     controller.catalogue.is_loaded()
         && controller.has_reached_store()
         && !controller.sheds_user_load()
@@ -92,8 +105,11 @@
 }
 
 /// Serves users, workers and health checks. Never returns.
+///
+/// # Panics
+/// When the address can't be bound.
 pub async fn serve(controller: Arc<Controller>) {
-    let addr = controller.settings.client_listen;
+    let address = controller.settings.client_listen;
     let lease_s = controller.settings.deployment.workers.lease_s;
     let callers = controller.connection_limits.callers.clone();
     let routes = warp::method()
@@ -104,16 +120,17 @@
             async move {
                 match bounded_body(body).await {
                     Some(body) => route(controller, method, path.as_str().to_string(), body).await,
-                    None => error(400, "the body is over 64 KiB or broke off"),
+                    None => error_response(400, "the body is over 64 KiB or broke off"),
                 }
             }
         });
     let service = TowerToHyperService::new(warp::service(routes));
-    let listener = TcpListener::bind(addr).await.expect("the address is free");
-    // A caller that went without a word must not hold a socket for ever; a
-    // worker that says nothing for a lease has lost it. Warp's own loop would
-    // first find out which version of HTTP each connection speaks, and look at
-    // that again at every turn.
-    let idle = Duration::from_secs_f64(lease_s);
-    accept(listener, service, idle, |_| Some(callers.acquire())).await;
+    let listener = TcpListener::bind(address)
+        .await
+        .expect("the address is free");
+    // A caller that is gone must not hold a connection for ever, and a worker that is
+    // silent for a lease has lost it. Warp's own accept loop would first find out
+    // which version of HTTP each connection speaks, and check that on every poll.
+    let idle_timeout = Duration::from_secs_f64(lease_s);
+    accept(listener, service, idle_timeout, |_| Some(callers.acquire())).await;
 }
