--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -3,8 +3,9 @@
 use crate::{
     connection_limits::ConnectionLimits, leadership::LeadershipState, locking,
     machine_catalogue::MachineCatalogue, operator_settings::OperatorSettings,
-    peer_reachability::PeerReachability, process_load::ProcessLoad, relay::Relay,
-    scheduler_config::max_direct_messages, settings::Settings, wall_clock::WallClock,
+    peer_reachability::PeerReachability, process_clock::ProcessClock, process_load::ProcessLoad,
+    relay::Relay, scheduler_config::max_direct_messages, settings::Settings,
+    store_client::new_store_client, wall_clock::WallClock,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::{
@@ -17,16 +18,12 @@
 };
 use tallygauge_protocol::{state::Condition, users::JobStatus};
 use tallygauge_scheduler::ClusterState;
-use tallygauge_store::{RequestBudget, RequestPriority, StoreClient, http::HttpClient};
+use tallygauge_store::{RequestPriority, StoreClient, http::HttpClient};
 use tokio::{
     sync::{Notify, mpsc, oneshot},
     time::Instant,
 };
 
-/// Reading of the process's clock when it starts: above 0, so that times before
-/// the start can be expressed.
-const CLOCK_START_S: f64 = 1.0;
-
 /// Fraction of the time between a worker's lease expiry and the cancellation
 /// timeout for which an unconfirmed leader goes on answering workers.
 const FENCE_FRACTION: f64 = 0.85;
@@ -38,17 +35,6 @@
 /// is a margin for acting on it.
 const SAFE_LEASE_FRACTION: f64 = 0.9;
 
-/// Timeout of a request to the store, as a fraction of a worker's lease.
-const STORE_TIMEOUT_FRACTION: f64 = 1.0 / 12.0;
-
-/// Bounds of the timeout of a request to the store.
-const STORE_TIMEOUT_RANGE: (Duration, Duration) =
-    (Duration::from_millis(500), Duration::from_secs(2));
-
-/// Shortest time, as a fraction of a worker's lease, after which a request to the
-/// store is hedged, however fast the others were answered.
-const MIN_RETRY_TIMEOUT_FRACTION: f64 = 0.0025;
-
 /// Cached jobs for each megabyte of the process's memory: a job takes about a
 /// kilobyte at most, and the cache a tenth of the memory.
 const CACHED_JOBS_PER_MB: f64 = 100.0;
@@ -245,26 +231,11 @@
     pub unknown_job_requests: Mutex<usize>,
     /// All open jobs should be read.
     pub wake_job_refresh: Notify,
-    started_at: Instant,
-    wall_clock: Arc<dyn WallClock>,
+    clock: ProcessClock,
     jitter: Mutex<StdRng>,
     has_reached_store: AtomicBool,
 }
 
-/// The store's client, with this controller's share of the request limits.
-fn new_store_client(settings: &Settings, http: HttpClient) -> StoreClient {
-    let limits = &settings.deployment.store;
-    let lease_s = settings.deployment.workers.lease_s;
-    let share = 1.0 / f64::from(settings.deployment.count.max(1));
-    let budget = RequestBudget::new(limits.rps * share, limits.writes_per_s * share);
-    let (shortest, longest) = STORE_TIMEOUT_RANGE;
-    let timeout =
-        Duration::from_secs_f64(lease_s * STORE_TIMEOUT_FRACTION).clamp(shortest, longest);
-    let retry_timeout = Duration::from_secs_f64(lease_s * MIN_RETRY_TIMEOUT_FRACTION).min(timeout);
-    let address = settings.services.store.to_string();
-    StoreClient::new(http, &address, Arc::new(budget), retry_timeout, timeout)
-}
-
 impl Controller {
     /// A follower, and the receiver of its version checks. `store_http` carries the
     /// requests to the store, `http` those to the cloud provider and the workers.
@@ -306,8 +277,7 @@
             pending_callers: Mutex::default(),
             unknown_job_requests: Mutex::new(0),
             wake_job_refresh: Notify::new(),
-            started_at: Instant::now(),
-            wall_clock,
+            clock: ProcessClock::start(wall_clock),
             jitter: Mutex::new(StdRng::seed_from_u64(rand::random())),
             has_reached_store: AtomicBool::new(false),
         };
@@ -318,21 +288,20 @@
     /// before the process started can be expressed.
     #[must_use]
     pub fn now(&self) -> f64 {
-        self.instant_to_seconds(Instant::now())
+        self.clock.now()
     }
 
     /// What [`Self::now`] returned at an instant.
     #[must_use]
     pub fn instant_to_seconds(&self, instant: Instant) -> f64 {
-        let since_start = instant.saturating_duration_since(self.started_at);
-        since_start.as_secs_f64() + CLOCK_START_S
+        self.clock.seconds_at(instant)
     }
 
     /// Seconds since the Unix epoch by the wall clock: for display and deadlines,
     /// never for safety.
     #[must_use]
     pub fn time_of_day(&self) -> f64 {
-        self.wall_clock.since_epoch().as_secs_f64()
+        self.clock.time_of_day()
     }
 
     /// Seconds for which a leader goes on answering workers without its term being
--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -1,7 +1,7 @@
 //! Leader election and the terms that this controller leads.
 //!
-//! [`election`] wins a term under a lease, [`lease`] renews the lease, [`recovery`]
-//! restores the cluster state from the store, and [`duties`] runs the background
+//! `election` wins a term under a lease, `lease` renews the lease, `recovery`
+//! restores the cluster state from the store, and `duties` runs the background
 //! loops of the term. Whatever ends first ends the term.
 
 mod duties;
--- a/crates/tallygauge/src/leader/stored_value.rs
+++ b/crates/tallygauge/src/leader/stored_value.rs
@@ -37,3 +37,6 @@
         }
     })
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/tallygauge/src/leadership.rs
+++ b/crates/tallygauge/src/leadership.rs
@@ -174,3 +174,6 @@
         *lock(&self.follower_heartbeat_at)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/tallygauge/src/main.rs
+++ b/crates/tallygauge/src/main.rs
@@ -28,7 +28,7 @@
 }
 
 /// Reads both settings.
-fn load(arguments: &Arguments) -> Result<(Settings, OperatorSettings), String> {
+fn load(arguments: &Arguments) -> Result<(Settings, OperatorSettings), Box<dyn std::error::Error>> {
     let settings = Settings::load(&arguments.config)?;
     let operator_settings = match &arguments.settings {
         Some(path) => OperatorSettings::load(path)?,
--- a/crates/tallygauge/src/process_load.rs
+++ b/crates/tallygauge/src/process_load.rs
@@ -96,3 +96,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
