--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -35,6 +35,10 @@
 /// is a margin for acting on it.
 const SAFE_LEASE_FRACTION: f64 = 0.9;
 
+/// Pause before a failed request to the store is repeated: the leader's lease,
+/// divided by this.
+const STORE_RETRY_DIVISOR: u32 = 8;
+
 /// Cached jobs for each megabyte of the process's memory: a job takes about a
 /// kilobyte at most, and the cache a tenth of the memory.
 const CACHED_JOBS_PER_MB: f64 = 100.0;
@@ -320,6 +324,13 @@
         Duration::from_secs_f64(lease_s * LEADER_LEASE_FRACTION)
     }
 
+    /// Pause before a failed request to the store is repeated, where it has no
+    /// backoff of its own.
+    #[must_use]
+    pub fn store_retry_pause(&self) -> Duration {
+        self.leader_lease_ttl() / STORE_RETRY_DIVISOR
+    }
+
     /// Whether no other controller can be the leader now, since this one's lease has
     /// certainly not expired. To be called right before acting, with no await in
     /// between: a process may be suspended for seconds at any of them.
--- a/crates/tallygauge/src/job_watch_loop.rs
+++ b/crates/tallygauge/src/job_watch_loop.rs
@@ -11,9 +11,13 @@
 use tallygauge_scheduler::ClusterState;
 use tallygauge_store::{RequestPriority, StoreError, WatchOutcome};
 
+/// Watches without events that are answered within the time after which an
+/// unconfirmed leader is fenced.
+const WATCHES_PER_FENCE: f64 = 6.0;
+
 /// Watches for as long as the term lasts, from `revision` on.
 pub async fn run(controller: &Controller, mut revision: u64) {
-    let timeout = Duration::from_secs_f64(controller.fence_s() / 6.0);
+    let timeout = Duration::from_secs_f64(controller.fence_s() / WATCHES_PER_FENCE);
     loop {
         let sent_at = controller.now();
         let outcome = controller
@@ -32,7 +36,7 @@
             Err(error) => Err(error),
         };
         if followed.is_err() {
-            tokio::time::sleep(controller.leader_lease_ttl() / 8).await;
+            tokio::time::sleep(controller.store_retry_pause()).await;
         }
     }
 }
--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -11,7 +11,7 @@
 mod stored_value;
 
 use crate::{controller::Controller, leadership::Leadership};
-use std::{sync::Arc, time::Duration};
+use std::sync::Arc;
 use tallygauge_store::StoreError;
 
 /// Fraction of the store's request limits that the leader may use.
@@ -20,13 +20,17 @@
 /// Fraction of the store's request limits that all followers share.
 const FOLLOWERS_REQUEST_SHARE: f64 = 0.45;
 
+/// Pause of a controller that leaves an election to others: the lease's time to
+/// live, divided by this.
+const CANDIDACY_PAUSE_DIVISOR: u32 = 4;
+
 /// Follows the elections, and leads every term that this controller wins. Never
 /// returns.
 pub async fn run(controller: Arc<Controller>) {
     let ttl = controller.leader_lease_ttl();
     loop {
         let Ok(observed) = election::read_term(&controller).await else {
-            pause_after_error(&controller, ttl).await;
+            pause_after_error(&controller).await;
             continue;
         };
         controller.record_store_reached();
@@ -37,15 +41,17 @@
             .leadership
             .is_candidacy_suspended(controller.now())
         {
-            tokio::time::sleep(ttl / 4).await;
+            tokio::time::sleep(ttl / CANDIDACY_PAUSE_DIVISOR).await;
         } else if campaign_and_lead(&controller, &observed).await.is_err() {
-            pause_after_error(&controller, ttl).await;
+            pause_after_error(&controller).await;
         }
     }
 }
 
-async fn pause_after_error(controller: &Controller, ttl: Duration) {
-    tokio::time::sleep(ttl / 8 + controller.jitter(ttl / 8)).await;
+/// Pauses before the next election request, so that candidates do not act in step.
+async fn pause_after_error(controller: &Controller) {
+    let pause = controller.store_retry_pause();
+    tokio::time::sleep(pause + controller.jitter(pause)).await;
 }
 
 /// Campaigns under a new lease and leads the term if it is won, until it ends.
@@ -66,7 +72,7 @@
     }
     let _ = controller.store.revoke_lease(lease).await;
     if has_led {
-        tokio::time::sleep(controller.jitter(ttl / 4)).await;
+        tokio::time::sleep(controller.jitter(ttl / CANDIDACY_PAUSE_DIVISOR)).await;
     }
     Ok(())
 }
--- a/crates/tallygauge/src/leader/duties.rs
+++ b/crates/tallygauge/src/leader/duties.rs
@@ -34,7 +34,7 @@
             Ok(recovered) => return recovered,
             Err(error) => {
                 tracing::warn!(%error, "cluster state not recovered, will retry");
-                tokio::time::sleep(controller.leader_lease_ttl() / 8).await;
+                tokio::time::sleep(controller.store_retry_pause()).await;
             }
         }
     }
--- a/crates/tallygauge/src/leader/election.rs
+++ b/crates/tallygauge/src/leader/election.rs
@@ -11,10 +11,21 @@
 use tallygauge_protocol::state::{Condition, Transaction, Write};
 use tallygauge_store::{RequestPriority, TransactionOutcome, WatchOutcome};
 
+/// Timeout of a watch of the term, in lease times to live. A watch that is lost
+/// silently must not delay an election for long.
+const WATCH_TIMEOUT_TTLS: u32 = 2;
+
+/// Longest pause after a failed watch: the lease's time to live, divided by this.
+const WATCH_RETRY_DIVISOR: u32 = 4;
+
+/// Longest wait for a campaign's outcome: the lease's time to live, divided by this.
+const CAMPAIGN_TIMEOUT_DIVISOR: u32 = 2;
+
 /// Value of the leader key, which is removed with the lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct LeaderRecord {
-    node: String,
+    #[serde(rename = "node")]
+    controller: String,
     term: u64,
     lease: u64,
 }
@@ -23,7 +34,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct TermRecord {
     term: u64,
-    node: String,
+    #[serde(rename = "node")]
+    controller: String,
 }
 
 /// The current term, as read from the store.
@@ -44,7 +56,9 @@
 
     /// Name of the controller that holds the leader key.
     pub(super) fn leader_name(&self) -> Option<&str> {
-        self.leader.as_ref().map(|leader| leader.node.as_str())
+        self.leader
+            .as_ref()
+            .map(|leader| leader.controller.as_str())
     }
 }
 
@@ -78,15 +92,14 @@
 /// Waits until the leader or the term changes after `revision`.
 pub(super) async fn wait_for_term_change(controller: &Controller, revision: u64) {
     let ttl = controller.leader_lease_ttl();
-    // A watch that is lost silently must not delay an election for long.
-    let timeout = ttl * 2;
+    let timeout = ttl * WATCH_TIMEOUT_TTLS;
     match controller
         .store
         .watch(ELECTION_PREFIX, revision, timeout)
         .await
     {
         Ok(WatchOutcome::Events(_) | WatchOutcome::Compacted) => {}
-        Err(_) => tokio::time::sleep(controller.jitter(ttl / 4)).await,
+        Err(_) => tokio::time::sleep(controller.jitter(ttl / WATCH_RETRY_DIVISOR)).await,
     }
 }
 
@@ -100,13 +113,13 @@
     lease_requested_at: f64,
 ) -> Option<Leadership> {
     let leader = LeaderRecord {
-        node: controller.settings.node_name.clone(),
+        controller: controller.settings.node_name.clone(),
         term: observed.term + 1,
         lease,
     };
     let started_at = controller.now();
     let transaction = election_transaction(observed, &leader)?;
-    let patience = Some(controller.leader_lease_ttl() / 2);
+    let patience = Some(controller.leader_lease_ttl() / CAMPAIGN_TIMEOUT_DIVISOR);
     let result = controller
         .store
         .commit_with_retries(RequestPriority::Leadership, &transaction, patience)
@@ -138,7 +151,7 @@
 fn election_transaction(observed: &ObservedTerm, leader: &LeaderRecord) -> Option<Transaction> {
     let term = TermRecord {
         term: leader.term,
-        node: leader.node.clone(),
+        controller: leader.controller.clone(),
     };
     let leader_is_absent = Condition {
         key: LEADER_KEY.into(),
