--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -9,10 +9,12 @@
     operator_settings::OperatorSettings,
     peer_reachability::PeerReachability,
     pending_callers::PendingCallers,
+    process_clock::ProcessClock,
     process_load::ProcessLoad,
     relay::PeerRelay,
     scheduler_config::max_direct_messages,
     settings::Settings,
+    store_client::new_store_client,
     task_counts::TaskCounts,
     user_api::JobRefresh,
     version_checks::{VersionCheckQueue, VersionChecks},
@@ -27,13 +29,9 @@
     time::Duration,
 };
 use tallygauge_scheduler::ClusterState;
-use tallygauge_store::{RequestBudget, StoreClient, http::HttpClient};
+use tallygauge_store::{StoreClient, http::HttpClient};
 use tokio::{sync::Notify, time::Instant};
 
-/// Reading of the process's clock when it starts: above 0, so that times before
-/// the start can be expressed.
-const CLOCK_START_S: f64 = 1.0;
-
 /// Fraction of the time between a worker's lease expiry and the cancellation
 /// timeout for which an unconfirmed leader goes on answering workers.
 const FENCE_FRACTION: f64 = 0.85;
@@ -45,16 +43,9 @@
 /// is a margin for acting on it.
 const SAFE_LEASE_FRACTION: f64 = 0.9;
 
-/// Timeout of a request to the store, as a fraction of a worker's lease.
-const STORE_TIMEOUT_FRACTION: f64 = 1.0 / 12.0;
-
-/// Bounds of the timeout of a request to the store.
-const STORE_TIMEOUT_RANGE: (Duration, Duration) =
-    (Duration::from_millis(500), Duration::from_secs(2));
-
-/// Shortest time, as a fraction of a worker's lease, after which a request to the
-/// store is hedged, however fast the others were answered.
-const MIN_RETRY_TIMEOUT_FRACTION: f64 = 0.0025;
+/// Pause before a failed request to the store is repeated: the leader's lease,
+/// divided by this.
+const STORE_RETRY_DIVISOR: u32 = 8;
 
 /// Cached jobs for each megabyte of the process's memory: a job takes about a
 /// kilobyte at most, and the cache a tenth of the memory.
@@ -108,26 +99,11 @@
     pub pending_callers: PendingCallers,
     /// Decides when all active jobs are read into the cache.
     pub job_refresh: JobRefresh,
-    started_at: Instant,
-    wall_clock: Arc<dyn WallClock>,
+    clock: ProcessClock,
     jitter: Mutex<StdRng>,
     has_reached_store: AtomicBool,
 }
 
-/// The store's client, with this controller's share of the request limits.
-fn new_store_client(settings: &Settings, http: HttpClient) -> StoreClient {
-    let limits = &settings.deployment.store;
-    let lease_s = settings.deployment.workers.lease_s;
-    let share = 1.0 / f64::from(settings.deployment.count.max(1));
-    let budget = RequestBudget::new(limits.rps * share, limits.writes_per_s * share);
-    let (shortest, longest) = STORE_TIMEOUT_RANGE;
-    let timeout =
-        Duration::from_secs_f64(lease_s * STORE_TIMEOUT_FRACTION).clamp(shortest, longest);
-    let retry_timeout = Duration::from_secs_f64(lease_s * MIN_RETRY_TIMEOUT_FRACTION).min(timeout);
-    let address = settings.services.store.to_string();
-    StoreClient::new(http, &address, Arc::new(budget), retry_timeout, timeout)
-}
-
 impl Controller {
     /// A follower, and the queue of its version checks, to be served. `store_http` carries the
     /// requests to the store, `http` those to the cloud provider and the workers.
@@ -167,8 +143,7 @@
             relay: PeerRelay::default(),
             pending_callers: PendingCallers::default(),
             job_refresh: JobRefresh::default(),
-            started_at: Instant::now(),
-            wall_clock,
+            clock: ProcessClock::start(wall_clock),
             jitter: Mutex::new(StdRng::seed_from_u64(rand::random())),
             has_reached_store: AtomicBool::new(false),
         };
@@ -179,21 +154,20 @@
     /// before the process started can be expressed.
     #[must_use]
     pub fn now(&self) -> f64 {
-        self.instant_to_seconds(Instant::now())
+        self.clock.now()
     }
 
     /// What [`Self::now`] returned at an instant.
     #[must_use]
     pub fn instant_to_seconds(&self, instant: Instant) -> f64 {
-        let since_start = instant.saturating_duration_since(self.started_at);
-        since_start.as_secs_f64() + CLOCK_START_S
+        self.clock.seconds_at(instant)
     }
 
     /// Seconds since the Unix epoch by the wall clock: for display and deadlines,
     /// never for safety.
     #[must_use]
     pub fn time_of_day(&self) -> f64 {
-        self.wall_clock.since_epoch().as_secs_f64()
+        self.clock.time_of_day()
     }
 
     /// Seconds for which a leader goes on answering workers without its term being
@@ -212,6 +186,13 @@
         Duration::from_secs_f64(lease_s * LEADER_LEASE_FRACTION)
     }
 
+    /// Pause before a failed request to the store is repeated, where it has no
+    /// backoff of its own.
+    #[must_use]
+    pub fn store_retry_pause(&self) -> Duration {
+        self.leader_lease_ttl() / STORE_RETRY_DIVISOR
+    }
+
     /// Whether no other controller can be the leader now, since this one's lease has
     /// certainly not expired. To be called right before acting, with no await in
     /// between: a process may be suspended for seconds at any of them.
