--- a/crates/tallygauge-sim/examples/draw_days.rs
+++ b/crates/tallygauge-sim/examples/draw_days.rs
@@ -1,19 +1,34 @@
-//! Draws days for the operators' bench on which faults meet: clusters of a few
-//! faults within two seconds of each other. The seed fixes every day.
+//! Draws scenarios for the operators' bench in which faults coincide: clusters of a few
+//! faults within two seconds of each other. The seed determines every scenario.
 //!
 //! `cargo run --release -p tallygauge-sim --example draw_days -- --seed 1
 //! --count 20 --zone seoul-rack --class exam-rush --out days`
 
 use clap::Parser;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
-use std::{fmt::Write as _, path::PathBuf, process::ExitCode};
+use std::{fmt::Write as _, ops::Range, path::PathBuf, process::ExitCode};
 
 /// Seconds within which the faults of one cluster begin.
 const CLUSTER_S: f64 = 2.0;
 
-/// Seconds of the day before the first cluster.
+/// Seconds of the scenario before the first cluster.
 const QUIET_S: f64 = 50.0;
 
+/// Seconds that most faults last.
+const DURATION_S: Range<f64> = 8.0..65.0;
+
+/// Seconds that faults last which stop a controller or a machine.
+const SHORT_DURATION_S: Range<f64> = 4.0..30.0;
+
+/// What partitions do to connections, in the bench's words.
+const PARTITION_MODES: [&str; 2] = ["hold", "reset"];
+
+/// How the bench selects the leader.
+const LEADER: &str = "count = 1, busiest = true";
+
+/// Kinds of faults.
+const FAULT_KINDS: i32 = 24;
+
 #[derive(Parser)]
 #[command(about = "Draws days on which troubles meet, as TOML files")]
 struct Options {
@@ -44,55 +59,144 @@
     out: PathBuf,
 }
 
-/// One fault, as the bench's pages write it, without the time at which it begins.
-fn fault(random: &mut StdRng, zone: &str) -> String {
-    let spell = random.random_range(8.0..65.0);
-    let short = random.random_range(4.0..30.0);
-    let share = random.random_range(0.1..0.6);
-    let machines = random.random_range(4..150);
-    let modes = ["hold", "reset"];
-    let mode = modes[random.random_range(0..modes.len())];
-    let leader = "count = 1, busiest = true";
-    match random.random_range(0..24) {
-        0 => format!(r#"kind = "late_writes", share = {share:.2}, for_s = {spell:.1}"#),
+/// Parameters of a fault, drawn before its kind.
+struct FaultParameters<'a> {
+    /// How long most faults last, in seconds.
+    duration_s: f64,
+    /// How long faults last which stop a controller or a machine, in seconds.
+    short_duration_s: f64,
+    /// Share of the messages or machines that are struck.
+    share: f64,
+    /// Machines that are struck.
+    machines: i32,
+    /// What a partition does to connections.
+    mode: &'static str,
+    /// A zone that is struck.
+    zone: &'a str,
+}
+
+impl<'a> FaultParameters<'a> {
+    fn draw(random: &mut StdRng, zone: &'a str) -> Self {
+        Self {
+            duration_s: random.random_range(DURATION_S),
+            short_duration_s: random.random_range(SHORT_DURATION_S),
+            share: random.random_range(0.1..0.6),
+            machines: random.random_range(4..150),
+            mode: PARTITION_MODES[random.random_range(0..PARTITION_MODES.len())],
+            zone,
+        }
+    }
+}
+
+/// Draws a fault as the bench's TOML has it, without the time at which it begins.
+fn draw_fault(random: &mut StdRng, zone: &str) -> String {
+    let parameters = FaultParameters::draw(random, zone);
+    match random.random_range(0..FAULT_KINDS) {
+        kind @ 0..4 => message_fault(kind, &parameters),
+        kind @ 4..8 => machine_partition(kind, &parameters),
+        kind @ 8..11 => controller_partition(kind, &parameters),
+        kind @ 11..17 => request_fault(kind, &parameters, random),
+        kind => outage(kind, &parameters, random),
+    }
+}
+
+/// Writes or heartbeats that arrive late.
+fn message_fault(kind: i32, parameters: &FaultParameters) -> String {
+    let FaultParameters {
+        duration_s, share, ..
+    } = parameters;
+    match kind {
+        0 => format!(r#"kind = "late_writes", share = {share:.2}, for_s = {duration_s:.1}"#),
         1 => format!(
-            r#"kind = "late_writes", share = {share:.2}, at_once = true, for_s = {spell:.1}"#
+            r#"kind = "late_writes", share = {share:.2}, at_once = true, for_s = {duration_s:.1}"#
         ),
-        2 => format!(r#"kind = "late_reports", share = {share:.2}, for_s = {spell:.1}"#),
-        3 => format!(
-            r#"kind = "late_reports", share = {share:.2}, for_next = true, for_s = {spell:.1}"#
+        2 => format!(r#"kind = "late_reports", share = {share:.2}, for_s = {duration_s:.1}"#),
+        _ => format!(
+            r#"kind = "late_reports", share = {share:.2}, for_next = true, for_s = {duration_s:.1}"#
         ),
-        4 => format!(r#"kind = "machine_deaf", count = {machines}, for_s = {spell:.1}"#),
-        5 => format!(r#"kind = "machine_deaf", zone = "{zone}", for_s = {spell:.1}"#),
-        6 => format!(r#"kind = "machine_mute", share = {share:.2}, for_s = {spell:.1}"#),
-        7 => format!(r#"kind = "machine_mute", zone = "{zone}", for_s = {spell:.1}"#),
+    }
+}
+
+/// Machines that are partitioned in one direction.
+fn machine_partition(kind: i32, parameters: &FaultParameters) -> String {
+    let FaultParameters {
+        duration_s,
+        share,
+        machines,
+        zone,
+        ..
+    } = parameters;
+    match kind {
+        4 => format!(r#"kind = "machine_deaf", count = {machines}, for_s = {duration_s:.1}"#),
+        5 => format!(r#"kind = "machine_deaf", zone = "{zone}", for_s = {duration_s:.1}"#),
+        6 => format!(r#"kind = "machine_mute", share = {share:.2}, for_s = {duration_s:.1}"#),
+        _ => format!(r#"kind = "machine_mute", zone = "{zone}", for_s = {duration_s:.1}"#),
+    }
+}
+
+/// The leader is partitioned from the store, its peers or its workers.
+fn controller_partition(kind: i32, parameters: &FaultParameters) -> String {
+    let FaultParameters {
+        duration_s,
+        short_duration_s,
+        mode,
+        ..
+    } = parameters;
+    match kind {
         8 => format!(
-            r#"kind = "node_cut", {leader}, from_state = true, from_peers = true, for_s = {spell:.1}, mode = "{mode}""#
+            r#"kind = "node_cut", {LEADER}, from_state = true, from_peers = true, for_s = {duration_s:.1}, mode = "{mode}""#
         ),
         9 => format!(
-            r#"kind = "node_cut", {leader}, from_state = true, for_s = {short:.1}, mode = "refuse""#
+            r#"kind = "node_cut", {LEADER}, from_state = true, for_s = {short_duration_s:.1}, mode = "refuse""#
         ),
-        10 => format!(
-            r#"kind = "node_cut", {leader}, from_workers = true, for_s = {spell:.1}, mode = "{mode}""#
+        _ => format!(
+            r#"kind = "node_cut", {LEADER}, from_workers = true, for_s = {duration_s:.1}, mode = "{mode}""#
         ),
+    }
+}
+
+/// Cancellations, invalid requests, frequent polls and late direct commands.
+fn request_fault(kind: i32, parameters: &FaultParameters, random: &mut StdRng) -> String {
+    let FaultParameters {
+        duration_s, share, ..
+    } = parameters;
+    match kind {
         11 => format!(
             r#"kind = "cancel_now", count = {}"#,
             random.random_range(3..25)
         ),
         12 => format!(
-            r#"kind = "cancel_now", count = {}, hang_s = {spell:.1}"#,
+            r#"kind = "cancel_now", count = {}, hang_s = {duration_s:.1}"#,
             random.random_range(3..25)
         ),
-        13 => format!(r#"kind = "cancel_at_end", share = {share:.2}, for_s = {spell:.1}"#),
-        14 => format!(r#"kind = "odd_requests", for_s = {spell:.1}"#),
-        15 => format!(r#"kind = "close_looks", for_s = {spell:.1}"#),
-        16 => format!(r#"kind = "late_commands", share = {share:.2}, for_s = {spell:.1}"#),
-        17 => format!(r#"kind = "node_crash", {leader}"#),
+        13 => format!(r#"kind = "cancel_at_end", share = {share:.2}, for_s = {duration_s:.1}"#),
+        14 => format!(r#"kind = "odd_requests", for_s = {duration_s:.1}"#),
+        15 => format!(r#"kind = "close_looks", for_s = {duration_s:.1}"#),
+        _ => format!(r#"kind = "late_commands", share = {share:.2}, for_s = {duration_s:.1}"#),
+    }
+}
+
+/// Crashes, pauses and outages of controllers, store, zones and machines.
+fn outage(kind: i32, parameters: &FaultParameters, random: &mut StdRng) -> String {
+    let FaultParameters {
+        duration_s,
+        short_duration_s,
+        machines,
+        mode,
+        zone,
+        ..
+    } = parameters;
+    match kind {
+        17 => format!(r#"kind = "node_crash", {LEADER}"#),
         18 => r#"kind = "node_crash", count = 9, busiest = true"#.to_string(),
-        19 => format!(r#"kind = "node_freeze", {leader}, for_s = {short:.1}"#),
-        20 => format!(r#"kind = "state_outage", for_s = {spell:.1}"#),
-        21 => format!(r#"kind = "zone_cut", zone = "{zone}", for_s = {spell:.1}, mode = "{mode}""#),
-        22 => format!(r#"kind = "machine_hang", count = {machines}, for_s = {short:.1}"#),
+        19 => format!(r#"kind = "node_freeze", {LEADER}, for_s = {short_duration_s:.1}"#),
+        20 => format!(r#"kind = "state_outage", for_s = {duration_s:.1}"#),
+        21 => format!(
+            r#"kind = "zone_cut", zone = "{zone}", for_s = {duration_s:.1}, mode = "{mode}""#
+        ),
+        22 => {
+            format!(r#"kind = "machine_hang", count = {machines}, for_s = {short_duration_s:.1}"#)
+        }
         _ => format!(
             r#"kind = "node_roll", every_s = {:.1}"#,
             random.random_range(1.0..12.0)
@@ -100,8 +204,8 @@
     }
 }
 
-/// One day as a TOML file.
-fn day(options: &Options, seed: u64) -> String {
+/// Draws a scenario as a TOML file.
+fn draw_scenario(options: &Options, seed: u64) -> String {
     let mut random = StdRng::seed_from_u64(seed);
     let mut text = format!(
         "name = \"drawn-{seed}\"\nseed = {seed}\nduration_s = {:.1}\n",
@@ -118,11 +222,11 @@
     text.push_str("faults = [\n");
     let step = (options.duration - QUIET_S) / f64::from(options.clusters);
     for cluster in 0..options.clusters {
-        let begins = QUIET_S + step * (f64::from(cluster) + random.random_range(0.0..0.4));
+        let cluster_at = QUIET_S + step * (f64::from(cluster) + random.random_range(0.0..0.4));
         for _ in 0..random.random_range(1..=options.most) {
-            let at = begins + random.random_range(0.0..CLUSTER_S);
-            let fault = fault(&mut random, &options.zone);
-            let _ = writeln!(text, "  {{ at_s = {at:.2}, {fault} }},");
+            let fault_at = cluster_at + random.random_range(0.0..CLUSTER_S);
+            let fault = draw_fault(&mut random, &options.zone);
+            let _ = writeln!(text, "  {{ at_s = {fault_at:.2}, {fault} }},");
         }
     }
     text.push_str("]\n");
@@ -137,7 +241,7 @@
     }
     for seed in options.seed..options.seed + options.count {
         let path = options.out.join(format!("drawn-{seed}.toml"));
-        if let Err(error) = std::fs::write(&path, day(&options, seed)) {
+        if let Err(error) = std::fs::write(&path, draw_scenario(&options, seed)) {
             eprintln!("draw_days: {}: {error}", path.display());
             return ExitCode::from(2);
         }
--- /dev/null
+++ b/crates/tallygauge-sim/examples/load/main.rs
@@ -0,0 +1,269 @@
+//! Measures the processor time and memory of a controller: the real program over real HTTP,
+//! with stand-ins for store, cloud and workers.
+//!
+//!     cargo build --release
+//!     cargo run --release -p tallygauge-sim --example load -- --machines 600
+//!
+//! Phases: workers send their first heartbeats and tasks start on all machines; all of
+//! these complete and others start; a steady time in which heartbeats report no change; a
+//! restart of the process with all machines at work. Times are the process's own, as the
+//! kernel counts them.
+
+mod http;
+mod phase;
+mod program;
+mod worker;
+
+use clap::Parser;
+use http::{listen, serve};
+use phase::{Phase, RequestCounts, print_header};
+use program::{Program, ProgramConfig, Usage};
+use serde_json::{Value, json};
+use std::{
+    path::PathBuf,
+    sync::{Arc, atomic::Ordering::Relaxed},
+    time::Duration,
+};
+use tallygauge_sim::{CANCEL_TIMEOUT_S, LEASE_S, Simulation};
+use warp::http::Method;
+use worker::Worker;
+
+/// CPUs of a machine.
+const MACHINE_CPUS: f64 = 8.0;
+
+/// Name of the controller in its settings.
+const CONTROLLER: &str = "n0";
+
+/// Seconds that the tasks of the second job run: longer than the measurement.
+const ENDLESS_S: f64 = 1e6;
+
+/// How long the program is given to start its servers.
+const STARTUP: Duration = Duration::from_secs(1);
+
+/// Time between two checks of a condition, and how often it is checked at most.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_CHECKS: u32 = 3000;
+
+/// Measures a controller under the load of stand-in workers.
+#[derive(Debug, Parser)]
+struct Arguments {
+    /// Machines, of eight CPUs each.
+    #[arg(long, default_value_t = 600)]
+    machines: u32,
+    /// Tasks on each: together they fill it.
+    #[arg(long, default_value_t = 4)]
+    tasks: u32,
+    /// Report interval, seconds.
+    #[arg(long, default_value_t = 2.5)]
+    report: f64,
+    /// Length of the steady phase, seconds.
+    #[arg(long, default_value_t = 20.0)]
+    steady: f64,
+    /// The program.
+    #[arg(long, default_value = "target/release/tallygauge")]
+    program: PathBuf,
+}
+
+impl Arguments {
+    /// Tasks that fill all machines.
+    fn total_tasks(&self) -> u32 {
+        self.machines * self.tasks
+    }
+
+    /// CPUs of all machines.
+    fn total_cpus(&self) -> f64 {
+        f64::from(self.machines) * MACHINE_CPUS
+    }
+
+    /// CPUs of a task.
+    fn task_cpus(&self) -> f64 {
+        MACHINE_CPUS / f64::from(self.tasks)
+    }
+
+    /// Time in which every worker sends a few heartbeats.
+    fn settling_time(&self) -> Duration {
+        Duration::from_secs_f64(self.report * 3.0)
+    }
+}
+
+/// Addresses of stand-ins and program.
+struct Addresses {
+    store: String,
+    cloud: String,
+    users: String,
+    peers: String,
+}
+
+/// What all phases work with.
+struct Measurement {
+    arguments: Arguments,
+    simulation: Arc<Simulation>,
+    counts: Arc<RequestCounts>,
+    /// URL of the program's user API.
+    base_url: String,
+}
+
+#[tokio::main]
+async fn main() {
+    let arguments = Arguments::parse();
+    program::kill_on_panic();
+    let counts = Arc::new(RequestCounts::default());
+    let simulation = simulation_with_machines(&arguments);
+    let addresses = Addresses {
+        store: serve_store(&simulation, &counts).await,
+        cloud: serve_cloud(&simulation, &counts).await,
+        users: listen().await.1,
+        peers: listen().await.1,
+    };
+    let config = ProgramConfig::write(&arguments.program, &settings(&arguments, &addresses));
+    let measurement = Measurement {
+        arguments,
+        simulation,
+        counts,
+        base_url: format!("http://{}", addresses.users),
+    };
+    measurement.start_workers();
+    measurement.run_phases(&config).await;
+    let state = measurement.simulation.state.lock().unwrap();
+    assert!(state.violations.is_empty(), "{:?}", state.violations);
+}
+
+/// A simulation with booted machines and a team that may use all of them.
+fn simulation_with_machines(arguments: &Arguments) -> Arc<Simulation> {
+    let simulation = Simulation::new();
+    let mut state = simulation.state.lock().unwrap();
+    state.team_cpus = arguments.total_cpus();
+    state.add_booted_machines(arguments.machines);
+    drop(state);
+    simulation
+}
+
+/// Serves the store's stand-in over HTTP. Returns its address.
+async fn serve_store(simulation: &Arc<Simulation>, counts: &Arc<RequestCounts>) -> String {
+    let (listener, address) = listen().await;
+    let (simulation, counts) = (simulation.clone(), counts.clone());
+    serve(listener, move |method, path, body| {
+        let simulation = simulation.clone();
+        counts.store.fetch_add(1, Relaxed);
+        async move {
+            simulation
+                .handle_store_request(CONTROLLER, &method, &path, &body)
+                .await
+        }
+    });
+    address
+}
+
+/// Serves the cloud's stand-in over HTTP. Returns its address.
+async fn serve_cloud(simulation: &Arc<Simulation>, counts: &Arc<RequestCounts>) -> String {
+    let (listener, address) = listen().await;
+    let (simulation, counts) = (simulation.clone(), counts.clone());
+    serve(listener, move |method, path, body| {
+        counts.cloud.fetch_add(1, Relaxed);
+        let path = path.split('?').next().unwrap_or_default();
+        let response = Ok(simulation.handle_cloud_request(&method, path, &body));
+        async move { response }
+    });
+    address
+}
+
+/// The program's settings, as its settings file has them.
+fn settings(arguments: &Arguments, addresses: &Addresses) -> Value {
+    let cpus = arguments.total_cpus();
+    json!({
+        "node_name": CONTROLLER, "area": "a",
+        "client_listen": addresses.users, "back": addresses.peers, "seeds": [],
+        "services": {"cloud": addresses.cloud, "state": addresses.store},
+        "deployment": {
+            "count": 1, "zones": ["a"],
+            "teams": [{"name": "t", "cpus": cpus, "cpus_max": cpus}],
+            "workers": {"report_s": arguments.report, "lease_s": LEASE_S, "cancel_s": CANCEL_TIMEOUT_S},
+            "state": {"rps": 400.0, "write_rps": 200.0, "value_kb": 8.0, "txn_ops": 16},
+            "cloud": {"rps": 8.0, "list_lag_s": 1.0},
+            "quota": {"cores": 0.5, "memory_mb": 100.0, "sockets": arguments.machines * 3}
+        }
+    })
+}
+
+impl Measurement {
+    /// Starts the agents of all workers, and advances their machines.
+    fn start_workers(&self) {
+        let names = self.simulation.state.lock().unwrap().worker_names();
+        for name in names {
+            let worker = Worker {
+                simulation: self.simulation.clone(),
+                counts: self.counts.clone(),
+                name,
+                url: format!("{}/checkin", self.base_url),
+                heartbeat_interval_s: self.arguments.report,
+            };
+            tokio::spawn(worker.run());
+        }
+        tokio::spawn(advance_machines(self.simulation.clone()));
+    }
+
+    /// Runs all phases and prints a row of a table for each.
+    async fn run_phases(&self, config: &ProgramConfig) {
+        let (all, task_cpus) = (self.arguments.total_tasks(), self.arguments.task_cpus());
+        let settling_time = self.arguments.settling_time();
+        print_header();
+
+        // Idle machines would be returned: there is work from the first moment.
+        let phase = Phase::start(Usage::default(), &self.counts);
+        let program = Program::start(config);
+        tokio::time::sleep(STARTUP).await;
+        let run_s = settling_time.as_secs_f64() * 2.0;
+        self.submit(1, all, task_cpus, run_s).await;
+        self.wait_for_starts("all started", all).await;
+        let name = format!("start, machines are met, {all} tasks start");
+        phase.print(&name, &program, &self.counts);
+
+        let phase = Phase::start(program.usage(), &self.counts);
+        self.submit(2, all, task_cpus, ENDLESS_S).await;
+        self.wait_for_starts("all replaced", all * 2).await;
+        tokio::time::sleep(settling_time).await;
+        phase.print(&format!("{all} end, {all} start"), &program, &self.counts);
+
+        let phase = Phase::start(program.usage(), &self.counts);
+        tokio::time::sleep(Duration::from_secs_f64(self.arguments.steady)).await;
+        phase.print("steady", &program, &self.counts);
+
+        drop(program);
+        let phase = Phase::start(Usage::default(), &self.counts);
+        let program = Program::start(config);
+        tokio::time::sleep(settling_time).await;
+        phase.print("restart, machines are met", &program, &self.counts);
+    }
+
+    /// Submits a job to the program, which must accept it.
+    async fn submit(&self, number: u32, tasks: u32, cpus: f64, run_s: f64) {
+        let (_, body) = self.simulation.job(number, tasks, cpus, run_s);
+        let body: Value = serde_json::from_slice(&body).expect("a job");
+        let url = format!("{}/work", self.base_url);
+        let timeout = Duration::from_secs(5);
+        let client = http::client();
+        let response = client.call(Method::POST, &url, Some(&body), timeout).await;
+        let accepted = response.is_ok_and(|(status, _)| status.as_u16() == 201);
+        assert!(accepted, "a job was not accepted");
+    }
+
+    /// Waits until so many tasks have started; panics with `what` after a minute.
+    async fn wait_for_starts(&self, what: &str, tasks: u32) {
+        for _ in 0..MAX_CHECKS {
+            if self.simulation.state.lock().unwrap().starts.len() >= tasks as usize {
+                return;
+            }
+            tokio::time::sleep(CHECK_INTERVAL).await;
+        }
+        panic!("{what} did not come about");
+    }
+}
+
+/// Advances machines and their tasks for ever.
+async fn advance_machines(simulation: Arc<Simulation>) {
+    loop {
+        let now = simulation.now();
+        simulation.state.lock().unwrap().advance(now);
+        tokio::time::sleep(Duration::from_millis(50)).await;
+    }
+}
--- a/crates/tallygauge-sim/src/lib.rs
+++ b/crates/tallygauge-sim/src/lib.rs
@@ -15,6 +15,7 @@
 mod cloud;
 mod command_execution;
 mod exchanges;
+mod fault_settings;
 mod faults;
 mod history;
 mod logging;
@@ -27,7 +28,7 @@
 mod users;
 mod worker_agent;
 
-pub use faults::{DelayedWrite, FaultPoint, FaultSettings, RandomDelay};
+pub use fault_settings::{DelayedWrite, FaultPoint, FaultSettings, RandomDelay};
 pub use history::History;
 pub use logging::show_log;
 pub use state::{SimState, TaskStart};
--- a/crates/tallygauge-sim/src/state.rs
+++ b/crates/tallygauge-sim/src/state.rs
@@ -1,7 +1,9 @@
 //! The state that all stand-ins share: machines, jobs, faults in force and what the
 //! checkers have recorded.
 
-use crate::{TEAM_CPUS, faults::FaultSettings, machines::SimWorker, store::Store, users::JobShape};
+use crate::{
+    TEAM_CPUS, fault_settings::FaultSettings, machines::SimWorker, store::Store, users::JobShape,
+};
 use rand::{SeedableRng, rngs::StdRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
