--- a/crates/tallygauge-sim/src/fault_settings.rs
+++ b/crates/tallygauge-sim/src/fault_settings.rs
@@ -20,6 +20,24 @@
 }
 
 impl FaultPoint {
+    /// Just before a controller sends a request.
+    pub fn before_request(controller: &str, request: &'static str) -> Self {
+        Self {
+            controller: controller.to_string(),
+            request,
+            after_response: false,
+        }
+    }
+
+    /// At the next wait after a controller has read the response to a request.
+    pub fn after_response(controller: &str, request: &'static str) -> Self {
+        Self {
+            controller: controller.to_string(),
+            request,
+            after_response: true,
+        }
+    }
+
     /// Whether a request of a controller is at this point.
     pub(crate) fn matches(&self, controller: &str, request: &str, after_response: bool) -> bool {
         self.controller == controller
--- a/crates/tallygauge-sim/src/users.rs
+++ b/crates/tallygauge-sim/src/users.rs
@@ -117,6 +117,32 @@
     assert!(accepted, "not accepted");
 }
 
+/// Submits a job of team `t` to a controller until it is accepted. Returns its id.
+pub async fn submit_job(
+    simulation: &Simulation,
+    controller: &Arc<Controller>,
+    number: u32,
+    tasks: u32,
+    cpus: f64,
+    run_s: f64,
+) -> String {
+    let (id, body) = simulation.job(number, tasks, cpus, run_s);
+    submit_until_accepted(controller, &body).await;
+    id
+}
+
+/// Submits a job of any shape to a controller until it is accepted. Returns its id.
+pub async fn submit_job_with_shape(
+    simulation: &Simulation,
+    controller: &Arc<Controller>,
+    number: u32,
+    shape: JobShape,
+) -> String {
+    let (id, body) = simulation.job_with_shape(number, shape);
+    submit_until_accepted(controller, &body).await;
+    id
+}
+
 /// Cancels a job through a controller until that confirms it; panics after `within_s`
 /// seconds.
 pub async fn cancel_until_confirmed(
--- a/crates/tallygauge-sim/tests/batch_deadlines.rs
+++ b/crates/tallygauge-sim/tests/batch_deadlines.rs
@@ -10,7 +10,7 @@
 use tallygauge_scheduler::CutoffStatus;
 use tallygauge_sim::{
     HEARTBEAT_INTERVAL_S, Simulation, count_starts, eventually, is_active_leader, query_status,
-    sleep_s, submit_until_accepted,
+    sleep_s, submit_job,
 };
 use tallygauge_store::RequestPriority;
 
@@ -71,8 +71,15 @@
     );
     let mut ids = Vec::new();
     for n in 1..=3 {
-        let (id, body) = simulation.job(n, 1, 8.0, if n == 1 { 3.0 } else { 900.0 });
-        submit_until_accepted(&controller_a, &body).await;
+        let id = submit_job(
+            &simulation,
+            &controller_a,
+            n,
+            1,
+            8.0,
+            if n == 1 { 3.0 } else { 900.0 },
+        )
+        .await;
         ids.push(id);
     }
     assert!(
@@ -164,8 +171,7 @@
         eventually(20.0, async || rank(&controller_c) == Some((1, 5))).await,
         "declared anew"
     );
-    let (id, body) = simulation.job(1, 2, 4.0, 3.0);
-    submit_until_accepted(&controller_c, &body).await;
+    let id = submit_job(&simulation, &controller_c, 1, 2, 4.0, 3.0).await;
     assert!(
         eventually(60.0, async || query_status(&controller_c, &id).await
             == Some(JobStatus::Done))
@@ -215,8 +221,7 @@
     let (controller_a, task_a) = simulation.start_controller_with("n-a", tuning.clone());
     let (controller_b, _task_b) = simulation.start_controller_with("n-b", tuning);
     let first = leader(&[&controller_a, &controller_b]).await;
-    let (id, body) = simulation.job(1, 2, 8.0, 3.0);
-    submit_until_accepted(&first, &body).await;
+    let id = submit_job(&simulation, &first, 1, 2, 8.0, 3.0).await;
     assert!(
         eventually(60.0, async || query_status(&first, &id).await
             == Some(JobStatus::Done))
--- a/crates/tallygauge-sim/tests/concurrent_faults.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults.rs
@@ -7,7 +7,7 @@
 use tallygauge_sim::{
     CANCEL_TIMEOUT_S, DelayedWrite, FaultPoint, HEARTBEAT_INTERVAL_S, LEASE_S, RandomDelay,
     RelayTo, Simulation, cancel_until_confirmed, count_starts, eventually, is_active_leader,
-    query_status, sleep_s, start_with_leader, submit_until_accepted, wait_until_done,
+    query_status, sleep_s, start_with_leader, submit_job, wait_until_done,
 };
 use warp::http::Method;
 
@@ -20,8 +20,15 @@
 ) {
     let (simulation, controller_a, task_a) = start_with_leader().await;
     let controller_b = simulation.start_controller("n-b");
-    let (id, body) = simulation.job(1, 2, 8.0, CANCEL_TIMEOUT_S * 5.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(
+        &simulation,
+        &controller_a,
+        1,
+        2,
+        8.0,
+        CANCEL_TIMEOUT_S * 5.0,
+    )
+    .await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
     sleep_s(3.0).await;
     (simulation, [(controller_a, task_a), controller_b], id)
@@ -98,11 +105,8 @@
         cancel_until_confirmed(&simulation, &controller_b, &id, 5.0).await;
         sleep_s(LEASE_S * slow).await;
         // The last of the lists from which a new leader recovers.
-        simulation.state.lock().unwrap().faults.store_down_at = Some(FaultPoint {
-            controller: "n-b".into(),
-            request: "GET /store?starts=p/",
-            after_response: false,
-        });
+        simulation.state.lock().unwrap().faults.store_down_at =
+            Some(FaultPoint::before_request("n-b", "GET /store?starts=p/"));
         simulation.crash_controller("n-a", &task_a);
         assert!(
             eventually(10.0, async || simulation
@@ -134,8 +138,7 @@
 #[tokio::test(start_paused = true)]
 async fn rapid_failovers_reuse_no_term_attempt_batch_or_booking() {
     let (simulation, controller_a, mut task) = start_with_leader().await;
-    let (id, body) = simulation.job(1, 12, 4.0, 6.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 12, 4.0, 6.0).await;
     let mut last = controller_a;
     for turn in 0..8u64 {
         tokio::time::sleep(Duration::from_millis(600 + 300 * turn)).await;
@@ -161,8 +164,7 @@
         simulation.state.lock().unwrap().faults.late_writes = 0.5;
         let mut ids = Vec::new();
         for n in 1..=5 {
-            let (id, body) = simulation.job(n, 4, 2.0, 3.0);
-            submit_until_accepted(&controller_a, &body).await;
+            let id = submit_job(&simulation, &controller_a, n, 4, 2.0, 3.0).await;
             ids.push(id);
         }
         cancel_until_confirmed(&simulation, &controller_b, &ids[4], 60.0).await;
@@ -189,8 +191,7 @@
 async fn late_completion_page_reverts_no_completions() {
     let (simulation, controller_a, task_a) = start_with_leader().await;
     // The team's quota allows two tasks at a time.
-    let (id, body) = simulation.job(1, 5, 8.0, 12.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 5, 8.0, 12.0).await;
     simulation.state.lock().unwrap().faults.delay_next_write = Some(DelayedWrite {
         key_prefix: "f/",
         delay_s: 18.0,
@@ -261,17 +262,22 @@
     for seed in 0..24u64 {
         let (simulation, controller_a, _task_a) = start_with_leader().await;
         simulation.seed(seed);
-        let (first, body) = simulation.job(1, 4, 4.0, 2.0 + seed as f64 / 4.0);
-        submit_until_accepted(&controller_a, &body).await;
+        let first = submit_job(
+            &simulation,
+            &controller_a,
+            1,
+            4,
+            4.0,
+            2.0 + seed as f64 / 4.0,
+        )
+        .await;
         assert!(eventually(30.0, async || !simulation.booted_machines().is_empty()).await);
         simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay {
             probability: 0.7,
             max_delay_s: LEASE_S * 0.8,
         };
-        let (second, body) = simulation.job(2, 6, 2.0, 3.0);
-        submit_until_accepted(&controller_a, &body).await;
-        let (third, body) = simulation.job(3, 2, 8.0, 60.0);
-        submit_until_accepted(&controller_a, &body).await;
+        let second = submit_job(&simulation, &controller_a, 2, 6, 2.0, 3.0).await;
+        let third = submit_job(&simulation, &controller_a, 3, 2, 8.0, 60.0).await;
         tokio::time::sleep(Duration::from_millis(700 + 211 * seed)).await;
         let machine = simulation.booted_machines()
             [seed as usize % simulation.booted_machines().len()]
@@ -301,8 +307,7 @@
     for after_s in [4.0, 14.0, 17.0, 27.0] {
         let (simulation, controller_a, task_a) = start_with_leader().await;
         // The team's quota allows two tasks at a time.
-        let (id, body) = simulation.job(1, 3, 8.0, 12.0);
-        submit_until_accepted(&controller_a, &body).await;
+        let id = submit_job(&simulation, &controller_a, 1, 3, 8.0, 12.0).await;
         assert!(eventually(30.0, async || count_starts(&simulation) == 2).await);
         sleep_s(after_s).await;
         simulation.crash_controller("n-a", &task_a);
@@ -326,8 +331,7 @@
 #[tokio::test(start_paused = true)]
 async fn leader_crash_before_completions_are_stored_reruns_no_task() {
     let (simulation, controller_a, task_a) = start_with_leader().await;
-    let (id, body) = simulation.job(1, 3, 8.0, 12.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 3, 8.0, 12.0).await;
     simulation.state.lock().unwrap().faults.delay_next_write = Some(DelayedWrite {
         key_prefix: "f/",
         delay_s: 300.0,
--- a/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
@@ -6,7 +6,8 @@
 use tallygauge_sim::{
     CANCEL_TIMEOUT_S, FaultPoint, HEARTBEAT_INTERVAL_S, JobShape, LEASE_S, RandomDelay, Simulation,
     cancel_until_confirmed, count_starts, eventually, is_active_leader, query_status, reply_status,
-    sleep_s, start_with_leader, submit_until_accepted, wait_until_done,
+    sleep_s, start_with_leader, submit_job, submit_job_with_shape, submit_until_accepted,
+    wait_until_done,
 };
 use tokio::task::JoinHandle;
 
@@ -34,8 +35,7 @@
             team,
             ..JobShape::default()
         };
-        let (id, body) = simulation.job_with_shape(number, shape);
-        submit_until_accepted(controller, &body).await;
+        let id = submit_job_with_shape(simulation, controller, number, shape).await;
         ids.push(id);
     }
     let full = eventually(90.0, async || {
@@ -94,8 +94,15 @@
         let (controller_c, _task_c) = simulation.start_controller("n-c");
         let mut ids = Vec::new();
         for n in 1..=6 {
-            let (id, body) = simulation.job(n, 2, 1.0, CANCEL_TIMEOUT_S * 3.0);
-            submit_until_accepted(&controller_a, &body).await;
+            let id = submit_job(
+                &simulation,
+                &controller_a,
+                n,
+                2,
+                1.0,
+                CANCEL_TIMEOUT_S * 3.0,
+            )
+            .await;
             ids.push(id);
         }
         assert!(eventually(60.0, async || count_starts(&simulation) == 12).await);
@@ -123,8 +130,7 @@
     for moment in ["before the term", "before the state is read", "after"] {
         let (simulation, controller_a, task) = start_with_leader().await;
         simulation.state.lock().unwrap().faults.capture_heartbeats = true;
-        let (id, body) = simulation.job(1, 4, 4.0, LEASE_S * 4.0);
-        submit_until_accepted(&controller_a, &body).await;
+        let id = submit_job(&simulation, &controller_a, 1, 4, 4.0, LEASE_S * 4.0).await;
         assert!(eventually(60.0, async || simulation.running_task_count(&id) == 4).await);
         // The lease of one worker expires, and its task is started again.
         let machine = simulation.state.lock().unwrap().starts[0].worker.clone();
@@ -140,11 +146,8 @@
         let (controller_b, _task_b) = simulation.start_controller("n-b");
         sleep_s(1.0).await;
         if moment == "before the state is read" {
-            simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
-                controller: "n-b".into(),
-                request: "GET /store?starts=p/",
-                after_response: false,
-            });
+            simulation.state.lock().unwrap().faults.pause_at =
+                Some(FaultPoint::before_request("n-b", "GET /store?starts=p/"));
         }
         crash(&simulation, (controller_a, task));
         match moment {
@@ -172,14 +175,12 @@
 async fn heartbeat_delayed_past_recovery_reruns_no_task() {
     for wait_s in [0.5, 3.0, LEASE_S, LEASE_S * 2.0] {
         let (simulation, controller_a, task) = start_with_leader().await;
-        let (first, body) = simulation.job(1, 2, 8.0, 5.0);
-        submit_until_accepted(&controller_a, &body).await;
+        let first = submit_job(&simulation, &controller_a, 1, 2, 8.0, 5.0).await;
         assert!(eventually(60.0, async || simulation.running_task_count(&first) == 2).await);
         simulation.state.lock().unwrap().faults.capture_heartbeats = true;
         sleep_s(HEARTBEAT_INTERVAL_S * 3.0).await;
         simulation.state.lock().unwrap().faults.capture_heartbeats = false;
-        let (second, body) = simulation.job(2, 2, 8.0, LEASE_S * 3.0);
-        submit_until_accepted(&controller_a, &body).await;
+        let second = submit_job(&simulation, &controller_a, 2, 2, 8.0, LEASE_S * 3.0).await;
         crash(&simulation, (controller_a, task));
         let (controller_b, _task_b) = simulation.start_controller("n-b");
         wait_until_leader(&controller_b).await;
@@ -200,17 +201,14 @@
         let (simulation, controller_a, task) = start_with_leader().await;
         simulation.seed(seed);
         let (controller_b, _task_b) = simulation.start_controller("n-b");
-        let (first, body) = simulation.job(1, 4, 2.0, 12.0);
-        submit_until_accepted(&controller_a, &body).await;
+        let first = submit_job(&simulation, &controller_a, 1, 4, 2.0, 12.0).await;
         assert!(eventually(60.0, async || !simulation.booted_machines().is_empty()).await);
         simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay {
             probability: 0.8,
             max_delay_s: LEASE_S * 1.4,
         };
-        let (second, body) = simulation.job(2, 4, 2.0, 20.0);
-        submit_until_accepted(&controller_a, &body).await;
-        let (third, body) = simulation.job(3, 2, 2.0, 60.0);
-        submit_until_accepted(&controller_a, &body).await;
+        let second = submit_job(&simulation, &controller_a, 2, 4, 2.0, 20.0).await;
+        let third = submit_job(&simulation, &controller_a, 3, 2, 2.0, 60.0).await;
         sleep_s(0.4 + 0.3 * seed as f64).await;
         let stands = seed % 2 == 0;
         if stands {
@@ -255,8 +253,7 @@
             }
         };
         unreachable(true);
-        let (third, body) = simulation.job(3, 4, 4.0, 5.0);
-        submit_until_accepted(&controller_b, &body).await;
+        let third = submit_job(&simulation, &controller_b, 3, 4, 4.0, 5.0).await;
         if early {
             crash(&simulation, (controller_a, task));
             cancel_until_confirmed(&simulation, &controller_b, &ids[0], 20.0).await;
@@ -387,15 +384,11 @@
 async fn placement_write_from_previous_term_is_rejected() {
     let (simulation, controller_a, _task_a) = start_with_leader().await;
     let (controller_b, _task_b) = simulation.start_controller("n-b");
-    let (first, body) = simulation.job(1, 1, 1.0, 2.0);
-    submit_until_accepted(&controller_b, &body).await;
+    let first = submit_job(&simulation, &controller_b, 1, 1, 1.0, 2.0).await;
     assert!(wait_until_done(&controller_b, &first).await);
     let (second, body) = simulation.job(2, 2, 4.0, 5.0);
-    simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
-        controller: "n-a".into(),
-        request: "POST /multi",
-        after_response: false,
-    });
+    simulation.state.lock().unwrap().faults.pause_at =
+        Some(FaultPoint::before_request("n-a", "POST /multi"));
     submit_until_accepted(&controller_b, &body).await;
     assert!(eventually(LEASE_S, async || simulation.is_paused("n-a")).await);
     wait_until_leader(&controller_b).await;
--- a/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
@@ -2,8 +2,8 @@
 
 use tallygauge_sim::{
     CANCEL_TIMEOUT_S, HEARTBEAT_INTERVAL_S, JobShape, LEASE_S, cancel_until_confirmed,
-    count_starts, eventually, is_active_leader, sleep_s, start_with_leader, submit_until_accepted,
-    wait_until_done,
+    count_starts, eventually, is_active_leader, sleep_s, start_with_leader, submit_job,
+    submit_job_with_shape, submit_until_accepted, wait_until_done,
 };
 
 // A single lost response used to keep the leader from placing anything. An in-doubt
@@ -11,17 +11,14 @@
 #[tokio::test(start_paused = true)]
 async fn in_doubt_batch_blocks_no_other_batch() {
     let (simulation, controller_a, _task_a) = start_with_leader().await;
-    let (first, body) = simulation.job(1, 2, 2.0, 5.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let first = submit_job(&simulation, &controller_a, 1, 2, 2.0, 5.0).await;
     assert!(wait_until_done(&controller_a, &first).await);
     // Neither copy of the next round's batch write is executed.
     simulation.state.lock().unwrap().faults.hang_writes = Some("p/1-2");
-    let (second, body) = simulation.job(2, 2, 4.0, 5.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let second = submit_job(&simulation, &controller_a, 2, 2, 4.0, 5.0).await;
     let in_doubt = eventually(LEASE_S, async || controller_a.store.in_doubt_writes().0 > 0);
     assert!(in_doubt.await);
-    let (third, body) = simulation.job(3, 2, 2.0, 5.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let third = submit_job(&simulation, &controller_a, 3, 2, 2.0, 5.0).await;
     let before = simulation.now();
     assert!(wait_until_done(&controller_a, &third).await);
     assert!(
@@ -47,8 +44,7 @@
         simulation.state.lock().unwrap().faults.lost_responses = 0.4;
         let mut ids = Vec::new();
         for n in 1..=20 {
-            let (id, body) = simulation.job(n, 2, 2.0, 2.0);
-            submit_until_accepted(&controller_b, &body).await;
+            let id = submit_job(&simulation, &controller_b, n, 2, 2.0, 2.0).await;
             ids.push(id);
             sleep_s(0.5).await;
         }
@@ -81,10 +77,8 @@
     ] {
         let (simulation, controller_a, task) = start_with_leader().await;
         let (controller_b, _task_b) = simulation.start_controller("n-b");
-        let (first, body) = simulation.job(1, 2, 4.0, LEASE_S * 5.0);
-        submit_until_accepted(&controller_a, &body).await;
-        let (second, body) = simulation.job(2, 2, 4.0, LEASE_S * 9.0);
-        submit_until_accepted(&controller_a, &body).await;
+        let first = submit_job(&simulation, &controller_a, 1, 2, 4.0, LEASE_S * 5.0).await;
+        let second = submit_job(&simulation, &controller_a, 2, 2, 4.0, LEASE_S * 9.0).await;
         assert!(eventually(60.0, async || count_starts(&simulation) == 4).await);
         let machines = simulation.booted_machines();
         machines
@@ -135,8 +129,7 @@
                 one_zone,
                 ..JobShape::default()
             };
-            let (id, body) = simulation.job_with_shape(number, shape);
-            submit_until_accepted(&controller_a, &body).await;
+            let id = submit_job_with_shape(&simulation, &controller_a, number, shape).await;
             ids.push(id);
         }
         assert!(eventually(90.0, async || count_starts(&simulation) >= 8).await);
@@ -215,8 +208,7 @@
         }
         let mut ids = Vec::new();
         for n in 1..=6 {
-            let (id, body) = simulation.job(n, 3, 2.0, 4.0 + f64::from(n));
-            submit_until_accepted(&controller_b, &body).await;
+            let id = submit_job(&simulation, &controller_b, n, 3, 2.0, 4.0 + f64::from(n)).await;
             ids.push(id);
         }
         sleep_s(0.3 * seed as f64).await;
--- a/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
@@ -8,8 +8,8 @@
 use tallygauge_protocol::users::JobStatus;
 use tallygauge_sim::{
     CANCEL_TIMEOUT_S, FaultPoint, History, JobShape, RelayTo, Simulation, cancel_until_confirmed,
-    eventually, query_status, reply_status, sleep_s, start_with_leader, submit_until_accepted,
-    wait_until_done,
+    eventually, query_status, reply_status, sleep_s, start_with_leader, submit_job,
+    submit_job_with_shape, submit_until_accepted, wait_until_done,
 };
 use tokio::task::JoinHandle;
 use warp::http::Method;
@@ -84,8 +84,7 @@
         ..JobShape::default()
     };
     // Beforehand a machine has booted, and every controller has a job in its cache.
-    let (first, body) = simulation.job_with_shape(1, shape);
-    submit_until_accepted(&controllers[0], &body).await;
+    let first = submit_job_with_shape(&simulation, &controllers[0], 1, shape).await;
     assert!(wait_until_done(&controllers[0], &first).await);
     simulation.state.lock().unwrap().faults.lost_responses = lost_responses;
     let job = simulation.job_with_shape(2, shape);
@@ -221,8 +220,7 @@
     let jobs: u32 = 600;
     let mut cancelled = Vec::new();
     for n in 1..=jobs {
-        let (id, body) = simulation.job(n, 1, 1.0, 2.0);
-        submit_until_accepted(&controllers[n as usize % 3], &body).await;
+        let id = submit_job(&simulation, &controllers[n as usize % 3], n, 1, 1.0, 2.0).await;
         if n % 4 == 0 {
             let controller = controllers[(n as usize + 1) % 3].clone();
             let simulation = simulation.clone();
@@ -324,11 +322,8 @@
     let history = Arc::new(Mutex::new(History::default()));
     // The job is cached, so that the next read of its record is the cancellation's.
     assert!(query_status(&controllers[1], &job.0).await.is_some());
-    simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
-        controller: "n-b".into(),
-        request: "GET /store/o/",
-        after_response: true,
-    });
+    simulation.state.lock().unwrap().faults.pause_at =
+        Some(FaultPoint::after_response("n-b", "GET /store/o/"));
     let (controller, id) = (controllers[1].clone(), job.0.clone());
     let cancels = simulation.run_on(
         "n-b",
--- a/crates/tallygauge-sim/tests/failover.rs
+++ b/crates/tallygauge-sim/tests/failover.rs
@@ -11,15 +11,14 @@
 use tallygauge_scheduler::GroupKind;
 use tallygauge_sim::{
     HEARTBEAT_INTERVAL_S, LEASE_S, Simulation, count_starts, eventually, is_active_leader,
-    query_status, sleep_s, start_with_leader, submit_until_accepted,
+    query_status, sleep_s, start_with_leader, submit_job,
 };
 use tallygauge_store::{RequestPriority, TransactionOutcome};
 
 #[tokio::test(start_paused = true)]
 async fn failover_does_not_restart_task_of_silent_worker_before_its_lease_expires() {
     let (simulation, controller_a, task) = start_with_leader().await;
-    let (id, body) = simulation.job(1, 1, 8.0, 200.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 1, 8.0, 200.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) > 0).await);
     sleep_s(2.0).await;
     let worker = simulation.state.lock().unwrap().starts[0].worker.clone();
@@ -54,8 +53,7 @@
 #[tokio::test(start_paused = true)]
 async fn deposed_leader_can_neither_write_nor_command_workers() {
     let (simulation, controller_a, _task_a) = start_with_leader().await;
-    let (_, body) = simulation.job(1, 2, 8.0, 60.0);
-    submit_until_accepted(&controller_a, &body).await;
+    submit_job(&simulation, &controller_a, 1, 2, 8.0, 60.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
     let deposed_term = controller_a
         .lock(&controller_a.leadership)
@@ -93,8 +91,7 @@
 async fn leader_unreachable_by_workers_yields_leadership_before_their_leases_expire() {
     let (simulation, controller_a, _task_a) = start_with_leader().await;
     let (controller_b, _task_b) = simulation.start_controller("n-b");
-    let (_, body) = simulation.job(1, 2, 8.0, 60.0);
-    submit_until_accepted(&controller_a, &body).await;
+    submit_job(&simulation, &controller_a, 1, 2, 8.0, 60.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
     assert!(!lacks_heartbeats(&controller_a));
     // Its workers are partitioned from it; the store is not.
@@ -115,8 +112,7 @@
 #[tokio::test(start_paused = true)]
 async fn leader_without_confirmed_term_stops_answering_heartbeats() {
     let (simulation, controller_a, _task_a) = start_with_leader().await;
-    let (_, body) = simulation.job(1, 1, 8.0, 500.0);
-    submit_until_accepted(&controller_a, &body).await;
+    submit_job(&simulation, &controller_a, 1, 1, 8.0, 500.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) > 0).await);
     simulation.set_store_partitioned("n-a", true);
     let cut_at = controller_a.now();
@@ -144,8 +140,7 @@
     let simulation = Simulation::new();
     tokio::spawn(simulation.clone().run_workers());
     let (mut leader, mut task) = simulation.start_controller("n-0");
-    let (id, body) = simulation.job(1, 24, 4.0, 7.0);
-    submit_until_accepted(&leader, &body).await;
+    let id = submit_job(&simulation, &leader, 1, 24, 4.0, 7.0).await;
     for turn in 1..4 {
         sleep_s(9.0).await;
         simulation.state.lock().unwrap().faults.lose_next_responses = 1;
@@ -195,8 +190,7 @@
     };
     let (simulation, controller_a, task) = start_with_leader().await;
     for n in 1..=2 {
-        let (id, body) = simulation.job(n, 2, 2.0, 3.0);
-        submit_until_accepted(&controller_a, &body).await;
+        let id = submit_job(&simulation, &controller_a, n, 2, 2.0, 3.0).await;
         assert!(
             eventually(60.0, async || query_status(&controller_a, &id).await
                 == Some(JobStatus::Done))
@@ -230,8 +224,7 @@
         .unwrap();
     let (controller_c, _task) = simulation.start_controller("n-c");
     assert!(eventually(30.0, async || is_active_leader(&controller_c)).await);
-    let (id, body) = simulation.job(3, 2, 2.0, 3.0);
-    submit_until_accepted(&controller_c, &body).await;
+    let id = submit_job(&simulation, &controller_c, 3, 2, 2.0, 3.0).await;
     assert!(
         eventually(60.0, async || query_status(&controller_c, &id).await
             == Some(JobStatus::Done))
--- a/crates/tallygauge-sim/tests/message_faults.rs
+++ b/crates/tallygauge-sim/tests/message_faults.rs
@@ -7,14 +7,13 @@
 use tallygauge_sim::{
     CANCEL_TIMEOUT_S, HEARTBEAT_INTERVAL_S, LEASE_S, RandomDelay, RelayTo, Simulation,
     count_starts, eventually, is_active_leader, query_status, reply_status, sleep_s,
-    start_with_leader, submit_until_accepted,
+    start_with_leader, submit_job, submit_until_accepted,
 };
 
 #[tokio::test(start_paused = true)]
 async fn unreachable_machine_loses_its_tasks_and_gets_no_new_ones() {
     let (simulation, controller_a, _task) = start_with_leader().await;
-    let (id, body) = simulation.job(1, 2, 8.0, 20.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 2, 8.0, 20.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
     let inbound_blocked = simulation.state.lock().unwrap().starts[0].worker.clone();
     simulation.set_inbound_blocked(&inbound_blocked, true);
@@ -46,8 +45,7 @@
 #[tokio::test(start_paused = true)]
 async fn cancelled_task_on_unreachable_machine_stops_within_the_timeout() {
     let (simulation, controller_a, _task) = start_with_leader().await;
-    let (id, body) = simulation.job(1, 1, 8.0, 200.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 1, 8.0, 200.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 1).await);
     sleep_s(3.0).await;
     let worker = simulation.state.lock().unwrap().starts[0].worker.clone();
@@ -64,8 +62,7 @@
 #[tokio::test(start_paused = true)]
 async fn restarted_agent_reruns_its_tasks_within_three_leases() {
     let (simulation, controller_a, _task) = start_with_leader().await;
-    let (id, body) = simulation.job(1, 2, 8.0, 8.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 2, 8.0, 8.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
     sleep_s(4.0).await;
     for worker in simulation.booted_machines() {
@@ -99,8 +96,7 @@
         let (controller_b, _other) = simulation.start_controller("n-b");
         let mut jobs = Vec::new();
         for n in 1..=6 {
-            let (id, body) = simulation.job(n, 3, 4.0, 4.0);
-            submit_until_accepted(&controller_a, &body).await;
+            let id = submit_job(&simulation, &controller_a, n, 3, 4.0, 4.0).await;
             jobs.push(id);
             sleep_s(4.0).await;
         }
@@ -127,8 +123,7 @@
 async fn isolated_controller_loses_users_and_workers_without_lease_expiry() {
     let (simulation, controller_a, _task_a) = start_with_leader().await;
     let (controller_b, _task_b) = simulation.start_controller("n-b");
-    let (id, body) = simulation.job(1, 2, 8.0, 90.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 2, 8.0, 90.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
     // The settings of the simulation name no peers: with one it would be isolated.
     assert!(!controller_a.is_isolated());
@@ -174,8 +169,7 @@
         let simulation = Simulation::new();
         tokio::spawn(simulation.clone().run_workers());
         let (mut controller, mut task) = simulation.start_controller("n-a");
-        let (id, body) = simulation.job(1, 12, 4.0, 3.0);
-        submit_until_accepted(&controller, &body).await;
+        let id = submit_job(&simulation, &controller, 1, 12, 4.0, 3.0).await;
         for turn in 0..5u64 {
             tokio::time::sleep(Duration::from_millis(700 * (turn + 1))).await;
             simulation.crash_controller("n-a", &task);
@@ -198,8 +192,7 @@
     let (simulation, controller_a, _task) = start_with_leader().await;
     let mut ids = Vec::new();
     for n in 1..=300 {
-        let (id, body) = simulation.job(n, 1, 8.0, 900.0);
-        submit_until_accepted(&controller_a, &body).await;
+        let id = submit_job(&simulation, &controller_a, n, 1, 8.0, 900.0).await;
         ids.push(id);
     }
     let (controller_b, _task_b) = simulation.start_controller("n-b");
@@ -235,11 +228,9 @@
 #[tokio::test(start_paused = true)]
 async fn reconciliation_restores_job_missing_from_cluster_state() {
     let (simulation, controller_a, _task) = start_with_leader().await;
-    let (id, body) = simulation.job(1, 2, 4.0, 40.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 2, 4.0, 40.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
-    let (lost, body) = simulation.job(2, 2, 4.0, 3.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let lost = submit_job(&simulation, &controller_a, 2, 2, 4.0, 3.0).await;
     assert!(
         eventually(10.0, async || controller_a
             .with_cluster(|cluster| cluster.jobs.contains_key(&lost))
@@ -247,8 +238,7 @@
         .await
     );
     // A later change is applied first, so that the job watch does not restore the job.
-    let (_, third) = simulation.job(3, 1, 1.0, 1.0);
-    submit_until_accepted(&controller_a, &third).await;
+    submit_job(&simulation, &controller_a, 3, 1, 1.0, 1.0).await;
     sleep_s(2.0).await;
     controller_a.with_cluster(|cluster| cluster.jobs.retain(|id, _| *id != lost));
     assert_eq!(
@@ -277,8 +267,7 @@
     *controller_b.lock(&controller_b.relay) =
         Some(std::sync::Arc::new(RelayTo(controller_a.clone())));
     simulation.set_store_partitioned("n-b", true);
-    let (id, body) = simulation.job(1, 1, 1.0, 3.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 1, 1.0, 3.0).await;
     sleep_s(5.0).await;
     *controller_b.lock(&controller_b.peer_reached_at) = controller_b.now();
     assert!(!controller_b.is_isolated());
--- a/crates/tallygauge-sim/tests/process_pauses.rs
+++ b/crates/tallygauge-sim/tests/process_pauses.rs
@@ -9,7 +9,7 @@
 use tallygauge_protocol::users::JobStatus;
 use tallygauge_sim::{
     CANCEL_TIMEOUT_S, FaultPoint, RelayTo, Simulation, count_starts, eventually, query_status,
-    reply_status, sleep_s, start_with_leader, submit_until_accepted,
+    reply_status, sleep_s, start_with_leader, submit_job, submit_until_accepted,
 };
 use warp::http::Method;
 
@@ -46,8 +46,7 @@
     // After the pause all machines seem long idle to it, though its successor may use
     // them: it used to return machines on which its successor's tasks ran.
     let (simulation, controller_a, _task_a) = start_with_leader().await;
-    let (_, body) = simulation.job(1, 2, 8.0, 5.0);
-    submit_until_accepted(&controller_a, &body).await;
+    submit_job(&simulation, &controller_a, 1, 2, 8.0, 5.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
     assert!(
         eventually(60.0, async || controller_a
@@ -57,8 +56,7 @@
     );
     simulation.pause("n-a");
     let (controller_b, _task_b) = simulation.start_controller("n-b");
-    let (other, body) = simulation.job(2, 2, 8.0, 60.0);
-    submit_until_accepted(&controller_b, &body).await;
+    let other = submit_job(&simulation, &controller_b, 2, 2, 8.0, 60.0).await;
     assert!(eventually(20.0, async || count_starts(&simulation) == 4).await);
     sleep_s(10.0).await;
     // Neither workers nor the store tell it of the new term.
@@ -79,8 +77,7 @@
     // When it resumed, the response to its job watch was waiting with a cancellation:
     // it used to send stops at once with the fencing token of a past term.
     let (simulation, controller_a, _task_a) = start_with_leader().await;
-    let (id, body) = simulation.job(1, 2, 8.0, 90.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 2, 8.0, 90.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
     let (controller_b, _task_b) = simulation.start_controller("n-b");
     simulation.state.lock().unwrap().faults.hang_job_watches = true;
@@ -91,17 +88,12 @@
     {
         let mut state = simulation.state.lock().unwrap();
         state.faults.hang_job_watches = false;
-        state.faults.pause_at = Some(FaultPoint {
-            controller: "n-a".into(),
-            request: "GET /changes?starts=o/",
-            after_response: true,
-        });
+        state.faults.pause_at = Some(FaultPoint::after_response("n-a", "GET /changes?starts=o/"));
     }
     assert!(eventually(5.0, async || simulation.is_paused("n-a")).await);
     let paused_at = simulation.now();
     // Its successor uses the same machines.
-    let (_, body) = simulation.job(2, 2, 8.0, 60.0);
-    submit_until_accepted(&controller_b, &body).await;
+    submit_job(&simulation, &controller_b, 2, 2, 8.0, 60.0).await;
     assert!(eventually(8.0, async || count_starts(&simulation) == 4).await);
     // Past the fence, though the leases of its workers have not expired yet.
     let rest = controller_a.fence_s() + 0.5 - (simulation.now() - paused_at);
@@ -123,13 +115,9 @@
     // cancelled the job through another, and then read that it was pending.
     let (simulation, controller_a, _task_a) = start_with_leader().await;
     let (controller_b, _task_b) = simulation.start_controller("n-b");
-    let (id, body) = simulation.job(1, 1, 8.0, 90.0);
-    submit_until_accepted(&controller_b, &body).await;
-    simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
-        controller: "n-b".into(),
-        request: "POST /multi",
-        after_response: true,
-    });
+    let id = submit_job(&simulation, &controller_b, 1, 1, 8.0, 90.0).await;
+    simulation.state.lock().unwrap().faults.pause_at =
+        Some(FaultPoint::after_response("n-b", "POST /multi"));
     let (sim, controller, job) = (simulation.clone(), controller_b.clone(), id.clone());
     let poll = tokio::spawn(async move {
         let poll = async { reply_status(&user_api::job_status(&controller, &job).await) };
@@ -216,10 +204,8 @@
     );
     let (simulation, controller_a, _task_a) = start_with_leader().await;
     let (controller_b, _task_b) = simulation.start_controller("n-b");
-    let (first, body) = simulation.job(1, 5, 4.0, 12.0);
-    submit_until_accepted(&controller_a, &body).await;
-    let (second, body) = simulation.job(2, 3, 4.0, 30.0);
-    submit_until_accepted(&controller_b, &body).await;
+    let first = submit_job(&simulation, &controller_a, 1, 5, 4.0, 12.0).await;
+    let second = submit_job(&simulation, &controller_b, 2, 3, 4.0, 30.0).await;
     assert!(
         eventually(60.0, async || count_starts(&simulation) >= 4).await,
         "{what}"
@@ -309,11 +295,7 @@
         }
     }
     for (both, down) in [(true, false), (false, true), (true, true)] {
-        let at = FaultPoint {
-            controller: "n-a".into(),
-            request: "POST /multi",
-            after_response: true,
-        };
+        let at = FaultPoint::after_response("n-a", "POST /multi");
         pause_controller_at(at, 16.0, both, down).await;
     }
 }
--- a/crates/tallygauge-sim/tests/user_requests.rs
+++ b/crates/tallygauge-sim/tests/user_requests.rs
@@ -9,7 +9,7 @@
 use tallygauge_protocol::users::JobStatus;
 use tallygauge_sim::{
     HEARTBEAT_INTERVAL_S, LEASE_S, RelayTo, Simulation, count_starts, eventually, is_active_leader,
-    query_status, reply_status, sleep_s, start_with_leader, submit_until_accepted,
+    query_status, reply_status, sleep_s, start_with_leader, submit_job, submit_until_accepted,
 };
 use warp::http::Method;
 
@@ -64,8 +64,7 @@
         tokio::spawn(simulation.clone().run_workers());
         let (controller_a, _task_a) = simulation.start_controller("n-a");
         let (controller_b, _task_b) = simulation.start_controller("n-b");
-        let (id, body) = simulation.job(1, 1, 1.0, 5.0);
-        submit_until_accepted(&controller_a, &body).await;
+        let id = submit_job(&simulation, &controller_a, 1, 1, 1.0, 5.0).await;
         assert!(eventually(60.0, async || count_starts(&simulation) > 0).await);
         tokio::time::sleep(Duration::from_millis(4700 + u64::from(offset) * 120)).await;
         let mut told = None;
@@ -92,8 +91,7 @@
     tokio::spawn(simulation.clone().run_workers());
     let (controller_a, _task_a) = simulation.start_controller("n-a");
     let (controller_b, _task_b) = simulation.start_controller("n-b");
-    let (id, body) = simulation.job(1, 8, 4.0, 30.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 8, 4.0, 30.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 4).await);
     assert_eq!(
         reply_status(&user_api::cancel(&controller_b, &id).await),
@@ -101,8 +99,7 @@
     );
     let before = count_starts(&simulation);
     // Capacity is released only when the stops are confirmed.
-    let (other, next) = simulation.job(2, 4, 4.0, 3.0);
-    submit_until_accepted(&controller_b, &next).await;
+    let other = submit_job(&simulation, &controller_b, 2, 4, 4.0, 3.0).await;
     assert!(
         eventually(30.0, async || query_status(&controller_a, &other).await
             == Some(JobStatus::Done))
@@ -121,8 +118,7 @@
 async fn leader_unaware_of_cancellation_starts_no_tasks_of_the_job() {
     let (simulation, controller_a, _task_a) = start_with_leader().await;
     let (controller_b, _task_b) = simulation.start_controller("n-b");
-    let (id, body) = simulation.job(1, 8, 4.0, 3.0);
-    submit_until_accepted(&controller_b, &body).await;
+    let id = submit_job(&simulation, &controller_b, 1, 8, 4.0, 3.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 4).await);
     simulation.state.lock().unwrap().faults.hang_job_watches = true;
     sleep_s(1.0).await;
@@ -153,8 +149,7 @@
     let simulation = Simulation::new();
     tokio::spawn(simulation.clone().run_workers());
     let (controller_a, _task_a) = simulation.start_controller("n-a");
-    let (id, body) = simulation.job(1, 8, 4.0, 6.0);
-    submit_until_accepted(&controller_a, &body).await;
+    let id = submit_job(&simulation, &controller_a, 1, 8, 4.0, 6.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) > 0).await);
     // From here on every transaction is committed, and no response is complete.
     simulation.state.lock().unwrap().faults.truncate_responses = true;
