--- a/crates/tallygauge-sim/src/faults.rs
+++ b/crates/tallygauge-sim/src/faults.rs
@@ -1,7 +1,7 @@
 //! Fault injection: operations that make controllers, machines and their messages fail.
 
 use crate::{
-    FaultPoint, Simulation,
+    FaultPoint, FaultSettings, Simulation,
     machines::{SimWorker, job_of_task},
     state::DelayedMessage,
 };
@@ -20,6 +20,11 @@
 
 /// Faults of controllers.
 impl Simulation {
+    /// Changes the faults in force.
+    pub fn set_faults(&self, change: impl FnOnce(&mut FaultSettings)) {
+        change(&mut self.state.lock().unwrap().faults);
+    }
+
     /// Runs a future on a controller: it is not polled while the controller is paused,
     /// though simulated time goes on.
     pub fn run_on<F: Future>(
--- a/crates/tallygauge-sim/tests/batch_deadlines.rs
+++ b/crates/tallygauge-sim/tests/batch_deadlines.rs
@@ -138,7 +138,7 @@
     let simulation = Simulation::new();
     tokio::spawn(simulation.clone().run_workers());
     // Later, the next leader finds records that can't be parsed.
-    simulation.state.lock().unwrap().faults.lose_next_responses = 0;
+    simulation.set_faults(|faults| faults.lose_next_responses = 0);
     let (controller_a, task_a) = simulation.start_controller_with("n-a", settings(5, 50));
     assert!(eventually(30.0, async || is_active_leader(&controller_a)).await);
     assert!(eventually(10.0, async || rank(&controller_a) == Some((1, 5))).await);
--- a/crates/tallygauge-sim/tests/concurrent_faults.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults.rs
@@ -101,12 +101,13 @@
     for slow in [0.1, 0.2, 0.3, 0.4, 0.5] {
         let (simulation, [(_controller_a, task_a), (controller_b, _task_b)], id) =
             two_long_tasks().await;
-        simulation.state.lock().unwrap().faults.hang_job_watches = true;
+        simulation.set_faults(|faults| faults.hang_job_watches = true);
         cancel_until_confirmed(&simulation, &controller_b, &id, 5.0).await;
         sleep_s(LEASE_S * slow).await;
         // The last of the lists from which a new leader recovers.
-        simulation.state.lock().unwrap().faults.store_down_at =
-            Some(FaultPoint::before_request("n-b", "GET /store?starts=p/"));
+        simulation.set_faults(|faults| {
+            faults.store_down_at = Some(FaultPoint::before_request("n-b", "GET /store?starts=p/"))
+        });
         simulation.crash_controller("n-a", &task_a);
         assert!(
             eventually(10.0, async || simulation
@@ -121,7 +122,7 @@
             !is_active_leader(&controller_b),
             "the cluster state is not recovered"
         );
-        simulation.state.lock().unwrap().faults.hang_job_watches = false;
+        simulation.set_faults(|faults| faults.hang_job_watches = false);
         sleep_s(CANCEL_TIMEOUT_S * 1.5).await;
         simulation.set_store_down(false);
         assert!(eventually(30.0, async || is_active_leader(&controller_b)).await);
@@ -161,18 +162,17 @@
         let (simulation, controller_a, task_a) = start_with_leader().await;
         simulation.seed(seed);
         let (controller_b, _task_b) = simulation.start_controller("n-b");
-        simulation.state.lock().unwrap().faults.late_writes = 0.5;
+        simulation.set_faults(|faults| faults.late_writes = 0.5);
         let mut ids = Vec::new();
         for n in 1..=5 {
-            let id = submit_job(&simulation, &controller_a, n, 4, 2.0, 3.0).await;
-            ids.push(id);
+            ids.push(submit_job(&simulation, &controller_a, n, 4, 2.0, 3.0).await);
         }
         cancel_until_confirmed(&simulation, &controller_b, &ids[4], 60.0).await;
         tokio::time::sleep(Duration::from_secs(seed)).await;
         simulation.crash_controller("n-a", &task_a);
         let (controller_c, _task_c) = simulation.start_controller("n-c");
         sleep_s(8.0).await;
-        simulation.state.lock().unwrap().faults.late_writes = 0.0;
+        simulation.set_faults(|faults| faults.late_writes = 0.0);
         for id in &ids[..4] {
             assert!(wait_until_done(&controller_c, id).await, "{seed}: {id}");
         }
@@ -192,9 +192,11 @@
     let (simulation, controller_a, task_a) = start_with_leader().await;
     // The team's quota allows two tasks at a time.
     let id = submit_job(&simulation, &controller_a, 1, 5, 8.0, 12.0).await;
-    simulation.state.lock().unwrap().faults.delay_next_write = Some(DelayedWrite {
-        key_prefix: "f/",
-        delay_s: 18.0,
+    simulation.set_faults(|faults| {
+        faults.delay_next_write = Some(DelayedWrite {
+            key_prefix: "f/",
+            delay_s: 18.0,
+        })
     });
     let is_delayed = eventually(60.0, async || {
         simulation
@@ -272,10 +274,12 @@
         )
         .await;
         assert!(eventually(30.0, async || !simulation.booted_machines().is_empty()).await);
-        simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay {
-            probability: 0.7,
-            max_delay_s: LEASE_S * 0.8,
-        };
+        simulation.set_faults(|faults| {
+            faults.delayed_commands = RandomDelay {
+                probability: 0.7,
+                max_delay_s: LEASE_S * 0.8,
+            }
+        });
         let second = submit_job(&simulation, &controller_a, 2, 6, 2.0, 3.0).await;
         let third = submit_job(&simulation, &controller_a, 3, 2, 8.0, 60.0).await;
         tokio::time::sleep(Duration::from_millis(700 + 211 * seed)).await;
@@ -293,7 +297,7 @@
             cancel_until_confirmed(&simulation, &controller_a, &third, 5.0).await;
         }
         sleep_s(CANCEL_TIMEOUT_S).await;
-        simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay::NONE;
+        simulation.set_faults(|faults| faults.delayed_commands = RandomDelay::NONE);
         for id in [&first, &second] {
             assert!(wait_until_done(&controller_a, id).await, "{seed}");
         }
@@ -332,9 +336,11 @@
 async fn leader_crash_before_completions_are_stored_reruns_no_task() {
     let (simulation, controller_a, task_a) = start_with_leader().await;
     let id = submit_job(&simulation, &controller_a, 1, 3, 8.0, 12.0).await;
-    simulation.state.lock().unwrap().faults.delay_next_write = Some(DelayedWrite {
-        key_prefix: "f/",
-        delay_s: 300.0,
+    simulation.set_faults(|faults| {
+        faults.delay_next_write = Some(DelayedWrite {
+            key_prefix: "f/",
+            delay_s: 300.0,
+        })
     });
     let known = eventually(60.0, async || {
         controller_a
@@ -367,7 +373,7 @@
     });
     assert!(!was_answered.await);
     simulation.assert_invariants();
-    simulation.state.lock().unwrap().faults.partitioned.clear();
+    simulation.set_faults(|faults| faults.partitioned.clear());
     for controller in [&controller_a, &controller_b] {
         let confirmed = eventually(LEASE_S, async || {
             let status = query_status(controller, &id).await;
--- a/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
@@ -35,8 +35,7 @@
             team,
             ..JobShape::default()
         };
-        let id = submit_job_with_shape(simulation, controller, number, shape).await;
-        ids.push(id);
+        ids.push(submit_job_with_shape(simulation, controller, number, shape).await);
     }
     let full = eventually(90.0, async || {
         ids.iter().all(|id| simulation.running_task_count(id) == 4)
@@ -55,13 +54,9 @@
         let mut last: RunningController = (controller_a, task);
         let mut ids = Vec::new();
         for turn in 0..10u32 {
-            let JobRequest { id, body } =
-                simulation.job(turn + 1, 3, 4.0, 6.0 + f64::from(turn) * 4.0);
-            let accepted = tokio::time::timeout(
-                Duration::from_secs(4),
-                submit_until_accepted(&last.0, &body),
-            );
-            if accepted.await.is_ok() {
+            let run_s = 6.0 + f64::from(turn) * 4.0;
+            let submission = submit_job(&simulation, &last.0, turn + 1, 3, 4.0, run_s);
+            if let Ok(id) = tokio::time::timeout(Duration::from_secs(4), submission).await {
                 ids.push(id);
             }
             let down = turn % 4 == 2;
@@ -130,7 +125,7 @@
 async fn replayed_heartbeats_during_election_break_no_invariant() {
     for moment in ["before the term", "before the state is read", "after"] {
         let (simulation, controller_a, task) = start_with_leader().await;
-        simulation.state.lock().unwrap().faults.capture_heartbeats = true;
+        simulation.set_faults(|faults| faults.capture_heartbeats = true);
         let id = submit_job(&simulation, &controller_a, 1, 4, 4.0, LEASE_S * 4.0).await;
         assert!(eventually(60.0, async || simulation.running_task_count(&id) == 4).await);
         // The lease of one worker expires, and its task is started again.
@@ -143,12 +138,13 @@
                 == 4)
             .await
         );
-        simulation.state.lock().unwrap().faults.capture_heartbeats = false;
+        simulation.set_faults(|faults| faults.capture_heartbeats = false);
         let (controller_b, _task_b) = simulation.start_controller("n-b");
         sleep_s(1.0).await;
         if moment == "before the state is read" {
-            simulation.state.lock().unwrap().faults.pause_at =
-                Some(FaultPoint::before_request("n-b", "GET /store?starts=p/"));
+            simulation.set_faults(|faults| {
+                faults.pause_at = Some(FaultPoint::before_request("n-b", "GET /store?starts=p/"))
+            });
         }
         crash(&simulation, (controller_a, task));
         match moment {
@@ -178,9 +174,9 @@
         let (simulation, controller_a, task) = start_with_leader().await;
         let first = submit_job(&simulation, &controller_a, 1, 2, 8.0, 5.0).await;
         assert!(eventually(60.0, async || simulation.running_task_count(&first) == 2).await);
-        simulation.state.lock().unwrap().faults.capture_heartbeats = true;
+        simulation.set_faults(|faults| faults.capture_heartbeats = true);
         sleep_s(HEARTBEAT_INTERVAL_S * 3.0).await;
-        simulation.state.lock().unwrap().faults.capture_heartbeats = false;
+        simulation.set_faults(|faults| faults.capture_heartbeats = false);
         let second = submit_job(&simulation, &controller_a, 2, 2, 8.0, LEASE_S * 3.0).await;
         crash(&simulation, (controller_a, task));
         let (controller_b, _task_b) = simulation.start_controller("n-b");
@@ -204,10 +200,12 @@
         let (controller_b, _task_b) = simulation.start_controller("n-b");
         let first = submit_job(&simulation, &controller_a, 1, 4, 2.0, 12.0).await;
         assert!(eventually(60.0, async || !simulation.booted_machines().is_empty()).await);
-        simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay {
-            probability: 0.8,
-            max_delay_s: LEASE_S * 1.4,
-        };
+        simulation.set_faults(|faults| {
+            faults.delayed_commands = RandomDelay {
+                probability: 0.8,
+                max_delay_s: LEASE_S * 1.4,
+            }
+        });
         let second = submit_job(&simulation, &controller_a, 2, 4, 2.0, 20.0).await;
         let third = submit_job(&simulation, &controller_a, 3, 2, 2.0, 60.0).await;
         sleep_s(0.4 + 0.3 * seed as f64).await;
@@ -224,7 +222,7 @@
             simulation.resume("n-a");
         }
         sleep_s(CANCEL_TIMEOUT_S + 1.0).await;
-        simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay::NONE;
+        simulation.set_faults(|faults| faults.delayed_commands = RandomDelay::NONE);
         assert_eq!(simulation.running_task_count(&third), 0);
         for id in [&first, &second] {
             assert!(wait_until_done(&controller_b, id).await, "{seed}");
@@ -314,33 +312,31 @@
 // started elsewhere before that.
 #[tokio::test(start_paused = true)]
 async fn zone_partition_with_leader_past_worker_lease_runs_no_task_twice() {
-    for cut_s in [LEASE_S * 1.5, LEASE_S * 4.0] {
+    for partition_s in [LEASE_S * 1.5, LEASE_S * 4.0] {
         let (simulation, controller_a, _task_a) = start_with_leader().await;
         let (controller_b, _task_b) = simulation.start_controller("n-b");
         let ids = fill_team_quotas(&simulation, &controller_a).await;
         let machines = simulation.booted_machines();
-        {
-            let mut state = simulation.state.lock().unwrap();
-            state.faults.partitioned.insert("n-a".into());
-            for (n, machine) in machines.iter().enumerate() {
+        simulation.set_faults(|faults| {
+            faults.partitioned.insert("n-a".into());
+            for (n, machine) in machines.into_iter().enumerate() {
                 let controller = if n % 2 == 0 { "n-a" } else { "n-b" };
-                state
-                    .faults
-                    .exclusive_links
-                    .insert(machine.clone(), controller.into());
+                faults.exclusive_links.insert(machine, controller.into());
             }
-        }
+        });
         wait_until_leader(&controller_b).await;
         cancel_until_confirmed(&simulation, &controller_b, &ids[0], 10.0).await;
-        sleep_s(cut_s).await;
-        {
-            let mut state = simulation.state.lock().unwrap();
-            state.faults.partitioned.clear();
-            state.faults.exclusive_links.clear();
-        }
+        sleep_s(partition_s).await;
+        simulation.set_faults(|faults| {
+            faults.partitioned.clear();
+            faults.exclusive_links.clear();
+        });
         sleep_s(CANCEL_TIMEOUT_S).await;
         assert_eq!(simulation.running_task_count(&ids[0]), 0);
-        assert!(wait_until_done(&controller_b, &ids[1]).await, "{cut_s}");
+        assert!(
+            wait_until_done(&controller_b, &ids[1]).await,
+            "{partition_s}"
+        );
         simulation.assert_invariants();
     }
 }
@@ -353,7 +349,7 @@
         let (simulation, controller_a, _task_a) = start_with_leader().await;
         let (controller_b, _task_b) = simulation.start_controller("n-b");
         let ids = fill_team_quotas(&simulation, &controller_a).await;
-        simulation.state.lock().unwrap().faults.link_delay_s = link_delay_s;
+        simulation.set_faults(|faults| faults.link_delay_s = link_delay_s);
         sleep_s(LEASE_S * 0.5).await;
         simulation.set_store_refuses("n-a", true);
         cancel_until_confirmed(&simulation, &controller_b, &ids[0], 20.0).await;
@@ -371,7 +367,7 @@
         assert_eq!(simulation.running_task_count(&ids[0]), 0);
         simulation.set_store_down(false);
         simulation.set_store_refuses("n-a", false);
-        simulation.state.lock().unwrap().faults.link_delay_s = 0.003;
+        simulation.set_faults(|faults| faults.link_delay_s = 0.003);
         cancel_until_confirmed(&simulation, &controller_a, &ids[1], 30.0).await;
         sleep_s(CANCEL_TIMEOUT_S + 1.0).await;
         assert_eq!(simulation.running_task_count(&ids[1]), 0);
@@ -388,8 +384,9 @@
     let first = submit_job(&simulation, &controller_b, 1, 1, 1.0, 2.0).await;
     assert!(wait_until_done(&controller_b, &first).await);
     let JobRequest { id: second, body } = simulation.job(2, 2, 4.0, 5.0);
-    simulation.state.lock().unwrap().faults.pause_at =
-        Some(FaultPoint::before_request("n-a", "POST /multi"));
+    simulation.set_faults(|faults| {
+        faults.pause_at = Some(FaultPoint::before_request("n-a", "POST /multi"))
+    });
     submit_until_accepted(&controller_b, &body).await;
     assert!(eventually(LEASE_S, async || simulation.is_paused("n-a")).await);
     wait_until_leader(&controller_b).await;
--- a/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
@@ -14,7 +14,7 @@
     let first = submit_job(&simulation, &controller_a, 1, 2, 2.0, 5.0).await;
     assert!(wait_until_done(&controller_a, &first).await);
     // Neither copy of the next round's batch write is executed.
-    simulation.state.lock().unwrap().faults.hang_writes = Some("p/1-2");
+    simulation.set_faults(|faults| faults.hang_writes = Some("p/1-2"));
     let second = submit_job(&simulation, &controller_a, 2, 2, 4.0, 5.0).await;
     let in_doubt = eventually(LEASE_S, async || controller_a.store.in_doubt_writes().0 > 0);
     assert!(in_doubt.await);
@@ -28,7 +28,7 @@
     assert_eq!(simulation.running_task_count(&second), 0);
     let (count, since) = controller_a.store.in_doubt_writes();
     assert!(count == 1 && since.as_secs_f64() > 5.0, "{count} {since:?}");
-    simulation.state.lock().unwrap().faults.hang_writes = None;
+    simulation.set_faults(|faults| faults.hang_writes = None);
     assert!(wait_until_done(&controller_a, &second).await);
     assert_eq!(count_starts(&simulation), 6, "nothing is placed twice");
     simulation.assert_invariants();
@@ -41,11 +41,10 @@
         let (simulation, _a, task) = start_with_leader().await;
         simulation.seed(seed);
         let (controller_b, _task_b) = simulation.start_controller("n-b");
-        simulation.state.lock().unwrap().faults.lost_responses = 0.4;
+        simulation.set_faults(|faults| faults.lost_responses = 0.4);
         let mut ids = Vec::new();
         for n in 1..=20 {
-            let id = submit_job(&simulation, &controller_b, n, 2, 2.0, 2.0).await;
-            ids.push(id);
+            ids.push(submit_job(&simulation, &controller_b, n, 2, 2.0, 2.0).await);
             sleep_s(0.5).await;
         }
         simulation.crash_controller("n-a", &task);
@@ -129,8 +128,7 @@
                 one_zone,
                 ..JobShape::default()
             };
-            let id = submit_job_with_shape(&simulation, &controller_a, number, shape).await;
-            ids.push(id);
+            ids.push(submit_job_with_shape(&simulation, &controller_a, number, shape).await);
         }
         assert!(eventually(90.0, async || count_starts(&simulation) >= 8).await);
         let machines = simulation.booted_machines();
@@ -161,7 +159,7 @@
 async fn urgent_jobs_complete_first_under_overload_and_slow_links() {
     let (simulation, controller_a, _task_a) = start_with_leader().await;
     let (controller_b, _task_b) = simulation.start_controller("n-b");
-    simulation.state.lock().unwrap().faults.link_delay_s = 0.25;
+    simulation.set_faults(|faults| faults.link_delay_s = 0.25);
     let mut ids = Vec::new();
     for number in 1..=24 {
         let urgent = number > 16;
@@ -208,13 +206,12 @@
         }
         let mut ids = Vec::new();
         for n in 1..=6 {
-            let id = submit_job(&simulation, &controller_b, n, 3, 2.0, 4.0 + f64::from(n)).await;
-            ids.push(id);
+            ids.push(submit_job(&simulation, &controller_b, n, 3, 2.0, 4.0 + f64::from(n)).await);
         }
         sleep_s(0.3 * seed as f64).await;
         simulation.crash_controller("n-a", &task);
         sleep_s(LEASE_S).await;
-        simulation.state.lock().unwrap().faults.late_writes = 0.0;
+        simulation.set_faults(|faults| faults.late_writes = 0.0);
         for id in &ids {
             assert!(wait_until_done(&controller_b, id).await, "{seed}: {id}");
         }
--- a/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
@@ -89,7 +89,7 @@
     // Beforehand a machine has booted, and every controller has a job in its cache.
     let first = submit_job_with_shape(&simulation, &controllers[0], 1, shape).await;
     assert!(wait_until_done(&controllers[0], &first).await);
-    simulation.state.lock().unwrap().faults.lost_responses = lost_responses;
+    simulation.set_faults(|faults| faults.lost_responses = lost_responses);
     let job = simulation.job_with_shape(2, shape);
     let mut requests = Vec::new();
     let started_at = simulation.now();
@@ -119,7 +119,7 @@
     for request in requests {
         request.await.unwrap();
     }
-    simulation.state.lock().unwrap().faults.lost_responses = 0.0;
+    simulation.set_faults(|faults| faults.lost_responses = 0.0);
     let is_over = eventually(60.0, async || {
         matches!(
             query_status(&controllers[2], &job.id).await,
@@ -166,7 +166,7 @@
         assert!(ends.await);
         // The leader learns late of the cancellation but not of the completion: only the
         // store decides which came first.
-        simulation.state.lock().unwrap().faults.hang_job_watches = n % 2 == 0;
+        simulation.set_faults(|faults| faults.hang_job_watches = n % 2 == 0);
         // From just after the completion until well after it is stored.
         tokio::time::sleep(Duration::from_millis(u64::from(n) * 37)).await;
         let mut requests = Vec::new();
@@ -188,7 +188,7 @@
             request.await.unwrap();
         }
         sleep_s(2.0).await;
-        simulation.state.lock().unwrap().faults.hang_job_watches = false;
+        simulation.set_faults(|faults| faults.hang_job_watches = false);
     }
     for job in &jobs {
         for controller in &controllers {
@@ -278,10 +278,12 @@
         submit_until_accepted(&controllers[0], &body).await;
         assert!(eventually(60.0, async || simulation.running_task_count(&id) == 2).await);
         let history = Arc::new(Mutex::new(History::default()));
-        simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
-            controller: "n-b".into(),
-            request: "POST /multi",
-            after_response,
+        simulation.set_faults(|faults| {
+            faults.pause_at = Some(FaultPoint {
+                controller: "n-b".into(),
+                request: "POST /multi",
+                after_response,
+            })
         });
         let job = JobRequest {
             id: id.clone(),
@@ -328,8 +330,9 @@
     let history = Arc::new(Mutex::new(History::default()));
     // The job is cached, so that the next read of its record is the cancellation's.
     assert!(query_status(&controllers[1], &job.id).await.is_some());
-    simulation.state.lock().unwrap().faults.pause_at =
-        Some(FaultPoint::after_response("n-b", "GET /store/o/"));
+    simulation.set_faults(|faults| {
+        faults.pause_at = Some(FaultPoint::after_response("n-b", "GET /store/o/"))
+    });
     let (controller, id) = (controllers[1].clone(), job.id.clone());
     let cancels = simulation.run_on(
         "n-b",
--- a/crates/tallygauge-sim/tests/failover.rs
+++ b/crates/tallygauge-sim/tests/failover.rs
@@ -143,7 +143,7 @@
     let id = submit_job(&simulation, &leader, 1, 24, 4.0, 7.0).await;
     for turn in 1..4 {
         sleep_s(9.0).await;
-        simulation.state.lock().unwrap().faults.lose_next_responses = 1;
+        simulation.set_faults(|faults| faults.lose_next_responses = 1);
         sleep_s(2.0).await;
         simulation.crash_controller(&leader.settings.node_name, &task);
         (leader, task) = simulation.start_controller(&format!("n-{turn}"));
--- a/crates/tallygauge-sim/tests/message_faults.rs
+++ b/crates/tallygauge-sim/tests/message_faults.rs
@@ -82,22 +82,18 @@
     for seed in 0..6 {
         let simulation = Simulation::new();
         simulation.seed(seed);
-        simulation
-            .state
-            .lock()
-            .unwrap()
-            .faults
-            .duplicated_heartbeats = RandomDelay {
-            probability: 0.4,
-            max_delay_s: LEASE_S * 2.5,
-        };
+        simulation.set_faults(|faults| {
+            faults.duplicated_heartbeats = RandomDelay {
+                probability: 0.4,
+                max_delay_s: LEASE_S * 2.5,
+            }
+        });
         tokio::spawn(simulation.clone().run_workers());
         let (controller_a, task) = simulation.start_controller("n-a");
         let (controller_b, _other) = simulation.start_controller("n-b");
         let mut jobs = Vec::new();
         for n in 1..=6 {
-            let id = submit_job(&simulation, &controller_a, n, 3, 4.0, 4.0).await;
-            jobs.push(id);
+            jobs.push(submit_job(&simulation, &controller_a, n, 3, 4.0, 4.0).await);
             sleep_s(4.0).await;
         }
         // The leader crashes, and a machine falls silent whose copies still arrive.
@@ -148,7 +144,7 @@
     sleep_s(LEASE_S).await;
     assert_eq!(count_starts(&simulation), 2, "no lease ended");
     // It returns without effect; then the same with the other controller.
-    simulation.state.lock().unwrap().faults.partitioned.clear();
+    simulation.set_faults(|faults| faults.partitioned.clear());
     sleep_s(5.0).await;
     simulation.set_store_partitioned("n-b", true);
     assert!(eventually(LEASE_S * 2.0, async || is_active_leader(&controller_a)).await);
@@ -192,8 +188,7 @@
     let (simulation, controller_a, _task) = start_with_leader().await;
     let mut ids = Vec::new();
     for n in 1..=300 {
-        let id = submit_job(&simulation, &controller_a, n, 1, 8.0, 900.0).await;
-        ids.push(id);
+        ids.push(submit_job(&simulation, &controller_a, n, 1, 8.0, 900.0).await);
     }
     let (controller_b, _task_b) = simulation.start_controller("n-b");
     let started_at = controller_b.now();
--- a/crates/tallygauge-sim/tests/process_pauses.rs
+++ b/crates/tallygauge-sim/tests/process_pauses.rs
@@ -80,16 +80,15 @@
     let id = submit_job(&simulation, &controller_a, 1, 2, 8.0, 90.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
     let (controller_b, _task_b) = simulation.start_controller("n-b");
-    simulation.state.lock().unwrap().faults.hang_job_watches = true;
+    simulation.set_faults(|faults| faults.hang_job_watches = true);
     assert_eq!(
         cancel_through_any(&simulation, &[&controller_b], &id).await,
         JobStatus::Cancelled
     );
-    {
-        let mut state = simulation.state.lock().unwrap();
-        state.faults.hang_job_watches = false;
-        state.faults.pause_at = Some(FaultPoint::after_response("n-a", "GET /changes?starts=o/"));
-    }
+    simulation.set_faults(|faults| {
+        faults.hang_job_watches = false;
+        faults.pause_at = Some(FaultPoint::after_response("n-a", "GET /changes?starts=o/"));
+    });
     assert!(eventually(5.0, async || simulation.is_paused("n-a")).await);
     let paused_at = simulation.now();
     // Its successor uses the same machines.
@@ -116,8 +115,9 @@
     let (simulation, controller_a, _task_a) = start_with_leader().await;
     let (controller_b, _task_b) = simulation.start_controller("n-b");
     let id = submit_job(&simulation, &controller_b, 1, 1, 8.0, 90.0).await;
-    simulation.state.lock().unwrap().faults.pause_at =
-        Some(FaultPoint::after_response("n-b", "POST /multi"));
+    simulation.set_faults(|faults| {
+        faults.pause_at = Some(FaultPoint::after_response("n-b", "POST /multi"))
+    });
     let (sim, controller, job) = (simulation.clone(), controller_b.clone(), id.clone());
     let poll = tokio::spawn(async move {
         let poll = async { reply_status(&user_api::job_status(&controller, &job).await) };
@@ -211,7 +211,7 @@
         "{what}"
     );
     let paused = at.controller.clone();
-    simulation.state.lock().unwrap().faults.pause_at = Some(at);
+    simulation.set_faults(|faults| faults.pause_at = Some(at));
     let other = if paused == "n-a" {
         &controller_b
     } else {
@@ -219,7 +219,7 @@
     };
     // If the point is not reached in time, the controller is paused now.
     eventually(20.0, async || simulation.is_paused(&paused)).await;
-    simulation.state.lock().unwrap().faults.pause_at = None;
+    simulation.set_faults(|faults| faults.pause_at = None);
     simulation.pause(&paused);
     if both {
         simulation.pause(&other.settings.node_name);
--- a/crates/tallygauge-sim/tests/user_requests.rs
+++ b/crates/tallygauge-sim/tests/user_requests.rs
@@ -128,7 +128,7 @@
     let (controller_b, _task_b) = simulation.start_controller("n-b");
     let id = submit_job(&simulation, &controller_b, 1, 8, 4.0, 3.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) == 4).await);
-    simulation.state.lock().unwrap().faults.hang_job_watches = true;
+    simulation.set_faults(|faults| faults.hang_job_watches = true);
     sleep_s(1.0).await;
     assert_eq!(
         reply_status(&user_api::cancel(&controller_b, &id).await),
@@ -160,7 +160,7 @@
     let id = submit_job(&simulation, &controller_a, 1, 8, 4.0, 6.0).await;
     assert!(eventually(60.0, async || count_starts(&simulation) > 0).await);
     // From here on every transaction is committed, and no response is complete.
-    simulation.state.lock().unwrap().faults.truncate_responses = true;
+    simulation.set_faults(|faults| faults.truncate_responses = true);
     let JobRequest {
         id: other,
         body: next,
@@ -179,7 +179,7 @@
             HeartbeatReply::Malformed(_)
         ));
     }
-    simulation.state.lock().unwrap().faults.truncate_responses = false;
+    simulation.set_faults(|faults| faults.truncate_responses = false);
     for job in [&id, &other] {
         assert!(
             eventually(120.0, async || query_status(&controller_a, job).await
@@ -249,7 +249,7 @@
         .await
     );
     let JobRequest { id, body } = simulation.job(1, 1, 1.0, 5.0);
-    simulation.state.lock().unwrap().faults.lose_next_responses = 1;
+    simulation.set_faults(|faults| faults.lose_next_responses = 1);
     let reply = user_api::submit(&controller_b, &body).await;
     assert_eq!(reply_status(&reply), Some(JobStatus::Pending), "{reply:?}");
     assert_eq!(
