--- a/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
@@ -1,117 +1,117 @@
-//! Cutoffs and ranks in the picture: which job counts for what, what is at risk,
-//! and how much that raises a job within the step of its urgency.
+//! Batch deadlines (cutoffs) and priority rules: which cutoff a job counts for,
+//! which cutoffs are at risk, and how much that boosts a job.
 //!
-//! Users' urgency and teams' guarantees alone decide what may be stopped; this
-//! decides the order among what waits.
+//! A boost orders pending tasks within one step of user priority. It never decides
+//! what is preempted: user priorities and team guarantees alone do.
 
 pub(crate) mod state;
 
 use crate::{cluster_state::ClusterState, model::*};
-use std::collections::BTreeMap;
+use std::{collections::BTreeMap, sync::Arc};
 use tallygauge_deadlines::{
     CutoffEvent, CutoffLoad, CutoffRule, CutoffWindow, DeadlineTracker, Forecast, forecasts,
     inferred,
 };
 use tallygauge_priority::{MAX_RANK, PriorityRules};
 
-/// Part of the way to the next step of urgency that a rise goes at most: never
-/// as far as that.
-const RISE: f64 = 0.9;
+/// Part of the way to the utility of the next priority that a full boost goes; less
+/// than 1, so that it never gets there.
+const MAX_BOOST_FRACTION: f64 = 0.9;
 
-/// What the step after the highest would be worth, against the highest.
-const ABOVE: f64 = 2.0;
+/// Utility that a priority above the highest would have, as a multiple of the
+/// highest one's.
+const ABOVE_HIGHEST_FACTOR: f64 = 2.0;
 
-/// Leases in the stretch that drawn cutoffs are gathered in.
-const STRETCH_LEASES: f64 = 8.0;
+/// Length of the windows that inferred cutoffs are gathered in, in leases.
+const INFERENCE_WINDOW_LEASES: f64 = 8.0;
 
-/// What a cutoff still needs.
-struct CutoffWork<'a> {
-    due: &'a CutoffWindow,
+/// Open work that counts for a cutoff.
+struct CutoffWork {
+    /// Time of day of the cutoff.
+    cutoff: f64,
+    declared: bool,
     jobs: usize,
-    work: f64,
+    cpu_s: f64,
+    /// Run time of the longest task.
     longest_s: f64,
-    teams: BTreeMap<usize, f64>,
+    /// CPUs that each team with such work may use, by team.
+    max_cpus_by_team: BTreeMap<usize, f64>,
 }
 
-/// A cutoff that is open, for operators.
+/// Open work by the name of its cutoff.
+type WorkByCutoff = BTreeMap<Arc<str>, CutoffWork>;
+
+/// An open cutoff, for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CutoffStatus {
     /// Its name.
     pub name: String,
-    /// Operators declared it.
+    /// Whether operators declared it; otherwise it was inferred from jobs.
     pub declared: bool,
-    /// Seconds until it.
+    /// Seconds until the cutoff.
     pub left_s: f64,
-    /// Jobs done, and of these too late.
+    /// Jobs done, and how many of these too late.
     pub done: (u32, u32),
-    /// Open jobs.
+    /// Number of open jobs.
     pub open: usize,
-    /// How it stands.
+    /// Whether it will be met, as of the last update.
     pub forecast: Option<Forecast>,
 }
 
 impl ClusterState {
-    /// Takes up what operators declared: cutoffs, and whether those that are drawn
-    /// from jobs raise work as well.
-    pub fn set_cutoff_rules(&mut self, rules: Vec<CutoffRule>, act_on_drawn: bool) {
+    /// Sets the cutoffs that operators declared, and whether inferred ones boost jobs
+    /// as well.
+    pub fn set_cutoff_rules(&mut self, rules: Vec<CutoffRule>, act_on_inferred: bool) {
         self.batch_deadlines.rules = rules;
-        self.batch_deadlines.act_on_inferred = act_on_drawn;
+        self.batch_deadlines.act_on_inferred = act_on_inferred;
         // A cutoff may move while its batch runs.
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
             let job = self.jobs.get_mut(&id);
-            if let Some(at) = job.and_then(|j| j.accepted_time_of_day.take()) {
-                self.set_accepted_time_of_day(&id, at);
+            if let Some(time_of_day) = job.and_then(|j| j.accepted_time_of_day.take()) {
+                self.set_accepted_time_of_day(&id, time_of_day);
             }
         }
     }
 
-    /// Takes up what an earlier leader counted.
-    pub fn restore_deadline_tracker(&mut self, book: DeadlineTracker) {
-        self.batch_deadlines.tracker = book;
+    /// Restores the counts that an earlier leader recorded.
+    pub fn restore_deadline_tracker(&mut self, tracker: DeadlineTracker) {
+        self.batch_deadlines.tracker = tracker;
     }
 
-    /// What is to be kept of the calendar.
+    /// The counts for each open cutoff, to be recorded.
     #[must_use]
     pub fn deadline_tracker(&self) -> &DeadlineTracker {
         &self.batch_deadlines.tracker
     }
 
-    /// The ranks in force from now on. They must be on record.
-    pub fn set_priority_rules(&mut self, ledger: PriorityRules) {
-        self.batch_deadlines.priority_rules = ledger;
+    /// Sets the priority rules in force from now on. They must have been recorded.
+    pub fn set_priority_rules(&mut self, rules: PriorityRules) {
+        self.batch_deadlines.priority_rules = rules;
         self.needs_scheduling = true;
     }
 
-    /// The ranks in force.
+    /// The priority rules in force.
     #[must_use]
     pub fn priority_rules(&self) -> &PriorityRules {
         &self.batch_deadlines.priority_rules
     }
 
-    /// A job that was just added was accepted at this time of day, as its record
-    /// says: every leader finds the same cutoff for it.
-    pub fn set_accepted_time_of_day(&mut self, id: &str, at: f64) {
-        let Some(job) = self.jobs.get_mut(id) else {
+    /// Sets the time of day at which a job that was just added was accepted, as in
+    /// its record: every leader finds the same cutoff for it.
+    pub fn set_accepted_time_of_day(&mut self, id: &str, time_of_day: f64) {
+        let Some(job) = self.jobs.get(id) else {
             return;
         };
         if job.accepted_time_of_day.is_some() {
             return;
         }
-        job.accepted_time_of_day = Some(at);
-        let (class, team) = (&job.spec.class, &job.spec.team);
-        let rules = self
-            .batch_deadlines
-            .rules
-            .iter()
-            .filter(|r| r.applies_to(class, team));
-        let declared = rules.filter_map(|r| r.window_at(at));
-        let first = declared.min_by(|a, b| a.cutoff.total_cmp(&b.cutoff));
-        let stretch = self.config.lease_s * STRETCH_LEASES;
-        let soft = self.config.class_deadline_s.get(class).copied();
-        let own = job.spec.deadline_s.into_iter().chain(soft);
-        let own = own.reduce(f64::min);
-        job.cutoff = first.or_else(|| Some(inferred(class, team, at, own?, stretch)));
+        let cutoff = self.find_cutoff(job, time_of_day);
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.accepted_time_of_day = Some(time_of_day);
+        job.cutoff = cutoff;
         if let Some(due) = job.cutoff.clone()
             && let Some(CutoffEvent::Opened(name)) = self.batch_deadlines.tracker.add_job(&due)
         {
@@ -120,147 +120,207 @@
         }
     }
 
-    /// A job that counts for a cutoff is done.
+    /// The cutoff that a job counts for: the first declared one that applies to it,
+    /// else one inferred from its deadline, if it has one.
+    fn find_cutoff(&self, job: &Job, accepted_time_of_day: f64) -> Option<CutoffWindow> {
+        let (class, team) = (&job.spec.class, &job.spec.team);
+        let rules = self.batch_deadlines.rules.iter();
+        let declared = rules
+            .filter(|r| r.applies_to(class, team))
+            .filter_map(|r| r.window_at(accepted_time_of_day))
+            .min_by(|a, b| a.cutoff.total_cmp(&b.cutoff));
+        if declared.is_some() {
+            return declared;
+        }
+        let window_s = self.config.lease_s * INFERENCE_WINDOW_LEASES;
+        let class_deadline_s = self.config.class_deadline_s.get(class).copied();
+        let deadlines = job.spec.deadline_s.into_iter().chain(class_deadline_s);
+        let deadline_s = deadlines.reduce(f64::min)?;
+        Some(inferred(
+            class,
+            team,
+            accepted_time_of_day,
+            deadline_s,
+            window_s,
+        ))
+    }
+
+    /// Counts a job that is done for its cutoff.
     pub(crate) fn record_cutoff_completion(&mut self, job: &Job, now: f64) {
-        let at = now + self.minimum_share.time_of_day_offset;
-        if let Some(due) = job.cutoff.as_ref().filter(|_| job.is_complete()) {
-            self.batch_deadlines
-                .tracker
-                .record_job_done(&due.name, job.spec.tasks, at);
+        let time_of_day = self.time_of_day(now);
+        if let Some(cutoff) = job.cutoff.as_ref().filter(|_| job.is_complete()) {
+            let tracker = &mut self.batch_deadlines.tracker;
+            tracker.record_job_done(&cutoff.name, job.spec.tasks, time_of_day);
         }
     }
 
-    /// Looks at all cutoffs and ranks. To be called about four times a report
+    /// Updates the forecasts of all cutoffs, expires those that have passed, and
+    /// updates the boosts of all jobs. To be called about four times a heartbeat
     /// interval.
     pub fn update_deadline_risk(&mut self, now: f64) {
-        let at = now + self.minimum_share.time_of_day_offset;
-        let mut needs: BTreeMap<&str, CutoffWork> = BTreeMap::new();
+        let time_of_day = self.time_of_day(now);
+        let work = self.work_by_cutoff();
+        let forecasts = self.forecast_cutoffs(&work, time_of_day, now);
+        let mut events = self.new_risk_events(&work, &forecasts);
+        let open_jobs = |name: &str| work.get(name).map_or(0, |w| w.jobs);
+        let expired = self.batch_deadlines.tracker.expire(time_of_day, &open_jobs);
+        for event in expired {
+            events.push((true, expiry_text(event, &open_jobs)));
+        }
+        self.events.extend(events);
+        self.batch_deadlines.forecasts = forecasts;
+        self.update_boosts(time_of_day);
+    }
+
+    fn work_by_cutoff(&self) -> WorkByCutoff {
+        let mut work_by_cutoff = WorkByCutoff::new();
         for job in self.jobs.values() {
-            let Some(due) = &job.cutoff else { continue };
-            let need = needs.entry(&due.name).or_insert_with(|| CutoffWork {
-                due,
-                jobs: 0,
-                work: 0.0,
-                longest_s: 0.0,
-                teams: BTreeMap::new(),
-            });
-            need.jobs += 1;
-            need.work += self.remaining_cpu_s(job);
-            need.longest_s = need.longest_s.max(self.remaining_s(job, 0.0));
-            need.teams
-                .insert(job.team, self.config.teams[job.team].max_cpus);
+            let Some(cutoff) = &job.cutoff else { continue };
+            if !work_by_cutoff.contains_key(&cutoff.name) {
+                work_by_cutoff.insert(cutoff.name.clone(), CutoffWork::none_for(cutoff));
+            }
+            let Some(work) = work_by_cutoff.get_mut(&cutoff.name) else {
+                continue;
+            };
+            work.jobs += 1;
+            work.cpu_s += self.remaining_cpu_s(job);
+            work.longest_s = work.longest_s.max(self.remaining_s(job, 0.0));
+            let max_cpus = self.config.teams[job.team].max_cpus;
+            work.max_cpus_by_team.insert(job.team, max_cpus);
         }
-        let cpus = self.total_cpus(now);
-        let loads: Vec<CutoffLoad> = needs
+        work_by_cutoff
+    }
+
+    fn forecast_cutoffs(
+        &self,
+        work: &WorkByCutoff,
+        time_of_day: f64,
+        now: f64,
+    ) -> BTreeMap<Arc<str>, Forecast> {
+        let loads: Vec<CutoffLoad> = work
             .values()
-            .map(|need| CutoffLoad {
-                left_s: need.due.cutoff - at,
-                cpu_s: need.work,
-                cpus: need.teams.values().sum(),
-                longest_s: need.longest_s,
+            .map(|work| CutoffLoad {
+                left_s: work.cutoff - time_of_day,
+                cpu_s: work.cpu_s,
+                cpus: work.max_cpus_by_team.values().sum(),
+                longest_s: work.longest_s,
             })
             .collect();
-        let found = forecasts(&loads, cpus);
+        let found = forecasts(&loads, self.usable_or_booting_cpus(now));
+        work.keys().cloned().zip(found).collect()
+    }
+
+    /// Events for the cutoffs that have come to be at risk since the last update.
+    fn new_risk_events(
+        &self,
+        work: &WorkByCutoff,
+        forecasts: &BTreeMap<Arc<str>, Forecast>,
+    ) -> Vec<(bool, String)> {
         let mut events = Vec::new();
-        let mut verdicts = BTreeMap::new();
-        for ((name, need), verdict) in needs.iter().zip(found) {
-            let before = self.batch_deadlines.forecasts.get(*name);
-            if verdict.at_risk && !before.is_some_and(|v| v.at_risk) {
+        for ((name, work), forecast) in work.iter().zip(forecasts.values()) {
+            let before = self.batch_deadlines.forecasts.get(name);
+            if forecast.at_risk && !before.is_some_and(|f| f.at_risk) {
                 let text = format!(
                     "cutoff {name} is at risk: {} jobs, {:.0} CPU-s left, {:.0} s late as it stands, {:.0} CPUs lacking",
-                    need.jobs, need.work, -verdict.slack_s, verdict.missing_cpus
+                    work.jobs, work.cpu_s, -forecast.slack_s, forecast.missing_cpus
                 );
-                events.push((need.due.declared, text));
+                events.push((work.declared, text));
             }
-            verdicts.insert(need.due.name.clone(), verdict);
         }
-        let open = |name: &str| needs.get(name).map_or(0, |n| n.jobs);
-        for event in self.batch_deadlines.tracker.expire(at, &open) {
-            events.push((
-                true,
-                match event {
-                    CutoffEvent::Opened(name) => format!("cutoff {name} opens"),
-                    CutoffEvent::Missed(name) => {
-                        format!("cutoff {name} has passed with {} jobs open", open(&name))
-                    }
-                    CutoffEvent::Closed(name, true, _) => format!("cutoff {name} was met"),
-                    CutoffEvent::Closed(name, false, late) => {
-                        format!("cutoff {name} was missed by {late:.0} s")
-                    }
-                },
-            ));
-        }
-        self.events.extend(events);
-        self.batch_deadlines.forecasts = verdicts;
-        self.update_boosts(at);
+        events
     }
 
-    /// How far each job is raised within the step of its urgency.
-    fn update_boosts(&mut self, at: f64) {
-        let trade = &self.batch_deadlines;
-        let ranked = trade.priority_rules.current().is_some();
-        let open = |window: &str, at: f64| {
-            let mut rules = trade.rules.iter().filter(|r| r.name == window);
-            rules.any(|r| r.window_at(at).is_some())
+    /// Updates how far each job is boosted within its priority: fully if its cutoff
+    /// is at risk, else by its rank.
+    fn update_boosts(&mut self, time_of_day: f64) {
+        let deadlines = &self.batch_deadlines;
+        let is_open = |window: &str, time_of_day: f64| {
+            let mut rules = deadlines.rules.iter().filter(|r| r.name == window);
+            rules.any(|r| r.window_at(time_of_day).is_some())
         };
+        let has_ranks = deadlines.priority_rules.current().is_some();
         for job in self.jobs.values_mut() {
-            let risk = job.cutoff.as_ref().is_some_and(|due| {
-                let acts = due.declared || trade.act_on_inferred;
-                acts && trade.forecasts.get(&due.name).is_some_and(|v| v.at_risk)
+            let is_at_risk = job.cutoff.as_ref().is_some_and(|cutoff| {
+                let acts = cutoff.declared || deadlines.act_on_inferred;
+                let forecast = deadlines.forecasts.get(&cutoff.name);
+                acts && forecast.is_some_and(|f| f.at_risk)
             });
-            let rank = if ranked {
-                let accepted = job.accepted_time_of_day.unwrap_or(at);
+            let rank = if has_ranks {
+                let accepted = job.accepted_time_of_day.unwrap_or(time_of_day);
                 let key = (job.spec.class.as_str(), job.spec.team.as_str());
-                f64::from(trade.priority_rules.rank(key, accepted, at, &open)) / f64::from(MAX_RANK)
+                let rules = &deadlines.priority_rules;
+                f64::from(rules.rank(key, accepted, time_of_day, &is_open)) / f64::from(MAX_RANK)
             } else {
                 0.0
             };
-            job.boost = if risk { 1.0 } else { rank };
+            job.boost = if is_at_risk { 1.0 } else { rank };
         }
     }
 
-    /// CPUs of machines that are there or on their way.
-    fn total_cpus(&self, now: f64) -> f64 {
-        let usable = self
-            .workers
-            .values()
-            .filter(|w| w.accepts_work(now, &self.config) || (!w.is_up() && w.leaving.is_none()));
-        let types = usable.filter_map(|w| self.machine_types.get(&w.machine_type));
-        types.map(|t| t.cpus).sum()
-    }
-
-    /// Worth of a job's tasks that would end at `end`, for the order among what
-    /// waits: raised within the step of its urgency.
+    /// Utility of a job's tasks that end at `end`, for the order among pending
+    /// tasks: boosted towards the utility of the next priority.
     pub(crate) fn ordering_utility(&self, job: &Job, end: f64) -> f64 {
-        let worth = self.utility(job, end);
+        let utility = self.utility(job, end);
         if job.boost <= 0.0 {
-            return worth;
+            return utility;
         }
-        let step = priority_index(job.spec.priority);
-        let own = self.config.utility[step];
-        let next = self.config.utility.get(step + 1).copied();
-        let next = next.unwrap_or(own * ABOVE).max(own);
-        worth * (next / own).powf(job.boost * RISE)
+        let priority = priority_index(job.spec.priority);
+        let own = self.config.utility[priority];
+        let next = self.config.utility.get(priority + 1).copied();
+        let next = next.unwrap_or(own * ABOVE_HIGHEST_FACTOR).max(own);
+        utility * (next / own).powf(job.boost * MAX_BOOST_FRACTION)
     }
 
-    /// Cutoffs that are open, for operators.
+    /// Open cutoffs, for operators.
     #[must_use]
     pub fn cutoff_statuses(&self, now: f64) -> Vec<CutoffStatus> {
-        let at = now + self.minimum_share.time_of_day_offset;
-        let mut open: BTreeMap<&str, usize> = BTreeMap::new();
-        for due in self.jobs.values().filter_map(|j| j.cutoff.as_ref()) {
-            *open.entry(&due.name).or_default() += 1;
+        let time_of_day = self.time_of_day(now);
+        let mut open_jobs: BTreeMap<&str, usize> = BTreeMap::new();
+        for cutoff in self.jobs.values().filter_map(|j| j.cutoff.as_ref()) {
+            *open_jobs.entry(&cutoff.name).or_default() += 1;
         }
-        let lines = self.batch_deadlines.tracker.open();
-        lines
-            .map(|(name, line)| CutoffStatus {
+        let cutoffs = self.batch_deadlines.tracker.open();
+        cutoffs
+            .map(|(name, counts)| CutoffStatus {
                 name: name.to_string(),
-                declared: line.declared,
-                left_s: line.cutoff - at,
-                done: line.done,
-                open: open.get(name).copied().unwrap_or(0),
+                declared: counts.declared,
+                left_s: counts.cutoff - time_of_day,
+                done: counts.done,
+                open: open_jobs.get(name).copied().unwrap_or(0),
                 forecast: self.batch_deadlines.forecasts.get(name).copied(),
             })
             .collect()
     }
 }
+
+impl CutoffWork {
+    /// No work yet for a cutoff.
+    fn none_for(cutoff: &CutoffWindow) -> Self {
+        Self {
+            cutoff: cutoff.cutoff,
+            declared: cutoff.declared,
+            jobs: 0,
+            cpu_s: 0.0,
+            longest_s: 0.0,
+            max_cpus_by_team: BTreeMap::new(),
+        }
+    }
+}
+
+/// Words for operators of what became of a cutoff. `open_jobs` counts the open jobs
+/// of one.
+fn expiry_text(event: CutoffEvent, open_jobs: &dyn Fn(&str) -> usize) -> String {
+    match event {
+        CutoffEvent::Opened(name) => format!("cutoff {name} opens"),
+        CutoffEvent::Missed(name) => {
+            format!(
+                "cutoff {name} has passed with {} jobs open",
+                open_jobs(&name)
+            )
+        }
+        CutoffEvent::Closed(name, true, _) => format!("cutoff {name} was met"),
+        CutoffEvent::Closed(name, false, late) => {
+            format!("cutoff {name} was missed by {late:.0} s")
+        }
+    }
+}
--- a/crates/tallygauge-scheduler/src/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/image_locality.rs
@@ -1,53 +1,70 @@
-//! Where images lie, left to the next leader and taken up from the one before,
-//! and where replicas of a service go.
+//! Image locality: which machines have which images cached, recorded for the next
+//! leader, and the spread of a service's replicas.
 
 use crate::{cluster_state::ClusterState, model::*};
+use std::collections::BTreeMap;
 use tallygauge_locality::{CachedImage, ImageIndex, ImageLocations, ReplicaCounts};
 use tallygauge_protocol::users::Shape;
 
+/// Fetch rate of a machine whose type is not known, GB/s.
+const DEFAULT_FETCH_GB_PER_S: f64 = 1.0;
+
+/// Lowest fetch rate that is reckoned with, GB/s.
+const MIN_FETCH_GB_PER_S: f64 = 1e-3;
+
 impl ClusterState {
-    /// Takes up what an earlier leader believed of where images lie. To be called
-    /// before machines are known. Returns how many images could not be read.
-    pub fn restore_image_locations(&mut self, part: &ImageLocations) -> usize {
-        self.image_index.restore(part)
+    /// Restores a shard of the image locations that an earlier leader recorded. To be
+    /// called before machines are registered. Returns how many images could not be
+    /// read.
+    pub fn restore_image_locations(&mut self, shard: &ImageLocations) -> usize {
+        self.image_index.restore(shard)
     }
 
-    /// What is believed now, for the next leader: at most so many parts of so
-    /// many bytes, without images that a machine fetches in less than `least_s`.
+    /// The expected image locations, to be recorded for the next leader: at most
+    /// `max_shards` shards of `shard_bytes`, without images that a machine fetches in
+    /// less than `min_fetch_s`.
     #[must_use]
-    pub fn image_locations(&self, least_s: f64, bytes: usize, most: usize) -> Vec<ImageLocations> {
-        let mut holdings = Vec::new();
+    pub fn image_locations(
+        &self,
+        min_fetch_s: f64,
+        shard_bytes: usize,
+        max_shards: usize,
+    ) -> Vec<ImageLocations> {
+        let mut images = Vec::new();
         for worker in self.workers.values().filter(|w| w.leaving.is_none()) {
-            let rate = self.machine_types.get(&worker.machine_type);
-            let rate = rate.map_or(1.0, |t| t.fetch_gb_per_s).max(1e-3);
-            let there = worker.images.cached.iter();
-            let there = there.filter(|i| !worker.images.fetching.contains_key(&i.0));
-            holdings.extend(there.map(|(image, gb)| CachedImage {
+            let machine_type = self.machine_types.get(&worker.machine_type);
+            let gb_per_s = machine_type
+                .map_or(DEFAULT_FETCH_GB_PER_S, |t| t.fetch_gb_per_s)
+                .max(MIN_FETCH_GB_PER_S);
+            let cached = worker.images.cached.iter();
+            let fetched = cached.filter(|i| !worker.images.fetching.contains_key(&i.0));
+            images.extend(fetched.map(|(image, gb)| CachedImage {
                 machine: &worker.name,
                 image,
                 gb: *gb,
-                fetch_s: gb / rate,
+                fetch_s: gb / gb_per_s,
             }));
         }
-        ImageIndex::shards(&holdings, least_s, bytes, most)
+        ImageIndex::shards(&images, min_fetch_s, shard_bytes, max_shards)
     }
 }
 
-/// Whether replicas of a job are to survive failures together.
+/// Whether a job has replicas that should not fail together.
 pub(crate) fn is_replicated(job: &Job) -> bool {
     job.spec.shape == Shape::Service && job.spec.tasks > 1
 }
 
-/// What a further replica of a job would share with others in a zone.
+/// Replicas that a further one would share a zone with, given the replicas by zone
+/// and the number of zones that it may be in.
 pub(crate) fn replica_counts_in(
-    zones: &std::collections::BTreeMap<String, u32>,
+    replicas_by_zone: &BTreeMap<String, u32>,
     zone: &str,
-    count: u32,
+    zone_count: u32,
 ) -> ReplicaCounts {
     ReplicaCounts {
         on_machine: 0,
-        in_zone: zones.get(zone).copied().unwrap_or(0),
-        running: zones.values().sum(),
-        zones: count,
+        in_zone: replicas_by_zone.get(zone).copied().unwrap_or(0),
+        running: replicas_by_zone.values().sum(),
+        zones: zone_count,
     }
 }
--- a/crates/tallygauge-scheduler/src/lib.rs
+++ b/crates/tallygauge-scheduler/src/lib.rs
@@ -10,6 +10,7 @@
 mod commands;
 mod completion_pages;
 mod demand_history;
+mod fleet_capacity;
 mod heartbeats;
 mod image_locality;
 mod machines;
--- a/crates/tallygauge-scheduler/src/mapping/round_setup.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round_setup.rs
@@ -71,11 +71,7 @@
     types: &[&'a MachineType],
     now: f64,
 ) -> UsableSlots<'a> {
-    let workers: Vec<&Worker> = cluster
-        .workers
-        .values()
-        .filter(|w| w.accepts_work(now, &cluster.config))
-        .collect();
+    let workers: Vec<&Worker> = cluster.usable_workers(now).collect();
     let zones: BTreeSet<&str> = workers.iter().map(|w| w.zone.as_str()).collect();
     let mut usable = UsableSlots {
         slots: Vec::with_capacity(workers.len()),
--- a/crates/tallygauge-scheduler/src/mapping/utility.rs
+++ b/crates/tallygauge-scheduler/src/mapping/utility.rs
@@ -119,13 +119,6 @@
         within_guarantee
     }
 
-    /// CPUs of the smallest machine type that fits a task of the job.
-    pub(crate) fn smallest_fitting_cpus(&self, job: &Job) -> f64 {
-        let fits = |t: &&MachineType| Resources::of_type(t).can_fit(&job.spec);
-        let sizes = self.machine_types.values().filter(fits).map(|t| t.cpus);
-        sizes.fold(f64::MAX, f64::min)
-    }
-
     /// CPUs from which on machines are contended: the smallest machine size, above
     /// the smallest of all, that some pending task needs at least.
     pub(crate) fn contended_cpus(&self, groups: &[TaskGroup]) -> f64 {
--- a/crates/tallygauge-scheduler/src/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/pending_reasons.rs
@@ -1,7 +1,10 @@
-//! Why tasks of a job wait, and where the others stand, for people who ask.
+//! Explains to users why tasks of a job are not running.
 
 use crate::{cluster_state::ClusterState, mapping::TaskGroup, model::*};
-use std::collections::{BTreeSet, HashSet};
+use std::{
+    cmp::Ordering,
+    collections::{BTreeSet, HashSet},
+};
 use tallygauge_protocol::workers::TaskState;
 
 /// One reason why tasks of a job do not run.
@@ -18,107 +21,145 @@
         /// GPUs that they may use at most.
         gpus_max: f64,
     },
-    /// No machine that the job may use has room for a task.
+    /// No machine that the job may use has enough free resources for a task.
     NoRoom {
-        /// Machines that it may use, as they are.
+        /// Usable machines that the job may use.
         machines: usize,
-        /// Machines on their way that it may use.
+        /// Booting machines that it may use.
         coming: usize,
-        /// Those it may use that are given up or taken back.
+        /// Machines it may use that are being returned or interrupted.
         leaving: usize,
     },
-    /// The cloud was asked for machines that would do, and had none.
+    /// The cloud had no capacity for machines that the job may use.
     NoCapacity {
-        /// Kinds that were refused.
+        /// Kinds of machines that were refused.
         kinds: usize,
-        /// Seconds until one of them is asked for again.
+        /// Seconds until one of them is requested again.
         again_s: f64,
     },
-    /// There is room: the next round will use it, after what goes first.
+    /// Machines have enough free resources for a task: the next round will use them,
+    /// after tasks that are ahead.
     Room {
-        /// Machines with room for a task.
+        /// Number of such machines.
         machines: usize,
     },
-    /// Waiting tasks of other jobs go first.
+    /// Pending tasks of other jobs are ahead.
     Behind {
         /// Jobs.
         jobs: usize,
         /// Tasks of these.
         tasks: usize,
     },
-    /// Tasks failed and are tried again later.
+    /// Tasks failed and are in retry backoff.
     Retry {
-        /// How many.
+        /// Number of tasks.
         tasks: usize,
-        /// Seconds until the next of them.
+        /// Seconds until the first of them is retried.
         next_s: f64,
         /// Failures since the last success.
         errors: u32,
     },
-    /// Tasks have a machine, and their start is being recorded or on its way.
+    /// Tasks are placed, and their start is being recorded or sent to the worker.
     Starting {
-        /// How many.
+        /// Number of tasks.
         tasks: usize,
     },
-    /// Tasks wait on their machine for the job's image.
+    /// Tasks wait on their machine for the job's image to be fetched.
     Fetching {
-        /// How many.
+        /// Number of tasks.
         tasks: usize,
     },
     /// Tasks are being stopped.
     Stopping {
-        /// How many.
+        /// Number of tasks.
         tasks: usize,
     },
-    /// Tasks are on machines that nothing is heard of; they count until they
-    /// are surely over.
+    /// Tasks are on machines that send no heartbeats; they count until their lease has
+    /// certainly expired.
     OutOfReach {
-        /// How many.
+        /// Number of tasks.
         tasks: usize,
-        /// Seconds until the last of them is surely over.
+        /// Seconds until the last lease has certainly expired.
         over_s: f64,
     },
 }
 
-/// What becomes of a job's tasks.
+/// Why tasks of a job are not running.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PendingExplanation {
-    /// Tasks that have no machine.
+    /// Tasks that are not placed.
     pub pending_tasks: usize,
     /// Whether the job fits its team's guarantee.
     pub within_guarantee: bool,
-    /// Reasons, the most telling first.
+    /// Reasons, the most important first.
     pub reasons: Vec<PendingReason>,
 }
 
+/// Machines that a job may use.
+#[derive(Default)]
+struct MachineCounts {
+    usable: usize,
+    /// Usable ones with enough free resources for a task.
+    with_free_resources: usize,
+    booting: usize,
+    leaving: usize,
+}
+
+/// Tasks of a job that are on machines, by what keeps them from running.
+#[derive(Default)]
+struct NotRunning {
+    starting: usize,
+    fetching: usize,
+    stopping: usize,
+    out_of_reach: usize,
+    /// Seconds until the last lease of those out of reach has certainly expired.
+    over_s: f64,
+}
+
+/// Place in the order of pending tasks, without age.
+struct Rank {
+    within_guarantee: bool,
+    /// Utility per time, in 1/s.
+    upt: f64,
+}
+
+impl Rank {
+    fn is_ahead_of(&self, other: &Self) -> bool {
+        let by_guarantee = self.within_guarantee.cmp(&other.within_guarantee);
+        by_guarantee.then(self.upt.total_cmp(&other.upt)) == Ordering::Greater
+    }
+}
+
 impl ClusterState {
-    /// Why tasks of an open job wait. Looks at all machines and jobs once.
+    /// Why tasks of an open job are not running; `None` if the job isn't open. Looks at
+    /// all machines and jobs once.
     #[must_use]
     pub fn explain_pending(&self, id: &str, now: f64) -> Option<PendingExplanation> {
         let job = self.jobs.get(id)?;
-        let within = self.jobs_within_guarantee();
+        let within_guarantee = self.jobs_within_guarantee();
         let mut reasons = Vec::new();
-        let later: Vec<&ResumableTask> = job
+        let in_backoff: Vec<&ResumableTask> = job
             .resumable
             .values()
             .filter(|r| r.not_before > now)
             .collect();
-        let waiting = job.pending.len() as usize + job.resumable.len();
-        if waiting > later.len() {
-            self.why_not_placed(job, &within, now, &mut reasons);
+        let pending_tasks = job.pending.len() as usize + job.resumable.len();
+        if pending_tasks > in_backoff.len() {
+            self.why_not_placed(job, &within_guarantee, now, &mut reasons);
         }
-        if !later.is_empty() {
-            let next = later.iter().map(|r| r.not_before).fold(f64::MAX, f64::min);
+        if !in_backoff.is_empty() {
+            let ends = in_backoff.iter().map(|r| r.not_before);
+            let next = ends.fold(f64::MAX, f64::min);
             reasons.push(PendingReason::Retry {
-                tasks: later.len(),
+                tasks: in_backoff.len(),
                 next_s: next - now,
                 errors: job.consecutive_failures,
             });
         }
         self.why_not_running(job, now, &mut reasons);
         Some(PendingExplanation {
-            pending_tasks: waiting,
-            within_guarantee: within.contains(id),
+            pending_tasks,
+            within_guarantee: within_guarantee.contains(id),
             reasons,
         })
     }
@@ -126,141 +167,176 @@
     fn why_not_placed(
         &self,
         job: &Job,
-        within: &HashSet<&str>,
+        within_guarantee: &HashSet<&str>,
         now: f64,
         reasons: &mut Vec<PendingReason>,
     ) {
-        let spec = &job.spec;
-        let (team, used) = (&self.config.teams[job.team], &self.quota_usage[job.team]);
-        let cpus = count_fitting(team.max_cpus - used.cpus, spec.cpus);
-        let gpus = count_fitting(team.max_gpus - used.gpus, spec.gpus);
-        if cpus.min(gpus) == 0 {
-            reasons.push(PendingReason::TeamLimit {
-                cpus: used.cpus,
-                cpus_max: team.max_cpus,
-                gpus: used.gpus,
-                gpus_max: team.max_gpus,
+        reasons.extend(self.team_limit(job));
+        let machines = self.count_machines(job, now);
+        if machines.with_free_resources == 0 {
+            reasons.push(PendingReason::NoRoom {
+                machines: machines.usable,
+                coming: machines.booting,
+                leaving: machines.leaving,
             });
+            reasons.extend(self.refused_kinds(job, now));
         }
-        let (mut machines, mut room, mut coming, mut leaving) = (0, 0, 0, 0);
-        for w in self.workers.values() {
-            let large = self.machine_types.get(&w.machine_type);
-            if !job.allows(&w.machine_type, &w.zone, w.spot, &job.attempts_by_zone)
-                || !large.is_some_and(|t| Resources::of_type(t).can_fit(spec))
+        reasons.extend(self.tasks_ahead(job, within_guarantee, now));
+        if machines.with_free_resources > 0 {
+            reasons.push(PendingReason::Room {
+                machines: machines.with_free_resources,
+            });
+        }
+    }
+
+    /// The team's limit, if it does not allow another task.
+    fn team_limit(&self, job: &Job) -> Option<PendingReason> {
+        let spec = &job.spec;
+        let team = &self.config.teams[job.team];
+        let usage = &self.quota_usage[job.team];
+        let by_cpus = count_fitting(team.max_cpus - usage.cpus, spec.cpus);
+        let by_gpus = count_fitting(team.max_gpus - usage.gpus, spec.gpus);
+        (by_cpus.min(by_gpus) == 0).then_some(PendingReason::TeamLimit {
+            cpus: usage.cpus,
+            cpus_max: team.max_cpus,
+            gpus: usage.gpus,
+            gpus_max: team.max_gpus,
+        })
+    }
+
+    fn count_machines(&self, job: &Job, now: f64) -> MachineCounts {
+        let mut counts = MachineCounts::default();
+        for worker in self.workers.values() {
+            let (machine_type, zone) = (&worker.machine_type, &worker.zone);
+            if !job.allows(machine_type, zone, worker.spot, &job.attempts_by_zone)
+                || !self.type_fits(machine_type, job)
             {
                 continue;
             }
-            if w.accepts_work(now, &self.config) {
-                machines += 1;
-                room += usize::from(w.free_resources.can_fit(spec));
-            } else if w.leaving.is_some() || w.spot_notice_until.is_some() {
-                leaving += 1;
-            } else if !w.is_up() {
-                coming += 1;
+            if worker.accepts_work(now, &self.config) {
+                counts.usable += 1;
+                let fits = worker.free_resources.can_fit(&job.spec);
+                counts.with_free_resources += usize::from(fits);
+            } else if worker.leaving.is_some() || worker.spot_notice_until.is_some() {
+                counts.leaving += 1;
+            } else if !worker.is_up() {
+                counts.booting += 1;
             }
         }
-        if room == 0 {
-            reasons.push(PendingReason::NoRoom {
-                machines,
-                coming,
-                leaving,
+        counts
+    }
+
+    /// Whether a task of the job fits an empty machine of the type.
+    fn type_fits(&self, machine_type: &str, job: &Job) -> bool {
+        let machine_type = self.machine_types.get(machine_type);
+        machine_type.is_some_and(|t| Resources::of_type(t).can_fit(&job.spec))
+    }
+
+    /// Kinds of machines that the job may use and the cloud has refused of late.
+    fn refused_kinds(&self, job: &Job, now: f64) -> Option<PendingReason> {
+        let refused = self
+            .capacity_backoff
+            .iter()
+            .filter(|((t, zone, spot), (until, _))| {
+                *until > now
+                    && job.allows(t, zone, *spot, &job.attempts_by_zone)
+                    && self.type_fits(t, job)
             });
-            let refused = self
-                .capacity_backoff
-                .iter()
-                .filter(|((t, zone, spot), (until, _))| {
-                    *until > now
-                        && job.allows(t, zone, *spot, &job.attempts_by_zone)
-                        && self
-                            .machine_types
-                            .get(t)
-                            .is_some_and(|t| Resources::of_type(t).can_fit(spec))
-                });
-            let untils: Vec<f64> = refused.map(|(_, (until, _))| *until).collect();
-            if let Some(first) = untils.iter().copied().reduce(f64::min) {
-                reasons.push(PendingReason::NoCapacity {
-                    kinds: untils.len(),
-                    again_s: first - now,
-                });
+        let backoff_ends: Vec<f64> = refused.map(|(_, (until, _))| *until).collect();
+        let first_end = backoff_ends.iter().copied().reduce(f64::min)?;
+        Some(PendingReason::NoCapacity {
+            kinds: backoff_ends.len(),
+            again_s: first_end - now,
+        })
+    }
+
+    /// Pending tasks of other jobs that are ahead of the job's.
+    fn tasks_ahead(
+        &self,
+        job: &Job,
+        within_guarantee: &HashSet<&str>,
+        now: f64,
+    ) -> Option<PendingReason> {
+        let rank = |group: &TaskGroup| {
+            let remaining_s = self.remaining_s(group.job, group.checkpointed_s());
+            Rank {
+                within_guarantee: within_guarantee.contains(group.job.spec.id.as_str()),
+                upt: self.utility(group.job, now + remaining_s * 0.5) / remaining_s,
             }
-        }
-        let groups = self.pending_groups(now).groups;
-        let rank = |g: &TaskGroup| {
-            let saved = g.resumable.map_or(0.0, |r| r.checkpointed_s);
-            let left = self.remaining_s(g.job, saved);
-            let upt = self.utility(g.job, now + left * 0.5) / left;
-            (within.contains(g.job.spec.id.as_str()), upt)
         };
-        let ours = rank(&TaskGroup {
+        let own = rank(&TaskGroup {
             job,
             resumable: None,
         });
-        let ahead = |g: &&TaskGroup| {
-            let theirs = rank(g);
-            g.job.spec.id != spec.id
-                && theirs
-                    .0
-                    .cmp(&ours.0)
-                    .then(theirs.1.total_cmp(&ours.1))
-                    .is_gt()
-        };
+        let groups = self.pending_groups(now).groups;
+        let is_ahead =
+            |group: &&TaskGroup| group.job.spec.id != job.spec.id && rank(group).is_ahead_of(&own);
         let (mut jobs, mut tasks) = (BTreeSet::new(), 0);
-        for group in groups.iter().filter(ahead) {
+        for group in groups.iter().filter(is_ahead) {
             jobs.insert(group.job.spec.id.as_str());
-            tasks += match group.resumable {
-                Some(_) => 1,
-                None => group.job.pending.len() as usize,
-            };
-        }
-        if tasks > 0 {
-            reasons.push(PendingReason::Behind {
-                jobs: jobs.len(),
-                tasks,
-            });
-        }
-        if room > 0 {
-            reasons.push(PendingReason::Room { machines: room });
+            tasks += group.task_count() as usize;
         }
+        (tasks > 0).then_some(PendingReason::Behind {
+            jobs: jobs.len(),
+            tasks,
+        })
     }
 
     fn why_not_running(&self, job: &Job, now: f64, reasons: &mut Vec<PendingReason>) {
-        let (mut starting, mut fetching, mut stopping, mut lost) = (0, 0, 0, 0);
-        let mut over_s: f64 = 0.0;
-        for worker in job
-            .attempts_by_worker
-            .keys()
-            .filter_map(|name| self.workers.get(name))
-        {
-            let quiet = now - worker.last_heartbeat_at.max(self.term_started_at)
-                >= self.config.heartbeat_interval_s * 2.5;
-            let ours = |h: &&Attempt| h.spec.id == job.spec.id && h.occupies_capacity();
-            for held in worker.attempts.iter().filter(ours) {
-                if quiet {
-                    lost += 1;
-                    over_s = over_s.max(self.lease_expiry(worker) - now);
-                } else if held.stop.is_some() {
-                    stopping += 1;
+        let tasks = self.count_not_running(job, now);
+        let by_count = [
+            (
+                tasks.out_of_reach,
+                PendingReason::OutOfReach {
+                    tasks: tasks.out_of_reach,
+                    over_s: tasks.over_s,
+                },
+            ),
+            (
+                tasks.fetching,
+                PendingReason::Fetching {
+                    tasks: tasks.fetching,
+                },
+            ),
+            (
+                tasks.starting,
+                PendingReason::Starting {
+                    tasks: tasks.starting,
+                },
+            ),
+            (
+                tasks.stopping,
+                PendingReason::Stopping {
+                    tasks: tasks.stopping,
+                },
+            ),
+        ];
+        let found = by_count.into_iter().filter(|(count, _)| *count > 0);
+        reasons.extend(found.map(|(_, reason)| reason));
+    }
+
+    fn count_not_running(&self, job: &Job, now: f64) -> NotRunning {
+        let mut tasks = NotRunning::default();
+        let names = job.attempts_by_worker.keys();
+        for worker in names.filter_map(|name| self.workers.get(name)) {
+            let silent_s = now - worker.last_heartbeat_at.max(self.term_started_at);
+            let is_silent = silent_s >= self.config.heartbeat_timeout_s();
+            let is_of_job = |a: &&Attempt| a.spec.id == job.spec.id && a.occupies_capacity();
+            for attempt in worker.attempts.iter().filter(is_of_job) {
+                if is_silent {
+                    tasks.out_of_reach += 1;
+                    tasks.over_s = tasks.over_s.max(self.lease_expiry(worker) - now);
+                } else if attempt.stop.is_some() {
+                    tasks.stopping += 1;
                 } else {
-                    match held.phase {
-                        AttemptPhase::Observed(TaskState::Fetching) => fetching += 1,
-                        AttemptPhase::Planned | AttemptPhase::Recorded => starting += 1,
+                    match attempt.phase {
+                        AttemptPhase::Observed(TaskState::Fetching) => tasks.fetching += 1,
+                        AttemptPhase::Planned | AttemptPhase::Recorded => tasks.starting += 1,
                         AttemptPhase::Observed(_) | AttemptPhase::Ended(_) => {}
                     }
                 }
             }
         }
-        let found = [
-            (
-                lost,
-                PendingReason::OutOfReach {
-                    tasks: lost,
-                    over_s,
-                },
-            ),
-            (fetching, PendingReason::Fetching { tasks: fetching }),
-            (starting, PendingReason::Starting { tasks: starting }),
-            (stopping, PendingReason::Stopping { tasks: stopping }),
-        ];
-        reasons.extend(found.into_iter().filter(|f| f.0 > 0).map(|f| f.1));
+        tasks
     }
 }
--- a/crates/tallygauge-scheduler/src/scale_in.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -1,97 +1,224 @@
-//! Machines that are more than open work needs, counting what it may rise by
-//! before others could boot.
+//! Scale-in: which machines are surplus, and which can be returned.
 //!
-//! Small tasks spread over many machines keep all of them from falling empty.
-//! Surplus ones, dear and little used first, are the last choice for new tasks,
-//! and go as soon as they are empty.
+//! A machine is surplus if open work does not need it, counting what demand may
+//! increase by before another could boot. Since small tasks spread over many machines
+//! would keep all of them from falling empty, surplus ones, expensive and little used
+//! ones first, are the last choice for new tasks, and are returned as soon as they are
+//! empty.
 
 use crate::{cluster_state::ClusterState, demand_history::DemandHistory, model::*};
 
 /// A machine that is returned earlier is charged for this long all the same.
-const LEAST_CHARGE_S: f64 = 60.0;
+const MIN_CHARGED_S: f64 = 60.0;
+
+/// Boot times after which a new leader has seen enough of the demand.
+const WARM_UP_BOOTS: f64 = 2.0;
+
+/// Boot time of a machine whose type is not known.
+const DEFAULT_BOOT_S: f64 = 60.0;
+
+/// A machine type by its size.
+struct TypeSize {
+    cpus: f64,
+    name: String,
+}
+
+/// A machine that may be surplus.
+struct SurplusCandidate<'a> {
+    was_surplus: bool,
+    /// Price of what is unused, per CPU.
+    unused_price: f64,
+    /// Index of its type in the order of size.
+    type_index: usize,
+    name: &'a str,
+}
+
+/// A machine that becomes surplus, or ceases to be.
+struct SurplusChange {
+    worker: String,
+    surplus: bool,
+}
 
 impl ClusterState {
-    /// Marks the machines that are surplus. To be called about once a report
+    /// Marks the machines that are surplus. To be called about once a heartbeat
     /// interval.
     pub fn mark_surplus_machines(&mut self, now: f64) {
-        let mut types: Vec<(f64, String)> = self
-            .machine_types
-            .values()
-            .map(|t| (t.cpus, t.name.clone()))
+        let types = self.types_by_size();
+        let boot_s = self.max_boot_s();
+        let demand = self.demand_by_size(&types);
+        let mut spare = self.capacity_by_size(&types, now);
+        self.demand_history
+            .resize_with(types.len(), DemandHistory::default);
+        for (index, history) in self.demand_history.iter_mut().enumerate() {
+            spare[index] -= demand[index] + history.record(now, demand[index], boot_s);
+        }
+        if now - self.term_started_at < boot_s * WARM_UP_BOOTS {
+            return;
+        }
+        for change in self.surplus_changes(&types, spare, now) {
+            if let Some(worker) = self.workers.get_mut(&change.worker) {
+                worker.surplus = change.surplus;
+            }
+        }
+    }
+
+    fn types_by_size(&self) -> Vec<TypeSize> {
+        let types = self.machine_types.values();
+        let mut sizes: Vec<TypeSize> = types
+            .map(|t| TypeSize {
+                cpus: t.cpus,
+                name: t.name.clone(),
+            })
             .collect();
-        types.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        let boot_s = self
-            .machine_types
-            .values()
-            .map(|t| t.boot_s)
-            .fold(0.0, f64::max);
-        // By place of a type in order of size: what only machines at least as
-        // large can serve, and what there is of those.
-        let mut wanted = vec![0.0; types.len()];
+        sizes.sort_by(|a, b| a.cpus.total_cmp(&b.cpus).then(a.name.cmp(&b.name)));
+        sizes
+    }
+
+    /// CPUs of open work that only machines of at least each type's size can serve.
+    fn demand_by_size(&self, types: &[TypeSize]) -> Vec<f64> {
+        let mut demand = vec![0.0; types.len()];
         for job in self.jobs.values() {
-            let holds = |t: &(f64, String)| {
-                Resources::of_type(&self.machine_types[&t.1]).can_fit(&job.spec)
-            };
-            if let Some(least) = types.iter().position(holds) {
-                let most = self.config.teams[job.team].max_cpus;
-                let cpus = (job.spec.cpus * f64::from(job.unfinished())).min(most);
-                wanted[..=least].iter_mut().for_each(|w| *w += cpus);
+            let fits =
+                |t: &TypeSize| Resources::of_type(&self.machine_types[&t.name]).can_fit(&job.spec);
+            if let Some(smallest) = types.iter().position(fits) {
+                let max_cpus = self.config.teams[job.team].max_cpus;
+                let cpus = (job.spec.cpus * f64::from(job.unfinished())).min(max_cpus);
+                demand[..=smallest].iter_mut().for_each(|d| *d += cpus);
             }
         }
-        let place = |w: &Worker| types.iter().position(|t| t.1 == w.machine_type);
-        let mut over = vec![0.0; types.len()];
-        for w in self
-            .workers
-            .values()
-            .filter(|w| w.accepts_work(now, &self.config))
-        {
-            if let Some(at) = place(w) {
-                over[..=at].iter_mut().for_each(|o| *o += types[at].0);
+        demand
+    }
+
+    /// CPUs of the usable machines of at least each type's size.
+    fn capacity_by_size(&self, types: &[TypeSize], now: f64) -> Vec<f64> {
+        let mut capacity = vec![0.0; types.len()];
+        for worker in self.usable_workers(now) {
+            if let Some(index) = type_index(types, worker) {
+                let cpus = types[index].cpus;
+                capacity[..=index].iter_mut().for_each(|c| *c += cpus);
             }
         }
-        self.demand_history
-            .resize_with(types.len(), DemandHistory::default);
-        for (at, rises) in self.demand_history.iter_mut().enumerate() {
-            over[at] -= wanted[at] + rises.record(now, wanted[at], boot_s);
-        }
-        // A leader new in office has seen no rises yet.
-        if now - self.term_started_at < boot_s * 2.0 {
-            return;
+        capacity
+    }
+
+    /// Which machines become surplus or cease to be, given the CPUs that are spare by
+    /// size.
+    fn surplus_changes(
+        &self,
+        types: &[TypeSize],
+        mut spare: Vec<f64>,
+        now: f64,
+    ) -> Vec<SurplusChange> {
+        let mut changes = Vec::new();
+        for candidate in self.surplus_candidates(types, now) {
+            let cpus = types[candidate.type_index].cpus;
+            let spare = &mut spare[..=candidate.type_index];
+            let surplus = spare.iter().all(|s| *s >= cpus);
+            if surplus {
+                spare.iter_mut().for_each(|s| *s -= cpus);
+            }
+            if surplus != candidate.was_surplus {
+                changes.push(SurplusChange {
+                    worker: candidate.name.to_string(),
+                    surplus,
+                });
+            }
         }
-        let mut dear: Vec<(bool, f64, usize, &str)> = self
-            .workers
-            .values()
-            .filter(|w| w.accepts_work(now, &self.config) && now - w.rented_at > LEAST_CHARGE_S)
-            .filter_map(|w| {
-                let at = place(w)?;
-                let t = self.machine_types.get(&w.machine_type)?;
-                let price = if w.spot { t.spot_price } else { t.price };
-                let unused = w.free_resources.cpus / t.cpus.max(1.0);
-                Some((
-                    w.surplus,
-                    price / t.cpus.max(1.0) * unused,
-                    at,
-                    w.name.as_str(),
-                ))
+        changes
+    }
+
+    /// Machines that may be surplus, in the order in which they should be: those that
+    /// were before first, so that not all stay half full, then by price.
+    fn surplus_candidates(&self, types: &[TypeSize], now: f64) -> Vec<SurplusCandidate<'_>> {
+        let mut candidates: Vec<SurplusCandidate> = self
+            .usable_workers(now)
+            .filter(|w| now - w.rented_at > MIN_CHARGED_S)
+            .filter_map(|worker| {
+                let type_index = type_index(types, worker)?;
+                let machine_type = self.machine_types.get(&worker.machine_type)?;
+                let price = if worker.spot {
+                    machine_type.spot_price
+                } else {
+                    machine_type.price
+                };
+                let cpus = machine_type.cpus.max(1.0);
+                let unused = worker.free_resources.cpus / cpus;
+                Some(SurplusCandidate {
+                    was_surplus: worker.surplus,
+                    unused_price: price / cpus * unused,
+                    type_index,
+                    name: &worker.name,
+                })
             })
             .collect();
-        // Those that were surplus before stay so, lest all stay half full.
-        dear.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)).then(a.3.cmp(b.3)));
-        let mut marks = Vec::new();
-        for (before, _, at, name) in dear {
-            let cpus = types[at].0;
-            let surplus = over[..=at].iter().all(|o| *o >= cpus);
-            if surplus {
-                over[..=at].iter_mut().for_each(|o| *o -= cpus);
+        candidates.sort_by(|a, b| {
+            b.was_surplus
+                .cmp(&a.was_surplus)
+                .then(b.unused_price.total_cmp(&a.unused_price))
+                .then(a.name.cmp(b.name))
+        });
+        candidates
+    }
+
+    /// Marks machines that have been idle for long as leaving, and returns the names of
+    /// all that can be returned now: leaving and empty, or given up.
+    pub fn returns(&mut self, now: f64) -> Vec<(String, LeaveReason)> {
+        let mut returnable = Vec::new();
+        let idle_boots = self.config.idle_boots;
+        let settle_s = 2.0 * self.config.list_lag_s;
+        for worker in self.workers.values_mut() {
+            let boot_s = self
+                .machine_types
+                .get(&worker.machine_type)
+                .map_or(DEFAULT_BOOT_S, |t| t.boot_s);
+            let is_empty = !worker.attempts.iter().any(Attempt::occupies_capacity);
+            let idle_s = now
+                - worker
+                    .idle_since
+                    .max(self.term_started_at)
+                    .max(worker.incarnation_seen_at);
+            if worker.leaving.is_none()
+                && is_empty
+                && worker.fencing_token_seen_at.is_some()
+                && (idle_s > boot_s * idle_boots || worker.surplus)
+            {
+                worker.leaving = Some((LeaveReason::Idle, now));
             }
-            if surplus != before {
-                marks.push((name.to_string(), surplus));
+            // Done tasks whose end is not durable yet would run again.
+            let has_unsaved_ends = worker
+                .attempts
+                .iter()
+                .any(|a| !a.occupies_capacity() && !a.end_durable);
+            let Some((reason, since)) = worker.leaving else {
+                continue;
+            };
+            let is_given_up = match reason {
+                LeaveReason::Unconfirmed => true,
+                LeaveReason::BootTimeout | LeaveReason::Failed => {
+                    now - self.term_started_at > settle_s
+                }
+                LeaveReason::Silent | LeaveReason::Unreachable => now - since > settle_s,
+                LeaveReason::Faulty | LeaveReason::Slow | LeaveReason::Idle => false,
+            };
+            if is_given_up || (is_empty && !has_unsaved_ends) {
+                returnable.push((worker.name.clone(), reason));
             }
         }
-        for (name, surplus) in marks {
-            if let Some(worker) = self.workers.get_mut(&name) {
-                worker.surplus = surplus;
+        returnable
+    }
+
+    /// Records that a request to return machines is being sent: they may be gone at any
+    /// time from now on.
+    pub fn return_sent(&mut self, names: &[String]) {
+        for name in names {
+            if let Some(worker) = self.workers.get_mut(name) {
+                worker.return_sent = true;
             }
         }
     }
 }
+
+/// Index of a worker's machine type.
+fn type_index(types: &[TypeSize], worker: &Worker) -> Option<usize> {
+    types.iter().position(|t| t.name == worker.machine_type)
+}
