--- a/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
@@ -1,4 +1,4 @@
-//! Cutoffs and ranks in the picture.
+//! Cutoffs and priority ranks in the cluster state.
 
 use super::*;
 use std::collections::BTreeSet;
@@ -38,23 +38,23 @@
     spec
 }
 
-fn picture(rules: Vec<CutoffRule>) -> ClusterState {
-    let mut c = cluster(&["sa"], 100.0);
-    c.set_time_of_day(100.0, DAY);
-    c.set_cutoff_rules(rules, false);
-    c
+fn cluster_with_rules(rules: Vec<CutoffRule>) -> ClusterState {
+    let mut cluster = cluster(&["sa"], 100.0);
+    cluster.set_time_of_day(100.0, DAY);
+    cluster.set_cutoff_rules(rules, false);
+    cluster
 }
 
-fn add(c: &mut ClusterState, spec: JobSpec, accepted: f64) {
+fn add(cluster: &mut ClusterState, spec: JobSpec, accepted: f64) {
     let id = spec.id.clone();
-    c.add_job(spec, 1, 100.0 + accepted - DAY, &RangeSet::default());
-    c.set_accepted_time_of_day(&id, accepted);
+    cluster.add_job(spec, 1, 100.0 + accepted - DAY, &RangeSet::default());
+    cluster.set_accepted_time_of_day(&id, accepted);
 }
 
-fn order(c: &mut ClusterState, now: f64) -> Vec<String> {
-    c.update_deadline_risk(now);
-    let mut jobs: Vec<&Job> = c.jobs.values().collect();
-    let upt = |j: &Job| c.ordering_utility(j, now) / c.remaining_s(j, 0.0);
+fn order(cluster: &mut ClusterState, now: f64) -> Vec<String> {
+    cluster.update_deadline_risk(now);
+    let mut jobs: Vec<&Job> = cluster.jobs.values().collect();
+    let upt = |j: &Job| cluster.ordering_utility(j, now) / cluster.remaining_s(j, 0.0);
     jobs.sort_by(|a, b| {
         upt(b)
             .total_cmp(&upt(a))
@@ -64,54 +64,54 @@
 }
 
 #[test]
-fn work_whose_cutoff_is_at_risk_rises_within_its_step_and_no_further() {
-    let mut c = picture(vec![nightly("lecture")]);
+fn cutoff_at_risk_boosts_jobs_within_their_priority() {
+    let mut cluster = cluster_with_rules(vec![nightly("lecture")]);
     // Four CPUs, 1000 s left: 24 tasks of 40 s fill them.
-    add(&mut c, job(1, "archive", 2), DAY - 50.0);
-    add(&mut c, job(2, "lecture", 5), DAY - 10.0);
+    add(&mut cluster, job(1, "archive", 2), DAY - 50.0);
+    add(&mut cluster, job(2, "lecture", 5), DAY - 10.0);
     assert_eq!(
-        order(&mut c, 100.0),
+        order(&mut cluster, 100.0),
         ["req-1", "req-2"],
         "no risk: the older"
     );
-    add(&mut c, job(3, "lecture", 18), DAY - 5.0);
-    assert_eq!(order(&mut c, 100.0), ["req-2", "req-3", "req-1"]);
-    let cutoff = &c.cutoff_statuses(100.0)[0];
+    add(&mut cluster, job(3, "lecture", 18), DAY - 5.0);
+    assert_eq!(order(&mut cluster, 100.0), ["req-2", "req-3", "req-1"]);
+    let cutoff = &cluster.cutoff_statuses(100.0)[0];
     assert_eq!((cutoff.open, cutoff.forecast.unwrap().at_risk), (2, true));
     // A higher urgency stays above, and who may be stopped is as before.
     let mut urgent = job(4, "archive", 1);
     urgent.priority = Priority::High;
-    add(&mut c, urgent, DAY);
-    assert_eq!(order(&mut c, 100.0)[0], "req-4");
-    let raised = &c.jobs["req-2"];
-    assert!(c.ordering_utility(raised, 100.0) > c.utility(raised, 100.0));
+    add(&mut cluster, urgent, DAY);
+    assert_eq!(order(&mut cluster, 100.0)[0], "req-4");
+    let raised = &cluster.jobs["req-2"];
+    assert!(cluster.ordering_utility(raised, 100.0) > cluster.utility(raised, 100.0));
     // What can't be met any more gives way to what can.
-    assert_eq!(order(&mut c, 100.0 + 990.0)[1], "req-1");
+    assert_eq!(order(&mut cluster, 100.0 + 990.0)[1], "req-1");
 }
 
 #[test]
-fn a_cutoff_is_counted_through_changes_of_leader_and_closes() {
+fn cutoff_counts_survive_failover_and_close() {
     let rules = vec![nightly("lecture")];
-    let mut c = picture(rules.clone());
+    let mut cluster = cluster_with_rules(rules.clone());
     for n in 1..=3 {
-        add(&mut c, job(n, "lecture", 2), DAY - 10.0);
+        add(&mut cluster, job(n, "lecture", 2), DAY - 10.0);
     }
-    let finish = |c: &mut ClusterState, id: &str, now: f64| {
-        let job = c.jobs.get_mut(id).unwrap();
+    let finish = |cluster: &mut ClusterState, id: &str, now: f64| {
+        let job = cluster.jobs.get_mut(id).unwrap();
         (job.completed, job.pending) = (RangeSet::first(2), RangeSet::default());
-        c.remove_job(id, now);
+        cluster.remove_job(id, now);
     };
-    finish(&mut c, "req-1", 110.0);
-    c.remove_job("req-3", 111.0);
-    c.update_deadline_risk(111.0);
-    let seen = c.cutoff_statuses(111.0);
+    finish(&mut cluster, "req-1", 110.0);
+    cluster.remove_job("req-3", 111.0);
+    cluster.update_deadline_risk(111.0);
+    let seen = cluster.cutoff_statuses(111.0);
     assert_eq!(
         (seen[0].done, seen[0].open),
         ((1, 0), 1),
         "a cancelled job counts for nothing"
     );
     // The next leader, on another steady clock, finds the same.
-    let text = serde_json::to_string(c.deadline_tracker()).unwrap();
+    let text = serde_json::to_string(cluster.deadline_tracker()).unwrap();
     let mut next = ClusterState::new(config(), 7000.0, 16, 4096);
     next.set_machine_types(&types());
     next.set_time_of_day(7000.0, DAY + 15.0);
@@ -147,28 +147,28 @@
     assert_eq!(next.deadline_tracker().results().count(), 1);
 }
 
-fn add_at(c: &mut ClusterState, spec: JobSpec, accepted: f64, now: f64) {
+fn add_at(cluster: &mut ClusterState, spec: JobSpec, accepted: f64, now: f64) {
     let id = spec.id.clone();
-    c.add_job(spec, 1, now - 20.0, &RangeSet::default());
-    c.set_accepted_time_of_day(&id, accepted);
+    cluster.add_job(spec, 1, now - 20.0, &RangeSet::default());
+    cluster.set_accepted_time_of_day(&id, accepted);
 }
 
 #[test]
-fn without_settings_cutoffs_are_drawn_and_change_nothing() {
-    let mut c = picture(Vec::new());
+fn inferred_cutoffs_do_not_boost_by_default() {
+    let mut cluster = cluster_with_rules(Vec::new());
     let mut due = job(1, "x", 40);
     due.deadline_s = Some(60.0);
-    add(&mut c, due, DAY);
-    add(&mut c, job(2, "y", 1), DAY);
-    c.update_deadline_risk(100.0);
-    assert_eq!(c.cutoff_statuses(100.0).len(), 1);
-    assert!(c.jobs.values().all(|j| j.boost == 0.0));
+    add(&mut cluster, due, DAY);
+    add(&mut cluster, job(2, "y", 1), DAY);
+    cluster.update_deadline_risk(100.0);
+    assert_eq!(cluster.cutoff_statuses(100.0).len(), 1);
+    assert!(cluster.jobs.values().all(|j| j.boost == 0.0));
 }
 
 // Exam-week lectures above archive reprocessing, by rank and window, under the
 // next leader as well, though its own file is older.
 #[test]
-fn ranks_order_what_is_equally_urgent_under_every_leader() {
+fn ranks_order_jobs_of_equal_priority_under_every_leader() {
     let rank = |class: &str, window: Option<&str>, rank| RankRule {
         class: Some(class.into()),
         team: None,
@@ -182,25 +182,28 @@
             rank("archive", None, 10),
         ],
     };
-    let RulesChange::New(ledger) = PriorityRules::default().declare(&file, DAY - 500.0) else {
+    let RulesChange::New(rules) = PriorityRules::default().declare(&file, DAY - 500.0) else {
         panic!("it is new");
     };
-    let mut c = picture(vec![nightly("lecture")]);
-    add(&mut c, job(1, "routine", 1), DAY - 90.0);
-    add(&mut c, job(2, "archive", 1), DAY - 50.0);
-    add(&mut c, job(3, "lecture", 1), DAY - 10.0);
+    let mut cluster = cluster_with_rules(vec![nightly("lecture")]);
+    add(&mut cluster, job(1, "routine", 1), DAY - 90.0);
+    add(&mut cluster, job(2, "archive", 1), DAY - 50.0);
+    add(&mut cluster, job(3, "lecture", 1), DAY - 10.0);
     assert_eq!(
-        order(&mut c, 100.0),
+        order(&mut cluster, 100.0),
         ["req-1", "req-2", "req-3"],
         "not in force yet"
     );
-    c.set_priority_rules(ledger.clone());
-    assert_eq!(order(&mut c, 100.0), ["req-3", "req-2", "req-1"]);
+    cluster.set_priority_rules(rules.clone());
+    assert_eq!(order(&mut cluster, 100.0), ["req-3", "req-2", "req-1"]);
     let older = DeclaredRules {
         version: 6,
         rules: vec![rank("routine", None, 99)],
     };
-    assert_eq!(ledger.declare(&older, DAY), RulesChange::Unchanged);
+    assert_eq!(rules.declare(&older, DAY), RulesChange::Unchanged);
     // The window is over; the lecture was accepted in it and keeps its rank.
-    assert_eq!(order(&mut c, 100.0 + 1500.0), ["req-3", "req-2", "req-1"]);
+    assert_eq!(
+        order(&mut cluster, 100.0 + 1500.0),
+        ["req-3", "req-2", "req-1"]
+    );
 }
--- a/crates/tallygauge-scheduler/tests/floor.rs
+++ b/crates/tallygauge-scheduler/tests/minimum_share_under_overload.rs
@@ -1,7 +1,7 @@
-//! Days with more work than room, played on the real picture: who is served.
+//! Simulated days with more work than capacity: which jobs are served.
 
 #[path = "../examples/overload/day.rs"]
-#[allow(dead_code)]
+#[allow(dead_code, reason = "the overload example uses the rest")]
 mod day;
 
 use day::{BULK, CPUS, Class, Day, FIX, Facts, RUSH, STEP, Setup, draw, spec};
@@ -30,29 +30,28 @@
     vec![with(BULK, 0.4), with(RUSH, 0.36), with(FIX, 0.24)]
 }
 
-fn played(setup: &Setup, jobs: Vec<Facts>) -> Day {
+fn simulate(setup: &Setup, jobs: Vec<Facts>) -> Day {
     let mut day = Day::new(setup);
     day.play(jobs, |_, _| {});
     day
 }
 
-fn least_class(day: &Day, classes: usize) -> f64 {
+fn min_class_share(day: &Day, classes: usize) -> f64 {
     let shares = (0..classes).map(|n| day.served(|f| f.class == n).1);
     shares.fold(1.0, f64::min)
 }
 
-// The floor is for days with more work than room. On all others not one
-// placement may differ, or it would cost what it was not made for.
+// The minimum share is for overload. Without it, not one placement may differ.
 #[test]
-fn below_overload_every_decision_is_as_without_a_floor() {
+fn without_overload_placements_equal_those_without_minimum_share() {
     for (seed, load, coming) in [(1, 0.3, 150.0), (2, 0.35, 150.0), (3, 0.6, 300.0)] {
         let with = setup(40, 300.0, mix(load));
         let without = Setup {
             share: 0.0,
             ..with.clone()
         };
-        let a = played(&with, draw(&with, coming, seed));
-        let b = played(&without, draw(&without, coming, seed));
+        let a = simulate(&with, draw(&with, coming, seed));
+        let b = simulate(&without, draw(&without, coming, seed));
         assert!(a.started > 500, "a day with work");
         assert!(a.placed == b.placed, "seed {seed} differs");
         assert_eq!((a.started, a.stopped), (b.started, b.stopped));
@@ -60,30 +59,34 @@
 }
 
 #[test]
-fn under_overload_no_class_and_no_team_falls_below_half() {
+fn under_overload_no_class_or_team_falls_below_minimum_share() {
     let with = setup(40, 900.0, mix(1.8));
     let without = Setup {
         share: 0.0,
         ..with.clone()
     };
-    let bare = played(&without, draw(&without, 300.0, 5));
+    let bare = simulate(&without, draw(&without, 300.0, 5));
     assert!(
-        least_class(&bare, 3) < 0.3,
-        "without a floor one class starves"
+        min_class_share(&bare, 3) < 0.3,
+        "without a minimum share one class starves"
     );
-    let day = played(&with, draw(&with, 300.0, 5));
+    let day = simulate(&with, draw(&with, 300.0, 5));
     assert!(day.possible(3, |f| f.class) > 0.8);
-    assert!(least_class(&day, 3) > 0.6, "{}", least_class(&day, 3));
+    assert!(
+        min_class_share(&day, 3) > 0.6,
+        "{}",
+        min_class_share(&day, 3)
+    );
     for team in 0..4 {
         assert!(day.served(|f| f.team == team).1 > 0.6);
     }
 }
 
-// Classes and teams as they come: a team with nothing but tasks as large as a
-// machine, jobs bound to a zone, a class of a single job, an array of thousands
-// of tasks, many teams, a zone that is cut meanwhile.
+// A team with nothing but tasks as large as a machine, jobs bound to a zone, a class of a
+// single job, an array of thousands of tasks, many teams, and a network partition of a
+// zone.
 #[test]
-fn hard_cases_are_served_as_well() {
+fn constrained_classes_and_teams_are_served_under_overload() {
     let mut classes = mix(1.2);
     let large = |name, cpus, load| Class {
         name,
@@ -121,12 +124,10 @@
         });
     }
     jobs.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let day = played(&setup, jobs);
+    let day = simulate(&setup, jobs);
     for (n, class) in classes.iter().enumerate() {
         let (jobs, done, _) = day.served(|f| f.class == n);
-        if false {
-            assert!(jobs > 0 && done >= 0.5, "{}: {done} of {jobs}", class.name);
-        }
+        assert!(jobs > 0 && done >= 0.5, "{}: {done} of {jobs}", class.name);
     }
     for team in 0..12 {
         let (jobs, done, _) = day.served(|f| f.team == team);
@@ -134,20 +135,19 @@
     }
 }
 
-/// Seconds that a class or team which is behind goes without any of its jobs
-/// being done, at most: its jobs come first on an equal part of the machines,
-/// which fall free within the longest task, and run for as long again; the next
-/// ones wait for those.
+/// Maximum seconds for which an underserved class or team has none of its jobs done: its
+/// jobs have priority on an equal part of the machines, which become free within the
+/// longest task, and run for as long again; the next ones wait for those.
 fn bound(longest_s: f64, rounds: f64) -> f64 {
     longest_s * (2.0 + rounds) + 4.0 * day::REPORT_S
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 12, rng_seed: proptest::test_runner::RngSeed::Fixed(41), failure_persistence: None, ..ProptestConfig::default() })]
-    // However arrivals are ordered, whoever is behind and has work that fits
-    // does not go without for longer than the bound.
+    // In whatever order jobs arrive, an underserved group with work that fits is served
+    // within the bound.
     #[test]
-    fn nobody_behind_goes_without_for_longer_than_the_bound(
+    fn underserved_groups_are_served_within_the_bound(
         arrivals in prop::collection::vec((0usize..3, 0usize..4, 0.0f64..200.0, 2u32..9, 10.0f64..40.0), 150..220),
     ) {
         let classes = mix(1.0);
@@ -159,12 +159,12 @@
         }).collect();
         jobs.sort_by(|a, b| a.at.total_cmp(&b.at));
         let mut day = Day::new(&setup);
-        let mut without: BTreeMap<(GroupKind, String), (u64, f64)> = BTreeMap::new();
+        let mut unserved: BTreeMap<(GroupKind, String), (u64, f64)> = BTreeMap::new();
         let (mut worst, mut behind) = (0.0f64, 0);
-        // The largest come after the least part of all: no bound is said for them.
+        // The largest jobs are after the minimum share of all groups: there is no bound for them.
         day.play(jobs, |day, _| for s in day.c.group_statuses().into_iter().filter(|s| s.key.kind != GroupKind::Largest) {
             let key = (s.key.kind, s.key.name.to_string());
-            let entry = without.entry(key).or_insert((s.counts.done, 0.0));
+            let entry = unserved.entry(key).or_insert((s.counts.done, 0.0));
             if entry.0 != s.counts.done || s.shortfall.to_target_share == 0 || s.shortfall.unfit >= s.open {
                 *entry = (s.counts.done, 0.0);
             } else {
@@ -173,7 +173,7 @@
                 worst = worst.max(entry.1);
             }
         });
-        prop_assert!(behind > 0, "a day on which somebody is behind");
+        prop_assert!(behind > 0, "a day on which a group is underserved");
         // Run times are at most 40 s, images 15 s more.
         prop_assert!(worst <= bound(55.0, 1.0), "{} s without", worst);
     }
