--- a/crates/tallygauge-scheduler/examples/overload/main.rs
+++ b/crates/tallygauge-scheduler/examples/overload/main.rs
@@ -1,10 +1,10 @@
-//! Days with more work than room: what part of each class and team is served,
-//! with the floor and without, against what is possible at all.
+//! Days with more work than capacity: what part of each class and team is served, with
+//! and without a minimum share, against what is possible at all.
 //!
 //! `cargo run --release -p tallygauge-scheduler --example overload -- --help`
 //!
-//! The picture is the real one; machines, tasks and time are played. Work comes
-//! in the first two fifths of the day, as on a day that ends in a burst.
+//! The cluster state is the real one; machines, tasks and time are simulated. Jobs
+//! arrive in the first two fifths of the day.
 
 mod day;
 
@@ -43,8 +43,8 @@
     hard: bool,
 }
 
-/// Part of the day in which work comes.
-const COMING: f64 = 0.4;
+/// Part of the day in which jobs arrive.
+const ARRIVAL_PART: f64 = 0.4;
 
 fn classes(args: &Args) -> Vec<Class> {
     let (urgent, rest) = (args.load * args.urgent, args.load * (1.0 - args.urgent));
@@ -87,7 +87,7 @@
     };
     for seed in 1..=args.seeds {
         let mut day = Day::new(&setup);
-        day.play(draw(&setup, args.seconds * COMING, seed), |_, _| {});
+        day.run(draw(&setup, args.seconds * ARRIVAL_PART, seed), |_, _| {});
         print!("seed {seed}: {:5} jobs |", day.jobs.len());
         for (n, class) in setup.classes.iter().enumerate() {
             let (_, done, timely) = day.served(|f| f.class == n);
@@ -102,7 +102,7 @@
             .sum();
         let capacity = args.machines as f64 * CPUS * args.seconds * (1.0 - args.cut * 0.1);
         let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len().max(1) as f64 * 1e3;
-        let most = |all: &[f64]| all.iter().copied().fold(0.0, f64::max) * 1e3;
+        let max = |all: &[f64]| all.iter().copied().fold(0.0, f64::max) * 1e3;
         println!(
             " | least team {:.2} | possible {:.2} of classes, {:.2} of teams | done {:.2} of the CPU time | {} starts, {} stops | round {:.2} ms, at most {:.1}; election {:.2}, at most {:.1}",
             teams.fold(1.0, f64::min),
@@ -112,9 +112,9 @@
             day.started,
             day.stopped,
             mean(&day.rounds),
-            most(&day.rounds),
+            max(&day.rounds),
             mean(&day.elections),
-            most(&day.elections),
+            max(&day.elections),
         );
     }
 }
--- a/crates/tallygauge-scheduler/tests/minimum_share_under_overload.rs
+++ b/crates/tallygauge-scheduler/tests/minimum_share_under_overload.rs
@@ -1,10 +1,10 @@
 //! Simulated days with more work than capacity: which jobs are served.
 
-#[path = "../examples/overload/day.rs"]
+#[path = "../examples/overload/day/mod.rs"]
 #[allow(dead_code, reason = "the overload example uses the rest")]
 mod day;
 
-use day::{BULK, CPUS, Class, Day, FIX, Facts, RUSH, STEP, Setup, draw, spec};
+use day::{BULK, CPUS, Class, Day, FIX, Facts, RUSH, STEP, Setup, draw};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use tallygauge_scheduler::GroupKind;
@@ -32,7 +32,7 @@
 
 fn simulate(setup: &Setup, jobs: Vec<Facts>) -> Day {
     let mut day = Day::new(setup);
-    day.play(jobs, |_, _| {});
+    day.run(jobs, |_, _| {});
     day
 }
 
@@ -112,7 +112,7 @@
     };
     let mut jobs = draw(&setup, 300.0, 9);
     for (class, tasks) in [(5, 6), (6, 3000), (6, 2000)] {
-        let mut spec = spec(&classes[class], 1, tasks, 30.0, 0);
+        let mut spec = classes[class].job_spec(1, tasks, 30.0, 0);
         spec.id = format!("req-9{class}{tasks}");
         jobs.push(Facts {
             class,
@@ -139,7 +139,7 @@
 /// jobs have priority on an equal part of the machines, which become free within the
 /// longest task, and run for as long again; the next ones wait for those.
 fn bound(longest_s: f64, rounds: f64) -> f64 {
-    longest_s * (2.0 + rounds) + 4.0 * day::REPORT_S
+    longest_s * (2.0 + rounds) + 4.0 * day::HEARTBEAT_INTERVAL_S
 }
 
 proptest! {
@@ -153,7 +153,7 @@
         let classes = mix(1.0);
         let setup = setup(6, 600.0, classes.clone());
         let mut jobs: Vec<Facts> = arrivals.into_iter().enumerate().map(|(n, (class, team, at, tasks, run_s))| {
-            let mut spec = spec(&classes[class], team, tasks, run_s, 0);
+            let mut spec = classes[class].job_spec(team, tasks, run_s, 0);
             spec.id = format!("req-{n:05}");
             Facts { class, team, at, run_s, spec, done_at: None }
         }).collect();
@@ -162,7 +162,7 @@
         let mut unserved: BTreeMap<(GroupKind, String), (u64, f64)> = BTreeMap::new();
         let (mut worst, mut behind) = (0.0f64, 0);
         // The largest jobs are after the minimum share of all groups: there is no bound for them.
-        day.play(jobs, |day, _| for s in day.c.group_statuses().into_iter().filter(|s| s.key.kind != GroupKind::Largest) {
+        day.run(jobs, |day, _| for s in day.cluster.group_statuses().into_iter().filter(|s| s.key.kind != GroupKind::Largest) {
             let key = (s.key.kind, s.key.name.to_string());
             let entry = unserved.entry(key).or_insert((s.counts.done, 0.0));
             if entry.0 != s.counts.done || s.shortfall.to_target_share == 0 || s.shortfall.unfit >= s.open {
