--- a/crates/tallygauge-scheduler/examples/overload/main.rs
+++ b/crates/tallygauge-scheduler/examples/overload/main.rs
@@ -11,7 +11,7 @@
 use clap::Parser;
 use day::{BULK, CPUS, Class, Day, FIX, Facts, RUSH, Setup, draw};
 
-/// Plays days with more work than room.
+/// Simulates days with more work than capacity.
 #[derive(Parser, Debug, Clone)]
 struct Args {
     /// Machines of 32 CPUs
@@ -29,10 +29,10 @@
     /// Seconds of the day
     #[arg(long, default_value_t = 1000.0)]
     seconds: f64,
-    /// Seeds, played in turn
+    /// Seeds, simulated in turn
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Share that the floor holds to; 0: none
+    /// Minimum share; 0: none
     #[arg(long, default_value_t = 0.65)]
     share: f64,
     /// Part of the machines that is cut off for a tenth of the day
--- a/crates/tallygauge-scheduler/examples/scale.rs
+++ b/crates/tallygauge-scheduler/examples/scale.rs
@@ -1,4 +1,4 @@
-//! What rounds, reports and a take-over cost by number of machines and tasks.
+//! What rounds, heartbeats and a recovery cost by number of machines and tasks.
 //!
 //! `cargo run --release -p tallygauge-scheduler --example scale -- --machines 500,1000`
 
@@ -96,41 +96,42 @@
     }
 }
 
-/// The workers, as far as reports need them.
+/// Simulated workers.
 #[derive(Default)]
 struct Workers {
-    seq: u64,
+    sequence: u64,
+    /// Tasks by worker, and when each ends.
     tasks: BTreeMap<String, Vec<(TaskStatus, f64)>>,
 }
 
 impl Workers {
-    /// Lets a worker report, and execute the answer. Returns the time it took
-    /// the picture.
-    fn check_in(&mut self, c: &mut ClusterState, name: &str, now: f64) -> f64 {
-        self.seq += 1;
+    /// Sends a worker's heartbeat and executes the response. Returns the seconds that the
+    /// cluster state took for it.
+    fn send_heartbeat(&mut self, cluster: &mut ClusterState, name: &str, now: f64) -> f64 {
+        self.sequence += 1;
         let tasks = self.tasks.entry(name.into()).or_default();
         for (task, until) in tasks.iter_mut() {
             if *until <= now && task.state != TaskState::Ended {
                 (task.state, task.cause) = (TaskState::Ended, Some(EndCause::Done));
             }
         }
-        let report = Heartbeat {
+        let heartbeat = Heartbeat {
             machine: name.into(),
             endpoint: "10.1.0.2:9000".into(),
             machine_type: "node".into(),
             zone: if name.ends_with('1') { "a" } else { "b" }.into(),
             spot: false,
             incarnation: 1,
-            sequence: self.seq,
+            sequence: self.sequence,
             token: 1,
             spot_notice_s: None,
             tasks: tasks.iter().map(|t| t.0.clone()).collect(),
         };
-        let began = Instant::now();
-        c.apply_heartbeat(now, &report, HeartbeatSource::Periodic);
-        let commands = c.commands(name, now);
-        c.record_heartbeat_response(name, &commands, now);
-        let took = began.elapsed().as_secs_f64();
+        let started_at = Instant::now();
+        cluster.apply_heartbeat(now, &heartbeat, HeartbeatSource::Periodic);
+        let commands = cluster.commands(name, now);
+        cluster.record_heartbeat_response(name, &commands, now);
+        let took = started_at.elapsed().as_secs_f64();
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
@@ -157,82 +158,144 @@
     }
 }
 
-fn fresh() -> ClusterState {
-    let mut c = ClusterState::new(config(), 0.0, 200, 7000);
-    c.set_machine_types(&[machine_type()]);
-    c
+fn empty_cluster() -> ClusterState {
+    let mut cluster = ClusterState::new(config(), 0.0, 200, 7000);
+    cluster.set_machine_types(&[machine_type()]);
+    cluster
 }
 
-fn play(machines: usize) {
-    let names: Vec<String> = (0..machines).map(|n| format!("host-{n:06}")).collect();
-    let (mut c, mut workers) = (fresh(), Workers::default());
-    let (mut rounds, mut reports, mut batches) = (Vec::new(), Vec::new(), 0usize);
-    let mut bytes = 0;
-    let mut live: BTreeMap<String, PlacementBatch> = BTreeMap::new();
-    let (mut next, mut placed, mut most_waiting) = (0, 0, 0);
-    // Ten steps a second; every worker reports each four seconds; work comes
-    // for nine tenths of the CPUs, half of it at the start.
-    for step in 0..1200u32 {
+/// Steps of a run, of a tenth of a second each.
+const STEPS: u32 = 1200;
+
+/// Time at the end of a run.
+const END_S: f64 = 120.0;
+
+/// A run with so many machines, and what was measured.
+struct Run {
+    machines: Vec<String>,
+    cluster: ClusterState,
+    workers: Workers,
+    live_batches: BTreeMap<String, PlacementBatch>,
+    jobs: usize,
+    placed: usize,
+    max_pending: u32,
+    /// Seconds that each round took.
+    rounds: Vec<f64>,
+    /// Seconds that each heartbeat took.
+    heartbeats: Vec<f64>,
+    batches: usize,
+    batch_bytes: usize,
+}
+
+impl Run {
+    fn new(machines: usize) -> Self {
+        Self {
+            machines: (0..machines).map(|n| format!("host-{n:06}")).collect(),
+            cluster: empty_cluster(),
+            workers: Workers::default(),
+            live_batches: BTreeMap::new(),
+            jobs: 0,
+            placed: 0,
+            max_pending: 0,
+            rounds: Vec::new(),
+            heartbeats: Vec::new(),
+            batches: 0,
+            batch_bytes: 0,
+        }
+    }
+
+    /// Every worker sends a heartbeat each four seconds.
+    fn step(&mut self, step: u32) {
         let now = f64::from(step) * 0.1;
-        let want = if step == 0 { machines / 6 } else { 0 }
-            + usize::from(step.is_multiple_of((9000 / machines.max(1) as u32).max(1)));
-        for _ in 0..want {
-            c.add_job(job(next, 90), 1, now, &RangeSet::default());
-            next += 1;
+        self.add_jobs(step, now);
+        let due = self.machines.iter().skip(step as usize % 40).step_by(40);
+        for name in due {
+            let took = self.workers.send_heartbeat(&mut self.cluster, name, now);
+            self.heartbeats.push(took);
         }
-        for name in names.iter().skip(step as usize % 40).step_by(40) {
-            reports.push(workers.check_in(&mut c, name, now));
+        self.run_round(step, now);
+        for done in self.cluster.completions(1000, &BTreeSet::new()) {
+            self.cluster.remove_job(&done.job, now);
         }
-        let began = Instant::now();
-        if step.is_multiple_of(3) {
-            c.advance_time(now);
+        let flush = self.cluster.next_flush(24, 49_152);
+        if let Some(flush) = flush.filter(|_| step.is_multiple_of(16)) {
+            self.cluster.record_flushed(&flush, 1);
         }
-        placed += c.run_round(now, true).0;
-        let made = c.take_placement_batches(7000, 90, now);
-        rounds.push(began.elapsed().as_secs_f64());
-        for batch in made {
-            batches += 1;
-            bytes += serde_json::to_string(&batch.record).map_or(0, |t| t.len());
-            c.record_batch_committed(&batch, now);
-            live.insert(batch.name.to_string(), batch);
+        self.cluster.take_direct_messages(now, 1.0).clear();
+        let pending: u32 = self.cluster.jobs.values().map(|j| j.pending.len()).sum();
+        self.max_pending = self.max_pending.max(pending);
+    }
+
+    /// Jobs arrive for nine tenths of the CPUs, half of them at the start.
+    fn add_jobs(&mut self, step: u32, now: f64) {
+        let machines = self.machines.len();
+        let at_start = if step == 0 { machines / 6 } else { 0 };
+        let interval = (9000 / machines.max(1) as u32).max(1);
+        for _ in 0..at_start + usize::from(step.is_multiple_of(interval)) {
+            let job = job(self.jobs, 90);
+            self.cluster.add_job(job, 1, now, &RangeSet::default());
+            self.jobs += 1;
         }
-        for done in std::mem::take(&mut c.obsolete_batches) {
-            live.remove(&*done);
+    }
+
+    fn run_round(&mut self, step: u32, now: f64) {
+        let started_at = Instant::now();
+        if step.is_multiple_of(3) {
+            self.cluster.advance_time(now);
         }
-        for done in c.completions(1000, &BTreeSet::new()) {
-            c.remove_job(&done.job, now);
+        self.placed += self.cluster.run_round(now, true).0;
+        let batches = self.cluster.take_placement_batches(7000, 90, now);
+        self.rounds.push(started_at.elapsed().as_secs_f64());
+        for batch in batches {
+            self.batches += 1;
+            self.batch_bytes += serde_json::to_string(&batch.record).map_or(0, |t| t.len());
+            self.cluster.record_batch_committed(&batch, now);
+            self.live_batches.insert(batch.name.to_string(), batch);
         }
-        if let Some(flush) = c.next_flush(24, 49_152).filter(|_| step.is_multiple_of(16)) {
-            c.record_flushed(&flush, 1);
+        for obsolete in std::mem::take(&mut self.cluster.obsolete_batches) {
+            self.live_batches.remove(&*obsolete);
         }
-        c.take_direct_messages(now, 1.0).clear();
-        let waiting: u32 = c.jobs.values().map(|j| j.pending.len()).sum();
-        most_waiting = most_waiting.max(waiting);
     }
-    let began = Instant::now();
-    let mut heir = fresh();
-    for j in c.jobs.values() {
-        heir.add_job((*j.spec).clone(), 1, 0.0, &j.completed);
+
+    /// Seconds that a new leader takes to restore the cluster state.
+    fn measure_recovery(&self) -> f64 {
+        let started_at = Instant::now();
+        let mut next_leader = empty_cluster();
+        for job in self.cluster.jobs.values() {
+            next_leader.add_job((*job.spec).clone(), 1, 0.0, &job.completed);
+        }
+        for batch in self.live_batches.values() {
+            next_leader.restore_placements(&batch.name, &batch.record, END_S, END_S);
+        }
+        started_at.elapsed().as_secs_f64()
     }
-    for batch in live.values() {
-        heir.restore_placements(&batch.name, &batch.record, 120.0, 120.0);
+}
+
+fn measure(machines: usize) {
+    let mut run = Run::new(machines);
+    for step in 0..STEPS {
+        run.step(step);
     }
-    let take_over = began.elapsed().as_secs_f64();
-    let began = Instant::now();
-    let rent = c.rentals(120.0).len();
-    c.mark_surplus_machines(120.0);
-    let demand = began.elapsed().as_secs_f64();
+    let recovery_s = run.measure_recovery();
+    let started_at = Instant::now();
+    let rented_kinds = run.cluster.rentals(END_S).len();
+    run.cluster.mark_surplus_machines(END_S);
+    let demand_s = started_at.elapsed().as_secs_f64();
     let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len() as f64 * 1e6;
-    let most = |all: &[f64]| all.iter().copied().fold(0.0, f64::max) * 1e6;
+    let max = |all: &[f64]| all.iter().copied().fold(0.0, f64::max) * 1e6;
     println!(
-        "{machines:5} machines: {next:4} jobs, {placed:6} placed, {most_waiting:6} waiting at most | round {:6.0} us, at most {:6.0} | report {:5.1} us | {batches:4} batches of {:5} bytes, {:3} live | take-over {:6.0} us | demand {:6.0} us ({rent} kinds)",
-        mean(&rounds),
-        most(&rounds),
-        mean(&reports),
-        bytes / batches.max(1),
-        live.len(),
-        take_over * 1e6,
-        demand * 1e6,
+        "{machines:5} machines: {:4} jobs, {:6} placed, {:6} waiting at most | round {:6.0} us, at most {:6.0} | report {:5.1} us | {:4} batches of {:5} bytes, {:3} live | take-over {:6.0} us | demand {:6.0} us ({rented_kinds} kinds)",
+        run.jobs,
+        run.placed,
+        run.max_pending,
+        mean(&run.rounds),
+        max(&run.rounds),
+        mean(&run.heartbeats),
+        run.batches,
+        run.batch_bytes / run.batches.max(1),
+        run.live_batches.len(),
+        recovery_s * 1e6,
+        demand_s * 1e6,
     );
 }
 
@@ -246,6 +309,6 @@
 
 fn main() {
     for machines in Options::parse().machines {
-        play(machines);
+        measure(machines);
     }
 }
--- a/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
@@ -85,7 +85,7 @@
     assert_eq!(order(&mut cluster, 100.0)[0], "req-4");
     let raised = &cluster.jobs["req-2"];
     assert!(cluster.ordering_utility(raised, 100.0) > cluster.utility(raised, 100.0));
-    // What can't be met any more gives way to what can.
+    // A cutoff that can't be met any more loses its boost.
     assert_eq!(order(&mut cluster, 100.0 + 990.0)[1], "req-1");
 }
 
--- a/crates/tallygauge-scheduler/src/tests/mod.rs
+++ b/crates/tallygauge-scheduler/src/tests/mod.rs
@@ -5,6 +5,7 @@
 mod image_locality;
 mod machines;
 mod minimum_share;
+mod pending_reasons;
 mod placement_batches;
 mod plain_model;
 mod preemption;
@@ -12,7 +13,6 @@
 mod reconciliation;
 mod recovery;
 mod start_deadline;
-mod why;
 
 use crate::{mapping::TaskGroup, *};
 use plain_model::*;
--- a/crates/tallygauge-scheduler/src/tests/plain_model.rs
+++ b/crates/tallygauge-scheduler/src/tests/plain_model.rs
@@ -69,7 +69,7 @@
             resumable: None,
         };
         let has_claim = cluster.minimum_share.claims.contains_key(id);
-        let mut spot: Option<(f64, f64, String)> = None;
+        let mut best: Option<(f64, f64, String)> = None;
         for (name, free) in &self.free {
             let w = &self.workers[name];
             let reserved = cluster.minimum_share.reserved.get(name);
@@ -98,12 +98,12 @@
             };
             let score =
                 time + cluster.packing_cost_s(w, of_type, free.cpus, self.largest, contended_cpus);
-            if spot.as_ref().is_none_or(|s| score < s.0) {
+            if best.as_ref().is_none_or(|b| score < b.0) {
                 let upt = cluster.ordering_utility(job, self.now + time * 0.5) / time;
-                spot = Some((score, upt, name.clone()));
+                best = Some((score, upt, name.clone()));
             }
         }
-        spot.map(|s| (s.1, s.2))
+        best.map(|b| (b.1, b.2))
     }
 
     pub(super) fn start(&mut self, at: usize, name: String) {
--- a/crates/tallygauge-scheduler/src/tests/preemption.rs
+++ b/crates/tallygauge-scheduler/src/tests/preemption.rs
@@ -9,10 +9,10 @@
     low.priority = Priority::Low;
     cluster.add_job(low, 1, 90.0, &RangeSet::default());
     assert_eq!(round(&mut cluster, 100.0).len(), 2);
-    let held: Vec<(String, u64)> = start_of(&cluster, "sa", 100.0);
+    let started: Vec<(String, u64)> = start_of(&cluster, "sa", 100.0);
     // One is nearly done: its UPT is the greater.
     let run = |seq| {
-        let tasks = held
+        let tasks = started
             .iter()
             .map(|h| task(&h.0, h.1, TaskState::Running, None))
             .collect();
@@ -27,7 +27,7 @@
     cluster.add_job(high, 1, 101.0, &RangeSet::default());
     assert!(
         round(&mut cluster, 101.0).is_empty(),
-        "no room before the stop is confirmed"
+        "nothing is free before the stop is confirmed"
     );
     let stops: Vec<Command> = cluster.commands("sa", 101.0);
     assert!(
@@ -67,15 +67,15 @@
     let mut cluster = cluster(&["sa"], 100.0);
     cluster.add_job(spec(1, 1, 2.0), 1, 90.0, &RangeSet::default());
     round(&mut cluster, 100.0);
-    let held = &mut cluster.workers.get_mut("sa").unwrap().attempts[0];
-    held.running_since = Some(100.0);
-    let held = held.clone();
-    let almost = cluster.upt_running(&held, 138.0);
+    let attempt = &mut cluster.workers.get_mut("sa").unwrap().attempts[0];
+    attempt.running_since = Some(100.0);
+    let attempt = attempt.clone();
+    let almost_done = cluster.upt_running(&attempt, 138.0);
     assert!(
-        cluster.upt_running(&held, 160.0) < almost,
+        cluster.upt_running(&attempt, 160.0) < almost_done,
         "40 s expected, 60 s run"
     );
-    assert!(cluster.upt_running(&held, 400.0) < cluster.upt_running(&held, 160.0));
+    assert!(cluster.upt_running(&attempt, 400.0) < cluster.upt_running(&attempt, 160.0));
 }
 
 #[test]
@@ -136,8 +136,8 @@
     cluster.add_job(high, 1, 101.0, &RangeSet::default());
     round(&mut cluster, 102.0);
     let stops = |cluster: &ClusterState| {
-        let held = cluster.workers.values().flat_map(|w| &w.attempts);
-        held.filter(|h| h.stop.is_some()).count()
+        let attempts = cluster.workers.values().flat_map(|w| &w.attempts);
+        attempts.filter(|h| h.stop.is_some()).count()
     };
     assert_eq!(
         stops(&cluster),
@@ -148,6 +148,6 @@
     assert_eq!(
         stops(&cluster),
         2,
-        "room that is being made is not made twice"
+        "resources that are being freed are not freed twice"
     );
 }
--- a/crates/tallygauge-scheduler/src/tests/start_deadline.rs
+++ b/crates/tallygauge-scheduler/src/tests/start_deadline.rs
@@ -270,9 +270,9 @@
     assert!(cluster.start_deadlines.claims.values().all(|t| t.large));
 }
 
-// On a drawn day with more work than machines, jobs that were not large had no task
-// for 300 to 700 s while the floor bound, though machines with room stood beside
-// them. Each begins with one task now, on a small part of the machines.
+// Regression: with more work than machines, jobs that were not large had no task for 300 to
+// 700 s while the minimum share gave others priority, although machines had free resources.
+// Each starts with one task, on a small part of the machines.
 #[test]
 fn small_jobs_start_on_limited_share_while_claims_exist() {
     let names: Vec<String> = (0..10).map(|n| format!("s{n}")).collect();
