--- a/crates/tallygauge-scheduler/src/attempt_accounting.rs
+++ b/crates/tallygauge-scheduler/src/attempt_accounting.rs
@@ -1,7 +1,7 @@
 //! What is held where: attempts on workers, rooms, team ledgers, and the tasks
 //! that wait again.
 
-use crate::{cluster_state::ClusterState, model::*};
+use crate::{cluster_state::ClusterState, events::ClusterEvent, model::*};
 use std::collections::BTreeMap;
 use tallygauge_protocol::users::MIN_COUNTED_RUN_S;
 
@@ -36,10 +36,10 @@
         for held in self.remove_attempts(name, which) {
             if held.occupies_capacity() {
                 self.requeue_lost(name, &held, now);
-                self.events.push((
-                    false,
-                    format!("{} is lost with a session of {name}", held.task_name()),
-                ));
+                self.events.push(ClusterEvent::AttemptLost {
+                    task: held.task_name(),
+                    machine: name.to_string(),
+                });
             }
             // An end that was not durable yet stands in the picture: a done
             // task counts as soon as its worker has said so.
--- a/crates/tallygauge-scheduler/src/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines.rs
@@ -4,7 +4,7 @@
 //! Users' urgency and teams' guarantees alone decide what may be stopped; this
 //! decides the order among what waits.
 
-use crate::{cluster_state::ClusterState, model::*};
+use crate::{cluster_state::ClusterState, events::ClusterEvent, model::*};
 use std::collections::BTreeMap;
 use tallygauge_deadlines::{
     CutoffEvent, CutoffLoad, CutoffRule, CutoffWindow, DeadlineTracker, Forecast, forecasts,
@@ -113,8 +113,10 @@
         if let Some(due) = job.cutoff.clone()
             && let Some(CutoffEvent::Opened(name)) = self.batch_deadlines.tracker.add_job(&due)
         {
-            let text = format!("cutoff {name} opens");
-            self.events.push((due.declared, text));
+            self.events.push(ClusterEvent::CutoffOpened {
+                cutoff: name,
+                is_declared: due.declared,
+            });
         }
     }
 
@@ -164,29 +166,33 @@
         for ((name, need), verdict) in needs.iter().zip(found) {
             let before = self.batch_deadlines.forecasts.get(*name);
             if verdict.at_risk && !before.is_some_and(|v| v.at_risk) {
-                let text = format!(
-                    "cutoff {name} is at risk: {} jobs, {:.0} CPU-s left, {:.0} s late as it stands, {:.0} CPUs lacking",
-                    need.jobs, need.work, -verdict.slack_s, verdict.missing_cpus
-                );
-                events.push((need.due.declared, text));
+                events.push(ClusterEvent::CutoffAtRisk {
+                    cutoff: need.due.name.clone(),
+                    is_declared: need.due.declared,
+                    open_jobs: need.jobs,
+                    remaining_cpu_s: need.work,
+                    late_s: -verdict.slack_s,
+                    missing_cpus: verdict.missing_cpus,
+                });
             }
             verdicts.insert(need.due.name.clone(), verdict);
         }
         let open = |name: &str| needs.get(name).map_or(0, |n| n.jobs);
         for event in self.batch_deadlines.tracker.expire(at, &open) {
-            events.push((
-                true,
-                match event {
-                    CutoffEvent::Opened(name) => format!("cutoff {name} opens"),
-                    CutoffEvent::Missed(name) => {
-                        format!("cutoff {name} has passed with {} jobs open", open(&name))
-                    }
-                    CutoffEvent::Closed(name, true, _) => format!("cutoff {name} was met"),
-                    CutoffEvent::Closed(name, false, late) => {
-                        format!("cutoff {name} was missed by {late:.0} s")
-                    }
+            events.push(match event {
+                CutoffEvent::Opened(cutoff) => ClusterEvent::CutoffOpened {
+                    cutoff,
+                    is_declared: true,
+                },
+                CutoffEvent::Missed(cutoff) => ClusterEvent::CutoffPassed {
+                    open_jobs: open(&cutoff),
+                    cutoff,
                 },
-            ));
+                CutoffEvent::Closed(cutoff, true, _) => ClusterEvent::CutoffMet { cutoff },
+                CutoffEvent::Closed(cutoff, false, late_s) => {
+                    ClusterEvent::CutoffMissed { cutoff, late_s }
+                }
+            });
         }
         self.events.extend(events);
         self.batch_deadlines.forecasts = verdicts;
--- a/crates/tallygauge-scheduler/src/cluster_state.rs
+++ b/crates/tallygauge-scheduler/src/cluster_state.rs
@@ -2,6 +2,7 @@
 
 use crate::{
     completion_pages::CompletionPages,
+    events::ClusterEvent,
     model::*,
     parts::{BatchDeadlines, DemandHistory, MinimumShare, ReconciliationCursor, StartDeadlines},
     range_set::RangeSet,
@@ -80,9 +81,8 @@
     pub(crate) demand_history: Vec<DemandHistory>,
     /// The earliest backoff end that the last round met.
     pub(crate) next_backoff_end: Option<f64>,
-    /// What happened and an operator may want to know, for the log: whether it
-    /// weighs much, and the words.
-    pub events: Vec<(bool, String)>,
+    /// What happened since they were last drained, for the log.
+    pub events: Vec<ClusterEvent>,
     /// Something changed that a round should look at.
     pub needs_scheduling: bool,
     /// Machines that went: old lists and late reports may still show them.
@@ -223,10 +223,7 @@
                 match held.phase {
                     AttemptPhase::Ended(_) => held.end_durable = true,
                     _ => {
-                        held.stop = Some(StopDecision {
-                            reason: StopReason::Cancelled,
-                            at: now,
-                        });
+                        held.request_stop(StopReason::Cancelled, now);
                     }
                 }
             }
--- a/crates/tallygauge-scheduler/src/heartbeats.rs
+++ b/crates/tallygauge-scheduler/src/heartbeats.rs
@@ -1,636 +1,297 @@
-//! Reports: what a worker says of its tasks, and what follows from it.
+//! Heartbeats: which of them are accepted, in which order, and from which agent
+//! incarnation.
+//!
+//! The evidence that a heartbeat gives of its worker's reachability is in
+//! `reachability`, what it says of tasks in `task_status`.
 
-use crate::{cluster_state::ClusterState, commands::DirectMessage, model::*};
-use std::collections::HashMap;
-use tallygauge_health::{Arrival, Evidence, SequenceMark};
-use tallygauge_protocol::{
-    users::Shape,
-    workers::{EndCause, Heartbeat, RESPONSE_TIMEOUT_S, TaskState, TaskStatus},
+use crate::{
+    cluster_state::ClusterState, commands::DirectMessage, events::ClusterEvent, model::*,
+    task_status::is_unchanged,
 };
+use tallygauge_health::{Arrival, SequenceMark};
+use tallygauge_protocol::workers::{Heartbeat, RESPONSE_TIMEOUT_S};
 
-/// What a report means for this node.
+/// What a heartbeat means for this controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// Taken up; it may be answered.
+    /// Applied; it may be answered.
     Applied,
-    /// Older than what is known, but its worker may wait for the answer.
+    /// Older than what is known, but its worker may wait for the response.
     Overtaken,
-    /// Older than what is known: a late copy, or of a worker that has begun
-    /// again. Nobody waits for an answer that should be kept.
+    /// Older than what is known: a late copy, or from an agent that restarted.
+    /// Nobody waits for a response that should be kept.
     Stale,
-    /// From a session that is over: answering would serve nobody.
+    /// From an agent incarnation that is over: a response would serve nobody.
     DeadIncarnation,
-    /// A higher token is about: this node leads no more.
+    /// It carries a higher fencing token, which is returned: this controller is the
+    /// leader no more.
     Deposed(u64),
 }
 
-/// How a report came.
+/// How a heartbeat arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// As a check-in. The worker sends one only when it has taken or given up
-    /// the answer to the one before.
+    /// As a request of the worker. It sends one only when it has received the
+    /// response to the one before, or given up waiting for it.
     Periodic,
-    /// With the answer to a direct message. An answer to a check-in, with
-    /// starts in it, may still be on its way to the worker.
+    /// With the response to a direct message. A heartbeat response, with starts in
+    /// it, may still be on its way to the worker.
     DirectReply,
 }
 
 impl ClusterState {
-    /// Takes up a worker's report.
+    /// Applies a worker's heartbeat.
     pub fn apply_heartbeat(
         &mut self,
         now: f64,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         source: HeartbeatSource,
     ) -> HeartbeatOutcome {
-        if report.token > self.config.term {
-            return HeartbeatOutcome::Deposed(report.token);
+        if heartbeat.token > self.config.term {
+            return HeartbeatOutcome::Deposed(heartbeat.token);
         }
-        if !self.workers.contains_key(&report.machine) {
-            // A late copy must not make a room that nobody has.
-            if self.tombstones.contains(&report.machine) {
-                return HeartbeatOutcome::DeadIncarnation;
-            }
-            self.register_machine(
-                &report.machine,
-                &report.machine_type,
-                &report.zone,
-                report.spot,
-                &report.endpoint,
-                now,
-            );
+        if !self.ensure_registered(heartbeat, now) {
+            return HeartbeatOutcome::DeadIncarnation;
         }
-        let term = self.config.term;
-        let Some(worker) = self.workers.get_mut(&report.machine) else {
+        if let Err(outcome) = self.accept_in_order(now, heartbeat, source) {
+            return outcome;
+        }
+        self.assess_reachability(now, heartbeat, source);
+        let Some(is_known_incarnation) = self.record_contact(now, heartbeat, source) else {
             return HeartbeatOutcome::Stale;
         };
-        if report.incarnation <= worker.last_dead_incarnation {
+        // Most heartbeats say nothing new, and should cost next to nothing.
+        if is_known_incarnation && self.is_routine(heartbeat) {
+            return HeartbeatOutcome::Applied;
+        }
+        // Without our token it may come from another life of the machine that ended
+        // before this term, with higher incarnations than the one that runs our tasks.
+        if heartbeat.incarnation > 1 && heartbeat.token == self.config.term {
+            self.end_incarnation(&heartbeat.machine, heartbeat.incarnation - 1, now);
+        }
+        self.apply_task_statuses(now, heartbeat, source);
+        self.follow_up(now, &heartbeat.machine);
+        HeartbeatOutcome::Applied
+    }
+
+    /// Applies the heartbeat in the response to a direct message: only a live agent
+    /// sends one, with a sequence number above all that it had sent before the
+    /// message.
+    pub fn apply_direct_reply(
+        &mut self,
+        now: f64,
+        message: &DirectMessage,
+        heartbeat: &Heartbeat,
+    ) -> HeartbeatOutcome {
+        if heartbeat.token > self.config.term {
+            return HeartbeatOutcome::Deposed(heartbeat.token);
+        }
+        if sequence_mark(heartbeat).is_restart_since(message.sent_after) {
+            self.handle_agent_restart(&heartbeat.machine, Some(heartbeat), now);
             return HeartbeatOutcome::DeadIncarnation;
         }
-        let mark = sequence_mark(report);
+        if let Some(worker) = self.workers.get_mut(&heartbeat.machine) {
+            worker.confirm_reachable();
+        }
+        self.apply_heartbeat(now, heartbeat, HeartbeatSource::DirectReply)
+    }
+
+    /// Registers the heartbeat's machine if it is not known. Returns `false` if the
+    /// machine is gone: a late copy of a heartbeat must not add its capacity again.
+    fn ensure_registered(&mut self, heartbeat: &Heartbeat, now: f64) -> bool {
+        if self.workers.contains_key(&heartbeat.machine) {
+            return true;
+        }
+        if self.tombstones.contains(&heartbeat.machine) {
+            return false;
+        }
+        self.register_machine(
+            &heartbeat.machine,
+            &heartbeat.machine_type,
+            &heartbeat.zone,
+            heartbeat.spot,
+            &heartbeat.endpoint,
+            now,
+        );
+        true
+    }
+
+    /// Checks that a heartbeat is newer than all that were applied, and of a live
+    /// incarnation; else returns what it means. Records the fencing token that an
+    /// accepted one shows.
+    fn accept_in_order(
+        &mut self,
+        now: f64,
+        heartbeat: &Heartbeat,
+        source: HeartbeatSource,
+    ) -> Result<(), HeartbeatOutcome> {
+        let Some(worker) = self.workers.get_mut(&heartbeat.machine) else {
+            return Err(HeartbeatOutcome::Stale);
+        };
+        if heartbeat.incarnation <= worker.last_dead_incarnation {
+            return Err(HeartbeatOutcome::DeadIncarnation);
+        }
+        let mark = sequence_mark(heartbeat);
         match worker.message_order.classify(mark, now, RESPONSE_TIMEOUT_S) {
             Arrival::New => {}
-            Arrival::Overtaken => return HeartbeatOutcome::Overtaken,
+            Arrival::Overtaken => return Err(HeartbeatOutcome::Overtaken),
             Arrival::Old => {
-                // A worker that has begun again counts from the beginning: whoever
-                // lives is asked.
+                // A restarted agent counts from the beginning: a probe tells which
+                // of the two is alive.
                 if source == HeartbeatSource::Periodic && mark != worker.message_order.newest {
                     worker.message_order.request_liveness_probe();
-                    self.needs_direct_message.insert(report.machine.clone());
+                    self.needs_direct_message.insert(heartbeat.machine.clone());
                 }
-                return HeartbeatOutcome::Stale;
+                return Err(HeartbeatOutcome::Stale);
             }
         }
-        // Tokens never fall as long as a worker lives.
-        if report.token < worker.fencing_token && source == HeartbeatSource::Periodic {
-            self.handle_agent_restart(&report.machine, None, now);
-            return HeartbeatOutcome::DeadIncarnation;
+        // An agent's fencing token never decreases while it lives.
+        if heartbeat.token < worker.fencing_token && source == HeartbeatSource::Periodic {
+            self.handle_agent_restart(&heartbeat.machine, None, now);
+            return Err(HeartbeatOutcome::DeadIncarnation);
         }
-        worker.fencing_token = worker.fencing_token.max(report.token);
-        // What was held back on the way comes all at once, and shows nothing of
-        // how its worker heard us.
+        worker.fencing_token = worker.fencing_token.max(heartbeat.token);
+        // Heartbeats that were delayed on the way arrive all at once, and show
+        // nothing of which responses their worker received.
         if now - worker.last_heartbeat_at > self.config.heartbeat_timeout_s() {
             worker.heartbeats_steady_since = now;
         }
-        self.assess_reachability(now, report, source);
-        let Some(worker) = self.workers.get_mut(&report.machine) else {
-            return HeartbeatOutcome::Stale;
-        };
-        if worker.endpoint != report.endpoint {
-            worker.endpoint.clone_from(&report.endpoint);
+        Ok(())
+    }
+
+    /// Records what a heartbeat says of the worker itself. Returns whether its
+    /// incarnation was known before; nothing if the worker is not known.
+    fn record_contact(
+        &mut self,
+        now: f64,
+        heartbeat: &Heartbeat,
+        source: HeartbeatSource,
+    ) -> Option<bool> {
+        let worker = self.workers.get_mut(&heartbeat.machine)?;
+        if worker.endpoint != heartbeat.endpoint {
+            worker.endpoint.clone_from(&heartbeat.endpoint);
         }
         worker.last_heartbeat_at = now;
         if worker.reachability.needs_probe() {
-            self.needs_direct_message.insert(report.machine.clone());
+            self.needs_direct_message.insert(heartbeat.machine.clone());
         } else {
             worker.direct_failures = 0;
         }
-        // It lives after all.
         worker.revoke_leave(&[LeaveReason::BootTimeout, LeaveReason::Silent]);
-        let same_session = report.incarnation == worker.incarnation;
-        if report.incarnation > worker.incarnation {
+        let is_known_incarnation = heartbeat.incarnation == worker.incarnation;
+        if heartbeat.incarnation > worker.incarnation {
             self.needs_scheduling = true;
             worker.incarnation_seen_at = now;
         }
-        worker.incarnation = report.incarnation;
-        worker
-            .message_order
-            .advance(mark, source == HeartbeatSource::DirectReply, now);
-        if report.token == term && worker.fencing_token_seen_at.is_none() {
+        worker.incarnation = heartbeat.incarnation;
+        worker.message_order.advance(
+            sequence_mark(heartbeat),
+            source == HeartbeatSource::DirectReply,
+            now,
+        );
+        if heartbeat.token == self.config.term && worker.fencing_token_seen_at.is_none() {
             self.needs_scheduling = true;
             worker.fencing_token_seen_at = Some(now);
         }
-        if report.spot_notice_s.is_some() && worker.spot_notice_until.is_none() {
+        if worker.update_spot_notice(heartbeat.spot_notice_s, now) {
             self.needs_scheduling = true;
-            self.events
-                .push((true, format!("{} will be taken back", report.machine)));
-        }
-        match (report.spot_notice_s, worker.spot_notice_until) {
-            (Some(s), None) => worker.spot_notice_until = Some(now + s),
-            (Some(s), Some(t)) => worker.spot_notice_until = Some(t.min(now + s)),
-            (None, _) => worker.spot_notice_until = None,
-        }
-        // Most reports say nothing new, and cost next to nothing.
-        if same_session
-            && worker.fencing_token_seen_at.is_some()
-            && worker.spot_notice_until.is_none()
-            && worker.leaving.is_none()
-            && is_unchanged(worker, &report.tasks)
-        {
-            return HeartbeatOutcome::Applied;
-        }
-        // Without our token it may be of another life: one that ended before this
-        // term, its sessions beyond those of the one that runs our tasks.
-        if report.incarnation > 1 && report.token == term {
-            self.end_incarnation(&report.machine, report.incarnation - 1, now);
-        }
-        self.apply_task_statuses(now, report, source);
-        if let Some(worker) = self.workers.get(&report.machine) {
-            if worker.fencing_token_seen_at.is_none() {
-                self.needs_direct_message.insert(report.machine.clone());
-            }
-            if worker.spot_notice_until.is_some() || worker.leaving.is_some() {
-                self.stop_unwanted_attempts(&report.machine, now);
-            }
-        }
-        HeartbeatOutcome::Applied
-    }
-
-    /// Takes up the answer to a direct message: only who lives gives one, with a
-    /// number above all that it had sent before it was asked.
-    pub fn apply_direct_reply(
-        &mut self,
-        now: f64,
-        message: &DirectMessage,
-        report: &Heartbeat,
-    ) -> HeartbeatOutcome {
-        if report.token > self.config.term {
-            return HeartbeatOutcome::Deposed(report.token);
-        }
-        let mark = sequence_mark(report);
-        if mark.is_restart_since(message.sent_after) {
-            self.handle_agent_restart(&report.machine, Some(report), now);
-            return HeartbeatOutcome::DeadIncarnation;
-        }
-        if let Some(worker) = self.workers.get_mut(&report.machine) {
-            Self::confirm_reachable(worker);
+            self.events.push(ClusterEvent::SpotNoticeReceived {
+                machine: heartbeat.machine.clone(),
+            });
         }
-        self.apply_heartbeat(now, report, HeartbeatSource::DirectReply)
+        Some(is_known_incarnation)
     }
 
-    /// What is sent to a machine reaches it.
-    fn confirm_reachable(worker: &mut Worker) {
-        worker.reachability.confirm();
-        worker.revoke_leave(&[LeaveReason::Unreachable]);
+    /// Whether a heartbeat of a known incarnation changes nothing.
+    fn is_routine(&self, heartbeat: &Heartbeat) -> bool {
+        self.workers.get(&heartbeat.machine).is_some_and(|worker| {
+            worker.fencing_token_seen_at.is_some()
+                && worker.spot_notice_until.is_none()
+                && worker.leaving.is_none()
+                && is_unchanged(worker, &heartbeat.tasks)
+        })
     }
 
-    /// Weighs what a new report says of its worker's hearing: whether it shows
-    /// what the answer before it carried. A worker sends a check-in when it has
-    /// taken or given up the answer to the one before.
-    fn assess_reachability(&mut self, now: f64, report: &Heartbeat, source: HeartbeatSource) {
-        let (cfg, limits) = (&self.config, self.config.reachability_thresholds());
-        if source != HeartbeatSource::Periodic {
-            return;
-        }
-        let Some(worker) = self.workers.get_mut(&report.machine) else {
+    /// Decides what a worker needs after its heartbeat was applied: our fencing
+    /// token, or stops of what should not stay on it.
+    fn follow_up(&mut self, now: f64, machine: &str) {
+        let Some(worker) = self.workers.get(machine) else {
             return;
         };
-        let renewed = worker.lease_renewed_at;
-        let mut sign = None;
-        if report.incarnation > worker.incarnation {
-            // Answered all the time, its session lasts for a lease from the last
-            // answer; a few of them may have been lost.
-            let sure =
-                renewed + cfg.lease_s - cfg.heartbeat_interval_s * 2.5 - cfg.timing_margin_s();
-            let steady = now - worker.heartbeats_steady_since > cfg.heartbeat_interval_s * 3.0;
-            sign = (now < sure && steady).then_some(Evidence::LeaseExpired);
-        } else if worker.acknowledgement_due {
-            let shown = |h: &Attempt| {
-                let there = |t: &&TaskStatus| t.attempt == h.number && h.has_task_name(&t.task);
-                report.tasks.iter().any(|t| there(&t))
-            };
-            let unheeded = |h: &Attempt| match h.phase {
-                AttemptPhase::Recorded => !shown(h),
-                AttemptPhase::Ended(_) => shown(h),
-                AttemptPhase::Planned | AttemptPhase::Observed(_) => false,
-            };
-            let mut carried = worker
-                .attempts
-                .iter()
-                .filter(|h| h.awaiting_acknowledgement);
-            if report.token < cfg.term || carried.any(unheeded) {
-                sign = Some(Evidence::NotAcknowledged);
-            } else {
-                Self::confirm_reachable(worker);
-            }
-        } else if let Some(deaf_s) = worker.reachability.unreachable_for(now)
-            && deaf_s.min(now - worker.incarnation_seen_at) > cfg.with_clock_drift(cfg.lease_s)
-        {
-            // The session has lasted for longer than a lease since: an answer
-            // was taken.
-            Self::confirm_reachable(worker);
+        if worker.fencing_token_seen_at.is_none() {
+            self.needs_direct_message.insert(machine.to_string());
         }
-        worker.acknowledgement_due = false;
-        worker
-            .attempts
-            .iter_mut()
-            .for_each(|h| h.awaiting_acknowledgement = false);
-        if let Some(sign) = sign
-            && worker.reachability.record(sign, now, &limits)
-        {
-            let text = format!("{} reports but hears nothing: {sign:?}", worker.name);
-            self.events.push((true, text));
+        if worker.spot_notice_until.is_some() || worker.leaving.is_some() {
+            self.stop_unwanted_attempts(machine, now);
         }
     }
 
-    /// A machine's worker has begun again, its tasks gone: its numbers are
-    /// another life's, so that nothing more of this session is taken up. It
-    /// goes on with the next one after a lease, since it isn't answered until
-    /// then. What its own word (with our token) lacks is free at once, but for
-    /// starts that may yet arrive: those are held until the session is over.
-    fn handle_agent_restart(&mut self, name: &str, word: Option<&Heartbeat>, now: f64) {
+    /// A machine's agent restarted, and its tasks are gone. Its sequence numbers are
+    /// those of another life, so nothing more of this incarnation is accepted. The
+    /// agent goes on with the next incarnation after a lease, as it is not answered
+    /// until then. Attempts that its own heartbeat `evidence` (with our token) lacks
+    /// are requeued at once, except those whose start may yet arrive: they are kept
+    /// until the incarnation is over.
+    fn handle_agent_restart(&mut self, machine: &str, evidence: Option<&Heartbeat>, now: f64) {
         let term = self.config.term;
-        let Some(worker) = self.workers.get_mut(name) else {
+        let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        let session = worker.incarnation;
-        worker.last_dead_incarnation = worker.last_dead_incarnation.max(session);
-        worker.incarnation_seen_at = now;
-        worker.message_order.liveness_probe_sent();
-        worker.images = ImageCache::default();
-        Self::confirm_reachable(worker);
-        worker.fencing_token = word.map_or(0, |w| w.token);
-        worker.direct_failures = 0;
-        worker.orphaned_attempts.clear();
+        worker.reset_for_agent_restart(evidence.map_or(0, |heartbeat| heartbeat.token), now);
         self.needs_scheduling = true;
-        let text = format!("{name} has begun again: what ran there is lost");
-        self.events.push((true, text));
-        let Some(word) = word.filter(|w| w.token == term) else {
-            return;
-        };
-        let there = |h: &Attempt| word.tasks.iter().any(|t| t.attempt == h.number);
-        let gone = self.remove_attempts(name, |h| {
-            h.phase != AttemptPhase::Planned && !h.may_yet_start() && !there(h)
-        });
-        for held in gone.iter().filter(|h| h.occupies_capacity()) {
-            self.requeue_lost(name, held, now);
-        }
-    }
-
-    fn apply_task_statuses(&mut self, now: f64, report: &Heartbeat, source: HeartbeatSource) {
-        let name = report.machine.as_str();
-        let fenced = report.token == self.config.term;
-        let mut seen: HashMap<u64, &TaskStatus> = HashMap::new();
-        for task in &report.tasks {
-            seen.insert(task.attempt, task);
-        }
-        // Absent attempts. Before the fence a report proves nothing: an older
-        // start may still be under way.
-        let absent = self.remove_attempts(name, |h| {
-            let there = seen
-                .get(&h.number)
-                .is_some_and(|t| h.has_task_name(&t.task));
-            !there
-                && fenced
-                // A later session than a worker with our token has reached is one
-                // of another life of it: it has begun again since.
-                && (h.incarnation == report.incarnation || h.restored)
-                && !h.may_yet_start()
-                && match h.phase {
-                    AttemptPhase::Planned => false,
-                    // A start of this term is sent again until it is seen,
-                    // unless it is not wanted any more.
-                    AttemptPhase::Recorded => {
-                        h.restored || (h.stop.is_some() && source == HeartbeatSource::Periodic)
-                    }
-                    AttemptPhase::Observed(_) | AttemptPhase::Ended(_) => true,
-                }
+        self.events.push(ClusterEvent::AgentRestarted {
+            machine: machine.to_string(),
         });
-        for held in absent.iter().filter(|h| h.occupies_capacity()) {
-            self.requeue_lost(name, held, now);
-        }
-        let mut strays = Vec::new();
-        for task in &report.tasks {
-            self.apply_task_status(now, name, report.incarnation, task, &mut strays);
-        }
-        if let Some(worker) = self.workers.get_mut(name) {
-            worker.orphaned_attempts = strays;
-        }
-    }
-
-    fn apply_task_status(
-        &mut self,
-        now: f64,
-        name: &str,
-        session: u64,
-        task: &TaskStatus,
-        strays: &mut Vec<OrphanedAttempt>,
-    ) {
-        let ended = task.state == TaskState::Ended;
-        let Some((id, index)) = parse_task_name(&task.task) else {
-            strays.push(OrphanedAttempt {
-                task: task.task.clone(),
-                attempt: task.attempt,
-                ended,
-            });
-            return;
-        };
-        let Some(worker) = self.workers.get_mut(name) else {
+        let Some(evidence) = evidence.filter(|heartbeat| heartbeat.token == term) else {
             return;
         };
-        let known = worker
-            .attempts
-            .iter()
-            .position(|h| h.number == task.attempt && h.spec.id == id && h.index == index);
-        let at = match known {
-            Some(at) => at,
-            None => {
-                // Not placed by anyone on record. Of an open job it is taken
-                // in, so that it is counted; else it is stopped and cleared.
-                let Some(job) = self.jobs.get(id).filter(|j| index < j.spec.tasks) else {
-                    strays.push(OrphanedAttempt {
-                        task: task.task.clone(),
-                        attempt: task.attempt,
-                        ended,
-                    });
-                    return;
-                };
-                let mut held = Attempt::new(job.spec.clone(), index, task.attempt, session, now);
-                held.phase = AttemptPhase::Recorded;
-                (held.restored, held.start_sent) = (true, true);
-                self.add_attempt(name, held);
-                // On record nowhere, the next leader would not know of it.
-                if !ended {
-                    self.unbatched_attempts.push(UnbatchedAttempt {
-                        worker: name.to_string(),
-                        attempt: task.attempt,
-                    });
-                }
-                match self.workers.get(name) {
-                    Some(w) => w.attempts.len() - 1,
-                    None => return,
-                }
-            }
-        };
-        let of_type = self
-            .machine_types
-            .get(self.workers[name].machine_type.as_str());
-        let cache = of_type.map_or(0.0, |t| t.cache_gb);
-        let rate = of_type.map_or(f64::MAX, |t| t.fetch_gb_per_s.max(1e-3));
-        let Some(worker) = self.workers.get_mut(name) else {
-            return;
+        let is_reported = |attempt: &Attempt| {
+            evidence
+                .tasks
+                .iter()
+                .any(|task| task.attempt == attempt.number)
         };
-        let held = &mut worker.attempts[at];
-        held.incarnation = session;
-        held.start_sent = true;
-        if matches!(held.phase, AttemptPhase::Ended(_)) {
-            return;
-        }
-        if !ended {
-            held.phase = AttemptPhase::Observed(task.state);
-            // What was believed to lie there does not.
-            if task.state == TaskState::Fetching {
-                let (image, gb) = (&held.spec.image, held.spec.image_gb);
-                worker.images.note_missing(image, now + gb / rate);
-            }
-            if matches!(task.state, TaskState::Running | TaskState::Saving)
-                && held.running_since.is_none()
-            {
-                // After a take-over the start is known from the placement.
-                held.running_since = Some(if held.restored { held.placed_at } else { now });
-                let spec = held.spec.clone();
-                if let Some(job) = self.jobs.get_mut(id)
-                    && !std::mem::replace(&mut job.started, true)
-                {
-                    let after = now - job.accepted_at;
-                    let (class, tasks) = (&job.spec.class, job.spec.tasks);
-                    let text = format!("{id} begins after {after:.1} s: {class}, {tasks} tasks");
-                    self.events.push((false, text));
-                }
-                worker.images.fetching.remove(&spec.image);
-                worker.images.mark_used(&spec.image, spec.image_gb, cache);
-            }
-            let done = self
-                .jobs
-                .get(id)
-                .is_some_and(|j| j.completed.contains(index));
-            let held = &mut worker.attempts[at];
-            if done && held.stop.is_none() {
-                held.stop = Some(StopDecision {
-                    reason: StopReason::Duplicate,
-                    at: now,
-                });
-            }
-            return;
-        }
-        let cause = task.cause.unwrap_or(EndCause::Unknown);
-        held.phase = AttemptPhase::Ended(cause);
-        let held = held.clone();
-        if cause != EndCause::Done {
-            self.events.push((
-                cause == EndCause::Error,
-                format!(
-                    "{} ended on {name}: {cause:?}, kept {:?}",
-                    task.task, task.checkpointed
-                ),
-            ));
-        }
-        self.release_attempt(name, &held, now);
-        self.handle_task_end(
-            now,
-            name,
-            at,
-            &held,
-            cause,
-            task.checkpointed.unwrap_or(false),
-        );
-    }
-
-    fn handle_task_end(
-        &mut self,
-        now: f64,
-        name: &str,
-        at: usize,
-        held: &Attempt,
-        cause: EndCause,
-        kept: bool,
-    ) {
-        let open = self.jobs.contains_key(&held.spec.id);
-        if cause == EndCause::Done && open && held.spec.shape == Shape::Array {
-            self.record_run_time(held, name, now);
-            if let Some(worker) = self.workers.get_mut(name) {
-                worker.failed_jobs.clear();
-            }
-            let chunk = held.index / self.tasks_per_chunk;
-            if let Some(job) = self.jobs.get_mut(&held.spec.id) {
-                job.consecutive_failures = 0;
-                job.pending.remove(held.index);
-                job.unstarted.remove(held.index);
-                job.resumable.remove(&held.index);
-                if job.completed.insert(held.index) {
-                    job.unsaved_chunks.insert(chunk);
-                }
-                // Finished under an earlier leader, its end is durable.
-                if job.unsaved_chunks.contains(&chunk) {
-                    job.unsaved_completions.push(UnsavedCompletion {
-                        index: held.index,
-                        worker: name.to_string(),
-                    });
-                    self.jobs_with_unsaved_progress.insert(held.spec.id.clone());
-                } else if let Some(worker) = self.workers.get_mut(name) {
-                    worker.attempts[at].end_durable = true;
-                }
-            }
-            // Other attempts of it are rare.
-            let elsewhere: Vec<String> = match self.jobs.get(&held.spec.id) {
-                Some(job) if job.attempts_by_task.contains_key(&held.index) => {
-                    job.attempts_by_worker.keys().cloned().collect()
-                }
-                _ => Vec::new(),
-            };
-            for other in elsewhere {
-                let Some(worker) = self.workers.get_mut(&other) else {
-                    continue;
-                };
-                self.needs_direct_message.insert(other);
-                for other in &mut worker.attempts {
-                    if other.occupies_capacity()
-                        && other.index == held.index
-                        && other.spec.id == held.spec.id
-                        && other.stop.is_none()
-                    {
-                        other.stop = Some(StopDecision {
-                            reason: StopReason::Duplicate,
-                            at: now,
-                        });
-                    }
-                }
-            }
-            return;
-        }
-        // Any other end needs nothing durable: the task simply waits again.
-        if let Some(worker) = self.workers.get_mut(name) {
-            worker.attempts[at].end_durable = true;
-        }
-        match cause {
-            EndCause::Halted | EndCause::Done => {
-                let saved = if kept {
-                    held.checkpointed_s + held.run_time_s(now)
-                } else {
-                    self.checkpoint_after_loss(held, now)
-                };
-                self.requeue(held, saved, name, 0.0);
-            }
-            EndCause::Error | EndCause::NoSuch | EndCause::Unknown => {
-                let errors = match self.jobs.get_mut(&held.spec.id) {
-                    Some(job) => {
-                        job.consecutive_failures = (job.consecutive_failures + 1).min(64);
-                        job.consecutive_failures
-                    }
-                    None => 1,
-                };
-                // The first failures are likely the machine's fault and cost
-                // little; a job that fails everywhere must not keep machines
-                // busy.
-                let doublings = (errors / 4).min(4);
-                let wait = self.config.heartbeat_interval_s * f64::from(1u32 << doublings);
-                let saved = self.checkpoint_after_loss(held, now);
-                self.requeue(held, saved, name, now + wait);
-                if cause == EndCause::Error
-                    && let Some(worker) = self.workers.get_mut(name)
-                {
-                    worker.failed_jobs.insert(held.spec.id.clone());
-                    if worker.failed_jobs.len() >= 2 {
-                        worker.leave(LeaveReason::Faulty, now);
-                    }
-                }
-            }
-            EndCause::NoRoom | EndCause::Busy => {
-                self.requeue(
-                    held,
-                    held.checkpointed_s,
-                    name,
-                    now + self.config.heartbeat_interval_s * 0.5,
-                );
-            }
+        let lost = self.remove_attempts(machine, |attempt| {
+            attempt.phase != AttemptPhase::Planned
+                && !attempt.may_yet_start()
+                && !is_reported(attempt)
+        });
+        for attempt in lost.iter().filter(|attempt| attempt.occupies_capacity()) {
+            self.requeue_lost(machine, attempt, now);
         }
     }
+}
 
-    fn record_run_time(&mut self, held: &Attempt, name: &str, now: f64) {
-        let whole = held.checkpointed_s + held.run_time_s(now);
-        if held.spec.expected_s <= 0.0 || held.restored || held.running_since.is_none() {
-            return;
-        }
-        let ratio = (whole / held.spec.expected_s).clamp(0.1, 10.0);
-        let pace = self
-            .runtime_ratios
-            .entry(held.spec.class.clone())
-            .or_default();
-        // Old days fade: the last fifty or so tasks count.
-        pace.ratio_sum = pace.ratio_sum * 0.98 + ratio;
-        pace.count = pace.count * 0.98 + 1.0;
-        // A machine is judged against others by tasks of the same job: owners'
-        // estimates are wrong for whole jobs, and machines are not to blame.
-        let Some(job) = self.jobs.get_mut(&held.spec.id) else {
-            return;
+impl Worker {
+    /// Takes over the remaining time of a spot notice, which never grows. Returns
+    /// whether the notice is new.
+    fn update_spot_notice(&mut self, notice_s: Option<f64>, now: f64) -> bool {
+        let is_new = notice_s.is_some() && self.spot_notice_until.is_none();
+        self.spot_notice_until = match (notice_s, self.spot_notice_until) {
+            (Some(notice_s), None) => Some(now + notice_s),
+            (Some(notice_s), Some(until)) => Some(until.min(now + notice_s)),
+            (None, _) => None,
         };
-        let here = job
-            .run_times_by_machine
-            .entry(name.to_string())
-            .or_default();
-        here.add(whole);
-        let mut others = SampleSum::default();
-        for (_, samples) in job
-            .run_times_by_machine
-            .iter()
-            .filter(|(other, _)| *other != name)
-        {
-            others.sum += samples.sum;
-            others.count += samples.count;
-        }
-        if others.count >= 2
-            && others.sum > 0.0
-            && let Some(worker) = self.workers.get_mut(name)
-        {
-            worker.runtime_ratio.add(whole / others.mean());
-        }
+        is_new
     }
 
-    /// Measured over expected run time of a class, leaning on 1 while little
-    /// is known.
-    #[must_use]
-    pub fn runtime_ratio(&self, class: &str) -> f64 {
-        let pace = self.runtime_ratios.get(class).copied().unwrap_or_default();
-        ((pace.ratio_sum + 5.0) / (pace.count + 5.0)).clamp(0.4, 2.5)
+    /// Marks the present incarnation as dead and clears what was known of the agent.
+    fn reset_for_agent_restart(&mut self, fencing_token: u64, now: f64) {
+        self.last_dead_incarnation = self.last_dead_incarnation.max(self.incarnation);
+        self.incarnation_seen_at = now;
+        self.message_order.liveness_probe_sent();
+        self.images = ImageCache::default();
+        self.confirm_reachable();
+        self.fencing_token = fencing_token;
+        self.direct_failures = 0;
+        self.orphaned_attempts.clear();
     }
 }
 
-/// Whether a report shows a worker's attempts just as they are known, all of
-/// them and no others, with nothing left to be seen of them.
-fn is_unchanged(worker: &Worker, tasks: &[TaskStatus]) -> bool {
-    worker.orphaned_attempts.is_empty()
-        && worker.attempts.len() == tasks.len()
-        && tasks.iter().all(|t| {
-            let known = worker.attempts.iter().find(|h| h.number == t.attempt);
-            known.is_some_and(|h| {
-                h.phase == AttemptPhase::Observed(t.state)
-                    && h.stop.is_none()
-                    && (t.state == TaskState::Fetching || h.running_since.is_some())
-                    && h.has_task_name(&t.task)
-            })
-        })
-}
-
-/// A report's place among its worker's messages.
-fn sequence_mark(report: &Heartbeat) -> SequenceMark {
+/// A heartbeat's position among its agent's messages.
+fn sequence_mark(heartbeat: &Heartbeat) -> SequenceMark {
     SequenceMark {
-        incarnation: report.incarnation,
-        sequence: report.sequence,
+        incarnation: heartbeat.incarnation,
+        sequence: heartbeat.sequence,
     }
 }
-
-/// Job id and task number.
-fn parse_task_name(name: &str) -> Option<(&str, u32)> {
-    let (id, index) = name.rsplit_once('/')?;
-    Some((id, index.parse().ok()?))
-}
--- a/crates/tallygauge-scheduler/src/lib.rs
+++ b/crates/tallygauge-scheduler/src/lib.rs
@@ -1,14 +1,15 @@
 //! Pure scheduling: no input or output, no clock, nothing asynchronous.
 //!
-//! [`Cluster`] is the leader's picture. Reports, lists and answers change it,
-//! time is an argument, and what should happen comes out as values: placements
-//! to make durable, commands, machines to rent or return.
+//! [`ClusterState`] is the leader's model of the cluster. Heartbeats, machine lists
+//! and responses change it, the time is an argument, and decisions are returned as
+//! values: placements to make durable, commands, machines to rent or return.
 
 mod attempt_accounting;
 mod batch_deadlines;
 mod cluster_state;
 mod commands;
 mod completion_pages;
+mod events;
 mod heartbeats;
 mod image_locality;
 mod machines;
@@ -20,10 +21,14 @@
 mod placements;
 mod progress;
 mod range_set;
+mod reachability;
 mod reconciliation;
+mod runtime_estimates;
 mod scale_in;
 mod scale_out;
 mod start_deadline;
+mod task_end;
+mod task_status;
 #[cfg(test)]
 mod tests;
 
@@ -31,6 +36,7 @@
 pub use cluster_state::ClusterState;
 pub use commands::DirectMessage;
 pub use completion_pages::{ChunkId, CompletionPageRecord, CompletionPages, PageFlush, PageWrite};
+pub use events::{ClusterEvent, UnderservedGroup};
 pub use heartbeats::{HeartbeatOutcome, HeartbeatSource};
 pub use minimum_share::GroupStatus;
 pub use model::*;
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -1,20 +1,35 @@
-//! Machines: which there are, how long their sessions last, and what must leave
-//! them.
+//! Machines: which there are, when their leases expire, and which are to be returned
+//! to the cloud.
 
-use crate::{cluster_state::ClusterState, model::*};
+use crate::{cluster_state::ClusterState, events::ClusterEvent, model::*};
 use std::collections::{BTreeSet, HashMap};
-use tallygauge_health::{MessageOrder, Reachability};
 use tallygauge_protocol::{
     cloud::{Machine, MachineState},
     users::Shape,
     workers::TaskState,
 };
 
-/// Leases after which a machine that nothing is heard of is given up.
+/// Leases without contact after which a machine is returned.
 const SILENT_LEASES: f64 = 4.0;
 
+/// Boot times of its type after which a machine that never came up is returned.
+const BOOT_TIMEOUT_FACTOR: f64 = 4.0;
+
+/// Boot time of a machine whose type is not known.
+const DEFAULT_BOOT_S: f64 = 60.0;
+
+/// Compared tasks after which a machine may be found slow.
+const SLOW_AFTER_TASKS: u32 = 3;
+
+/// Mean of its run times over those on other machines above which a machine is slow.
+const SLOW_RUNTIME_RATIO: f64 = 1.8;
+
+/// Part of the cancel timeout after which a machine that has not confirmed the end of
+/// a cancelled attempt is returned.
+const UNCONFIRMED_TIMEOUT_PART: f64 = 0.7;
+
 impl ClusterState {
-    /// Makes sure that a machine is in the picture.
+    /// Adds a machine unless it is known. Fills in its endpoint if that is not known.
     pub fn register_machine(
         &mut self,
         name: &str,
@@ -24,95 +39,73 @@
         endpoint: &str,
         now: f64,
     ) {
-        let free = self
-            .machine_types
-            .get(machine_type)
-            .map(Resources::of_type)
-            .unwrap_or_default();
-        let known = self.workers.contains_key(name);
-        let mut images = ImageCache::default();
-        if !known {
-            images.cached = self.image_index.take_images_of(name);
-        }
-        let worker = self
-            .workers
-            .entry(name.to_string())
-            .or_insert_with(|| Worker {
-                name: name.to_string(),
-                endpoint: String::new(),
+        if !self.workers.contains_key(name) {
+            let capacity = self
+                .machine_types
+                .get(machine_type)
+                .map(Resources::of_type)
+                .unwrap_or_default();
+            let kind = MachineKind {
                 machine_type: machine_type.to_string(),
                 zone: zone.to_string(),
                 spot,
-                rented_at: now,
-                known_at: now,
-                incarnation: 0,
-                message_order: MessageOrder::default(),
-                fencing_token: 0,
-                reachability: Reachability::default(),
-                heartbeats_steady_since: f64::INFINITY,
-                acknowledgement_due: false,
-                incarnation_seen_at: now,
-                booted_at: None,
-                last_dead_incarnation: 0,
-                fencing_token_seen_at: None,
-                lease_renewed_at: f64::NEG_INFINITY,
-                last_heartbeat_at: f64::NEG_INFINITY,
-                spot_notice_until: None,
-                attempts: Vec::new(),
-                orphaned_attempts: Vec::new(),
-                free_resources: free,
-                images,
-                leaving: None,
-                surplus: false,
-                return_sent: false,
-                direct_message_in_flight: false,
-                direct_failures: 0,
-                next_direct_message_at: f64::NEG_INFINITY,
-                idle_since: now,
-                failed_jobs: BTreeSet::new(),
-                runtime_ratio: SampleSum::default(),
-            });
+            };
+            let mut worker = Worker::new(name, kind, capacity, now);
+            worker.images.cached = self.image_index.take_images_of(name);
+            self.workers.insert(name.to_string(), worker);
+        }
+        let Some(worker) = self.workers.get_mut(name) else {
+            return;
+        };
         if worker.endpoint.is_empty() {
             worker.endpoint = endpoint.to_string();
         }
     }
 
-    /// Takes up a whole machine list that was asked for at `asked_at`. A
-    /// machine known well before that, counting the list's lag, and not in it,
-    /// is gone: once listed it would stay listed until then. Returns the names
-    /// of those that went.
+    /// Applies a complete machine list that was requested at `asked_at`. A machine
+    /// that was known well before that, allowing for the list's lag, and is not in it
+    /// is gone: once listed, a machine stays listed until then. Returns the names of
+    /// those that are gone.
     pub fn apply_machine_list(
         &mut self,
         machines: &[Machine],
         asked_at: f64,
         now: f64,
     ) -> Vec<String> {
-        // The list shows all that was known by then, and nothing gone by then.
-        let sure = asked_at - 2.0 * self.config.list_lag_s - self.config.timing_margin_s();
+        // The list shows all machines known at that time, and none gone by then.
+        let certain_before =
+            asked_at - 2.0 * self.config.list_lag_s - self.config.timing_margin_s();
         self.tombstones.expire(now);
         let mut listed = BTreeSet::new();
-        for m in machines {
-            listed.insert(m.name.as_str());
-            if self.tombstones.is_newer_than(&m.name, sure) {
+        for machine in machines {
+            listed.insert(machine.name.as_str());
+            if self.tombstones.is_newer_than(&machine.name, certain_before) {
                 continue;
             }
-            self.register_machine(&m.name, &m.machine_type, &m.zone, m.spot, &m.endpoint, now);
-            let Some(worker) = self.workers.get_mut(&m.name) else {
+            self.register_machine(
+                &machine.name,
+                &machine.machine_type,
+                &machine.zone,
+                machine.spot,
+                &machine.endpoint,
+                now,
+            );
+            let Some(worker) = self.workers.get_mut(&machine.name) else {
                 continue;
             };
-            worker.rented_at = worker.rented_at.min(now - m.age_s);
-            if m.state == MachineState::Running {
+            worker.rented_at = worker.rented_at.min(now - machine.age_s);
+            if machine.state == MachineState::Running {
                 worker.booted_at.get_or_insert(now);
             }
-            if m.state == MachineState::Failed && worker.leave(LeaveReason::Failed, now) {
+            if machine.state == MachineState::Failed && worker.leave(LeaveReason::Failed, now) {
                 worker.last_dead_incarnation = worker.last_dead_incarnation.max(worker.incarnation);
-                self.end_incarnation(&m.name, u64::MAX, now);
+                self.end_incarnation(&machine.name, u64::MAX, now);
             }
         }
         let gone: Vec<String> = self
             .workers
             .values()
-            .filter(|w| w.known_at < sure && !listed.contains(w.name.as_str()))
+            .filter(|w| w.known_at < certain_before && !listed.contains(w.name.as_str()))
             .map(|w| w.name.clone())
             .collect();
         for name in &gone {
@@ -121,189 +114,172 @@
         gone
     }
 
-    /// A machine is surely gone, and everything on it.
+    /// A machine is certainly gone, with everything on it.
     pub fn deregister_machine(&mut self, name: &str, now: f64) {
         self.end_incarnation(name, u64::MAX, now);
         self.tombstones.record_departure(name, now);
         self.workers.remove(name);
     }
 
-    /// When the worker's present session is over at the latest, if it is not
-    /// answered again.
+    /// When the lease of the worker's present incarnation expires at the latest, if no
+    /// further heartbeat is answered.
     #[must_use]
     pub fn lease_expiry(&self, worker: &Worker) -> f64 {
-        let lease = self.config.with_clock_drift(self.config.lease_s);
-        match worker.fencing_token_seen_at {
-            Some(at) => {
-                worker
-                    .lease_renewed_at
-                    .max(at)
-                    .max(worker.incarnation_seen_at)
-                    + lease
-            }
-            // An earlier leader may have gone on answering until it had to
-            // stop for want of a confirmed term.
-            None => {
-                (self.term_started_at + self.config.with_clock_drift(self.config.fence_s))
-                    .max(worker.lease_renewed_at)
-                    .max(worker.incarnation_seen_at)
-                    + lease
-            }
-        }
+        let last_renewal = worker.fencing_token_seen_at.unwrap_or_else(|| {
+            // An earlier leader may have answered until it had to stop as it could not
+            // confirm its term.
+            self.term_started_at + self.config.with_clock_drift(self.config.fence_s)
+        });
+        worker
+            .lease_renewed_at
+            .max(last_renewal)
+            .max(worker.incarnation_seen_at)
+            + self.config.with_clock_drift(self.config.lease_s)
     }
 
-    /// Lets time pass: sessions end, notices run out, machines are given up.
+    /// Applies the passage of time: leases expire, spot notices run out, machines are
+    /// to be returned.
     pub fn advance_time(&mut self, now: f64) {
-        let over = |w: &&Worker| !w.attempts.is_empty() && now > self.lease_expiry(w);
-        let over: Vec<String> = self
+        self.expire_leases(now);
+        let unwanted: Vec<String> = self
             .workers
             .values()
-            .filter(over)
-            .map(|w| w.name.clone())
+            .filter(|worker| {
+                worker.leaving.is_some()
+                    || worker.spot_notice_until.is_some()
+                    || self.decommission_reason(worker, now).is_some()
+            })
+            .map(|worker| worker.name.clone())
             .collect();
-        for name in over {
-            let Some(worker) = self.workers.get(&name) else {
-                continue;
-            };
-            let sessions = worker.attempts.iter().map(|h| h.incarnation);
-            let last = sessions.max().unwrap_or(0).max(worker.incarnation);
-            let (session_end, lease) = (
-                self.lease_expiry(worker),
-                self.config.with_clock_drift(self.config.lease_s),
-            );
-            if let Some(worker) = self.workers.get_mut(&name) {
-                worker.last_dead_incarnation = worker.last_dead_incarnation.max(last);
-            }
-            self.end_attempts(&name, now, |h| now > h.certain_end(session_end, lease));
+        for machine in unwanted {
+            self.stop_unwanted_attempts(&machine, now);
         }
-        let wanting: Vec<String> = self
+    }
+
+    /// Ends the attempts on workers whose lease has expired.
+    fn expire_leases(&mut self, now: f64) {
+        let expired: Vec<String> = self
             .workers
             .values()
-            .filter(|w| {
-                w.leaving.is_some()
-                    || w.spot_notice_until.is_some()
-                    || self.decommission_reason(w, now).is_some()
-            })
-            .map(|w| w.name.clone())
+            .filter(|worker| !worker.attempts.is_empty() && now > self.lease_expiry(worker))
+            .map(|worker| worker.name.clone())
             .collect();
-        for name in wanting {
-            self.stop_unwanted_attempts(&name, now);
+        let lease_s = self.config.with_clock_drift(self.config.lease_s);
+        for machine in expired {
+            let Some(worker) = self.workers.get(&machine) else {
+                continue;
+            };
+            let incarnations = worker.attempts.iter().map(|attempt| attempt.incarnation);
+            let last = incarnations.max().unwrap_or(0).max(worker.incarnation);
+            let lease_expiry = self.lease_expiry(worker);
+            if let Some(worker) = self.workers.get_mut(&machine) {
+                worker.last_dead_incarnation = worker.last_dead_incarnation.max(last);
+            }
+            self.end_attempts(&machine, now, |attempt| {
+                now > attempt.certain_end(lease_expiry, lease_s)
+            });
         }
     }
 
     /// Why a machine should be returned, if it should.
     fn decommission_reason(&self, worker: &Worker, now: f64) -> Option<LeaveReason> {
-        let cfg = &self.config;
-        // A leader new in office has not heard of any worker yet: that alone
-        // does not make an old machine one that never came up.
+        let config = &self.config;
+        // A new leader has not heard of any worker yet: that alone does not mean that
+        // an old machine never came up.
         if !worker.is_up() && worker.booted_at.is_none() {
-            let boot_s = self
-                .machine_types
-                .get(&worker.machine_type)
-                .map_or(60.0, |t| t.boot_s);
-            let late =
-                now - worker.rented_at > boot_s * 4.0 && now - self.term_started_at > cfg.lease_s;
-            return late.then_some(LeaveReason::BootTimeout);
+            return self
+                .has_boot_timed_out(worker, now)
+                .then_some(LeaveReason::BootTimeout);
         }
-        // Whole zones are cut off for several leases and come back: until then
-        // others are rented where work needs them, but none is thrown away.
-        let since = worker.booted_at.unwrap_or(f64::NEG_INFINITY);
-        let heard = worker
+        // Whole zones are cut off for several leases and come back: until then others
+        // are rented where work needs them, but none is returned.
+        let last_contact = worker
             .last_heartbeat_at
-            .max(since)
+            .max(worker.booted_at.unwrap_or(f64::NEG_INFINITY))
             .max(self.term_started_at);
-        if worker.attempts.is_empty() && now - heard > cfg.lease_s * SILENT_LEASES {
+        let max_silence_s = config.lease_s * SILENT_LEASES;
+        if worker.attempts.is_empty() && now - last_contact > max_silence_s {
             return Some(LeaveReason::Silent);
         }
-        // So do those that hear nothing: a zone may be cut in one direction.
-        let deaf = worker.reachability.unreachable_for(now);
-        if deaf.is_some_and(|s| s > cfg.lease_s * SILENT_LEASES) {
+        // The same holds for those that don't receive: a zone may be cut off in one
+        // direction.
+        let unreachable_for = worker.reachability.unreachable_for(now);
+        if unreachable_for.is_some_and(|s| s > max_silence_s) {
             return Some(LeaveReason::Unreachable);
         }
-        if worker.runtime_ratio.count >= 3 && worker.runtime_ratio.mean() > 1.8 {
+        if worker.runtime_ratio.count >= SLOW_AFTER_TASKS
+            && worker.runtime_ratio.mean() > SLOW_RUNTIME_RATIO
+        {
             return Some(LeaveReason::Slow);
         }
-        // Who was not heard of since the stop was not answered since either: by
-        // the fence its session ends in time. Most such machines are in a zone
-        // that is cut off, at work on other jobs.
-        let overdue = |s: StopDecision| {
-            s.reason == StopReason::Cancelled
-                && worker.last_heartbeat_at >= s.at
-                && now - s.at > cfg.cancel_timeout_s * 0.7
-        };
-        let unconfirmed = |h: &Attempt| h.stop.is_some_and(overdue) && h.occupies_capacity();
-        worker
-            .attempts
-            .iter()
-            .any(unconfirmed)
-            .then_some(LeaveReason::Unconfirmed)
+        has_unconfirmed_cancellation(worker, config, now).then_some(LeaveReason::Unconfirmed)
     }
 
-    /// Stops what should not stay on a machine.
-    pub(crate) fn stop_unwanted_attempts(&mut self, name: &str, now: f64) {
-        // Few machines are about to go: only for those is more looked at.
-        let ratios: HashMap<String, f64> = match &self.workers[name].spot_notice_until {
-            Some(_) => self.workers[name]
-                .attempts
-                .iter()
-                .map(|h| (h.spec.class.clone(), self.runtime_ratio(&h.spec.class)))
-                .collect(),
-            None => HashMap::new(),
-        };
-        let reason = self.decommission_reason(&self.workers[name], now);
-        let Some(worker) = self.workers.get_mut(name) else {
+    /// Whether a machine that never came up has had enough time for it.
+    fn has_boot_timed_out(&self, worker: &Worker, now: f64) -> bool {
+        let boot_s = self
+            .machine_types
+            .get(&worker.machine_type)
+            .map_or(DEFAULT_BOOT_S, |t| t.boot_s);
+        now - worker.rented_at > boot_s * BOOT_TIMEOUT_FACTOR
+            && now - self.term_started_at > self.config.lease_s
+    }
+
+    /// Stops the attempts that should not stay on a machine that is to be returned or
+    /// reclaimed; decides first whether it is to be returned.
+    pub(crate) fn stop_unwanted_attempts(&mut self, machine: &str, now: f64) {
+        let reason = self.decommission_reason(&self.workers[machine], now);
+        let runtime_ratios = self.runtime_ratios_if_reclaimed(machine);
+        let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
         if let Some(reason) = reason
             && worker.leave(reason, now)
         {
-            self.events
-                .push((true, format!("{name} is given up: {reason:?}")));
+            self.events.push(ClusterEvent::MachineLeaving {
+                machine: machine.to_string(),
+                reason,
+            });
         }
-        let until = worker.spot_notice_until;
-        let leaving = worker.leaving;
-        self.needs_direct_message.insert(name.to_string());
-        for held in &mut worker.attempts {
-            if held.stop.is_some()
-                || !held.occupies_capacity()
-                || held.phase == AttemptPhase::Planned
+        self.needs_direct_message.insert(machine.to_string());
+        let (reclaimed_at, leaving) = (worker.spot_notice_until, worker.leaving);
+        for attempt in &mut worker.attempts {
+            if attempt.stop.is_some()
+                || !attempt.occupies_capacity()
+                || attempt.phase == AttemptPhase::Planned
             {
                 continue;
             }
-            if let Some(until) = until {
-                let left = until - now;
-                let ratio = ratios.get(&held.spec.class).copied().unwrap_or(1.0);
-                let to_go =
-                    (held.spec.expected_s * ratio - held.checkpointed_s - held.run_time_s(now))
-                        .max(0.0);
-                // Tasks that can save are stopped while there is time to save
-                // twice over, unless they will have ended by then. The notice
-                // may be half as long as said, so it is acted on early.
-                let saves = held.spec.checkpoint_every_s > 0.0;
-                let starting = held.running_since.is_none();
-                if (saves && to_go > left * 0.5) || starting {
-                    held.stop = Some(StopDecision {
-                        reason: StopReason::SpotNotice,
-                        at: now,
-                    });
-                }
-            } else if let Some(LeaveDecision { reason, .. }) = leaving {
-                let saves = held.spec.checkpoint_every_s > 0.0;
-                let at_once = matches!(reason, LeaveReason::Unconfirmed | LeaveReason::Faulty);
-                if saves
-                    || at_once
-                    || held.running_since.is_none()
-                    || held.spec.shape == Shape::Service
-                {
-                    held.stop = Some(StopDecision {
-                        reason: StopReason::Drained,
-                        at: now,
-                    });
+            if let Some(reclaimed_at) = reclaimed_at {
+                let ratio = runtime_ratios.get(&attempt.spec.class).copied();
+                if must_stop_before_reclaim(attempt, reclaimed_at, ratio.unwrap_or(1.0), now) {
+                    attempt.request_stop(StopReason::SpotNotice, now);
                 }
+            } else if let Some(LeaveDecision { reason, .. }) = leaving
+                && must_stop_before_return(attempt, reason)
+            {
+                attempt.request_stop(StopReason::Drained, now);
             }
         }
     }
 
+    /// Measured over expected run times of the classes on a machine that has a spot
+    /// notice; empty for the others, which do not need them.
+    fn runtime_ratios_if_reclaimed(&self, machine: &str) -> HashMap<String, f64> {
+        let worker = &self.workers[machine];
+        if worker.spot_notice_until.is_none() {
+            return HashMap::new();
+        }
+        worker
+            .attempts
+            .iter()
+            .map(|attempt| {
+                let class = &attempt.spec.class;
+                (class.clone(), self.runtime_ratio(class))
+            })
+            .collect()
+    }
+
     /// CPUs of machines that are up: starting or stopping a task, fetching an
     /// image, running, free.
     #[must_use]
@@ -311,15 +287,59 @@
         let mut sums = [0.0; 4];
         for worker in self.workers.values().filter(|w| w.is_up()) {
             sums[3] += worker.free_resources.cpus;
-            for held in worker.attempts.iter().filter(|h| h.occupies_capacity()) {
-                let at = match held.phase {
+            for attempt in worker.attempts.iter().filter(|a| a.occupies_capacity()) {
+                let place = match attempt.phase {
                     AttemptPhase::Observed(TaskState::Fetching) => 1,
                     AttemptPhase::Observed(TaskState::Running) => 2,
                     _ => 0,
                 };
-                sums[at] += held.spec.cpus;
+                sums[place] += attempt.spec.cpus;
             }
         }
         sums
     }
 }
+
+/// Whether a cancelled attempt is overdue on a machine that was heard of since. One
+/// that was not heard of was not answered either, so its lease expires in time: most
+/// such machines are in a zone that is cut off, with other jobs running.
+fn has_unconfirmed_cancellation(worker: &Worker, config: &Config, now: f64) -> bool {
+    let is_overdue = |stop: StopDecision| {
+        stop.reason == StopReason::Cancelled
+            && worker.last_heartbeat_at >= stop.at
+            && now - stop.at > config.cancel_timeout_s * UNCONFIRMED_TIMEOUT_PART
+    };
+    worker
+        .attempts
+        .iter()
+        .any(|attempt| attempt.stop.is_some_and(is_overdue) && attempt.occupies_capacity())
+}
+
+/// Whether an attempt is to be stopped before its spot instance is reclaimed. One
+/// that saves checkpoints is stopped while there is time to save twice over, unless
+/// it will have ended by then. The notice may turn out half as long as announced, so
+/// it is acted on early.
+fn must_stop_before_reclaim(
+    attempt: &Attempt,
+    reclaimed_at: f64,
+    runtime_ratio: f64,
+    now: f64,
+) -> bool {
+    let notice_left_s = reclaimed_at - now;
+    let remaining_s = (attempt.spec.expected_s * runtime_ratio
+        - attempt.checkpointed_s
+        - attempt.run_time_s(now))
+    .max(0.0);
+    let saves_checkpoints = attempt.spec.checkpoint_every_s > 0.0;
+    let is_starting = attempt.running_since.is_none();
+    (saves_checkpoints && remaining_s > notice_left_s * 0.5) || is_starting
+}
+
+/// Whether an attempt is to be stopped so that its machine can be returned; else the
+/// machine waits for its end.
+fn must_stop_before_return(attempt: &Attempt, reason: LeaveReason) -> bool {
+    let is_urgent = matches!(reason, LeaveReason::Unconfirmed | LeaveReason::Faulty);
+    let saves_checkpoints = attempt.spec.checkpoint_every_s > 0.0;
+    let is_starting = attempt.running_since.is_none();
+    saves_checkpoints || is_urgent || is_starting || attempt.spec.shape == Shape::Service
+}
--- a/crates/tallygauge-scheduler/src/mapping/mod.rs
+++ b/crates/tallygauge-scheduler/src/mapping/mod.rs
@@ -9,7 +9,7 @@
 mod preemption;
 mod round;
 
-use crate::{cluster_state::ClusterState, model::*};
+use crate::{cluster_state::ClusterState, events::ClusterEvent, model::*};
 use round::Round;
 use std::collections::HashSet;
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
@@ -214,12 +214,12 @@
             return;
         };
         for held in worker.attempts.iter_mut().filter(|h| h.number == attempt) {
-            held.stop = Some(StopDecision {
-                reason: StopReason::Preempted,
-                at: now,
+            held.request_stop(StopReason::Preempted, now);
+            self.events.push(ClusterEvent::AttemptPreempted {
+                task: held.task_name(),
+                machine: name.to_string(),
+                preempted_by: newcomer.to_string(),
             });
-            let text = format!("{} is stopped on {name} for {newcomer}", held.task_name());
-            self.events.push((false, text));
         }
         self.needs_direct_message.insert(name.to_string());
     }
@@ -243,16 +243,14 @@
             && job.pending.is_empty()
             && job.resumable.is_empty()
         {
-            let after = now - job.accepted_at;
-            let (class, tasks) = (&job.spec.class, job.spec.tasks);
-            let large = if self.is_large(job) {
-                ", a large one"
-            } else {
-                ""
+            let event = ClusterEvent::JobPlaced {
+                job: id.to_string(),
+                wait_s: now - job.accepted_at,
+                class: job.spec.class.clone(),
+                tasks: job.spec.tasks,
+                is_large: self.is_large(job),
             };
-            let text =
-                format!("{id} waits no more after {after:.1} s: {class}, {tasks} tasks{large}");
-            self.events.push((false, text));
+            self.events.push(event);
         }
         self.unbatched_attempts.push(UnbatchedAttempt {
             worker: worker.to_string(),
--- a/crates/tallygauge-scheduler/src/minimum_share.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share.rs
@@ -4,6 +4,7 @@
 
 use crate::{
     cluster_state::ClusterState,
+    events::{ClusterEvent, UnderservedGroup},
     model::*,
     parts::{PriorityClaim, Reservation},
 };
@@ -395,32 +396,27 @@
         let aside = self.reserve_machines(&elected, &seats, part, now);
         let binds = seats.is_empty() != self.minimum_share.claims.is_empty();
         if binds {
-            let text = if seats.is_empty() {
-                "the floor binds no more".to_string()
+            let event = if seats.is_empty() {
+                ClusterEvent::MinimumShareReached
             } else {
                 let behind = election
                     .shortfalls
                     .iter()
                     .enumerate()
                     .filter(|d| d.1.to_target_share > 0);
-                let names: Vec<String> = behind
-                    .map(|(p, d)| {
-                        format!(
-                            "{}:{}/{}/{}",
-                            self.minimum_share.service_counts.keys()[p].name,
-                            self.minimum_share.service_counts.done_in_windows(p, at)[0],
-                            d.overdue,
-                            d.to_target_share
-                        )
-                    })
-                    .collect();
-                format!(
-                    "the floor binds: {} jobs come first: {}",
-                    seats.len(),
-                    names.join(" ")
-                )
+                let counts = &self.minimum_share.service_counts;
+                let groups = behind.map(|(group, shortfall)| UnderservedGroup {
+                    name: counts.keys()[group].name.to_string(),
+                    done_within_day: counts.done_in_windows(group, at)[0],
+                    overdue: shortfall.overdue,
+                    to_target_share: shortfall.to_target_share,
+                });
+                ClusterEvent::MinimumShareEnforced {
+                    jobs: seats.len(),
+                    groups: groups.collect(),
+                }
             };
-            self.events.push((true, text));
+            self.events.push(event);
         }
         self.minimum_share.shortfalls = election.shortfalls;
         self.minimum_share.claims = seats;
--- a/crates/tallygauge-scheduler/src/model/mod.rs
+++ b/crates/tallygauge-scheduler/src/model/mod.rs
@@ -1,4 +1,5 @@
-//! The parts of the cluster picture.
+//! The entities that the cluster state is made of: jobs, workers, attempts, their
+//! durable records, and the settings.
 
 mod attempt;
 mod capacity;
--- a/crates/tallygauge-scheduler/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -144,6 +144,46 @@
 }
 
 impl Worker {
+    /// A machine that nothing was heard of yet.
+    #[must_use]
+    pub(crate) fn new(name: &str, kind: MachineKind, capacity: Resources, now: f64) -> Self {
+        Self {
+            name: name.to_string(),
+            endpoint: String::new(),
+            machine_type: kind.machine_type,
+            zone: kind.zone,
+            spot: kind.spot,
+            rented_at: now,
+            known_at: now,
+            incarnation: 0,
+            message_order: MessageOrder::default(),
+            fencing_token: 0,
+            reachability: Reachability::default(),
+            heartbeats_steady_since: f64::INFINITY,
+            acknowledgement_due: false,
+            incarnation_seen_at: now,
+            booted_at: None,
+            last_dead_incarnation: 0,
+            fencing_token_seen_at: None,
+            lease_renewed_at: f64::NEG_INFINITY,
+            last_heartbeat_at: f64::NEG_INFINITY,
+            spot_notice_until: None,
+            attempts: Vec::new(),
+            orphaned_attempts: Vec::new(),
+            free_resources: capacity,
+            images: ImageCache::default(),
+            leaving: None,
+            surplus: false,
+            return_sent: false,
+            direct_message_in_flight: false,
+            direct_failures: 0,
+            next_direct_message_at: f64::NEG_INFINITY,
+            idle_since: now,
+            failed_jobs: BTreeSet::new(),
+            runtime_ratio: SampleSum::default(),
+        }
+    }
+
     /// Whether tasks may be placed on it.
     #[must_use]
     pub fn accepts_work(&self, now: f64, cfg: &Config) -> bool {
--- a/crates/tallygauge-scheduler/src/reconciliation.rs
+++ b/crates/tallygauge-scheduler/src/reconciliation.rs
@@ -1,6 +1,7 @@
-//! A slow look for what fell out of a list: bounded work at a time, so that in
-//! the end every open job, task and machine is looked at. What differs is said
-//! and mended; nothing here is needed as long as all else is right.
+//! Reconciliation of derived state: counts and sets that are kept up to date with
+//! every event are compared with what they are derived from, a bounded number of jobs
+//! and machines at a time, so that all are checked in the end. Differences are
+//! reported and repaired; there are none as long as everything else is correct.
 
 use crate::{cluster_state::ClusterState, model::*, range_set::RangeSet};
 use std::{
@@ -8,154 +9,179 @@
     ops::Bound,
 };
 
-/// The next `most` names after the last one, which they move on; from the
-/// beginning again when there are no more.
-fn next_names<T>(all: &BTreeMap<String, T>, last: &mut String, most: usize) -> Vec<String> {
+/// Difference of two amounts that rounding may cause.
+const MAX_ROUNDING_ERROR: f64 = 1e-3;
+
+/// The next names after `last`, at most `limit`, and moves `last` on; it starts again
+/// from the beginning when there are no more.
+fn next_names<T>(all: &BTreeMap<String, T>, last: &mut String, limit: usize) -> Vec<String> {
     let after = (Bound::Excluded(last.clone()), Bound::Unbounded);
-    let names: Vec<String> = all.range(after).take(most).map(|n| n.0.clone()).collect();
+    let names: Vec<String> = all.range(after).take(limit).map(|n| n.0.clone()).collect();
     *last = match names.last() {
-        Some(name) if names.len() == most => name.clone(),
+        Some(name) if names.len() == limit => name.clone(),
         _ => String::new(),
     };
     names
 }
 
 impl ClusterState {
-    /// Looks at the next `most` jobs and machines. Returns what differed, in
-    /// words; it is mended.
-    pub fn reconcile(&mut self, most: usize) -> Vec<String> {
-        let mut found = Vec::new();
-        for name in next_names(&self.workers, &mut self.reconciliation.last_machine, most) {
-            self.reconcile_machine(&name, &mut found);
+    /// Checks the next `limit` jobs and `limit` machines. Returns descriptions of the
+    /// differences, which are repaired.
+    pub fn reconcile(&mut self, limit: usize) -> Vec<String> {
+        let mut differences = Vec::new();
+        for name in next_names(&self.workers, &mut self.reconciliation.last_machine, limit) {
+            self.reconcile_machine(&name, &mut differences);
         }
-        for id in next_names(&self.jobs, &mut self.reconciliation.last_job, most) {
-            self.reconcile_job(&id, &mut found);
+        for id in next_names(&self.jobs, &mut self.reconciliation.last_job, limit) {
+            self.reconcile_job(&id, &mut differences);
         }
-        if !found.is_empty() {
+        if !differences.is_empty() {
             self.needs_scheduling = true;
         }
-        found
+        differences
     }
 
-    /// A machine's room against what is on it, and its jobs' notes of it.
-    fn reconcile_machine(&mut self, name: &str, found: &mut Vec<String>) {
-        let Some(worker) = self.workers.get_mut(name) else {
+    /// Checks a machine's free resources against its attempts, and its jobs' counts of
+    /// attempts on it.
+    fn reconcile_machine(&mut self, machine: &str, differences: &mut Vec<String>) {
+        let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        if let Some(t) = self.machine_types.get(&worker.machine_type) {
-            let mut free = Resources::of_type(t);
-            for held in worker.attempts.iter().filter(|h| h.occupies_capacity()) {
-                free.add_scaled(&held.spec, -1.0);
+        if let Some(machine_type) = self.machine_types.get(&worker.machine_type) {
+            let mut free = Resources::of_type(machine_type);
+            for attempt in worker.attempts.iter().filter(|a| a.occupies_capacity()) {
+                free.add_scaled(&attempt.spec, -1.0);
             }
-            let off = |a: f64, b: f64| (a - b).abs() > 1e-3;
-            if off(free.cpus, worker.free_resources.cpus)
-                || off(free.gpus, worker.free_resources.gpus)
-                || off(free.memory_gb, worker.free_resources.memory_gb)
+            let recorded = worker.free_resources;
+            if differs(free.cpus, recorded.cpus)
+                || differs(free.gpus, recorded.gpus)
+                || differs(free.memory_gb, recorded.memory_gb)
             {
-                found.push(format!(
-                    "{name} had {} CPUs free, not {}",
-                    free.cpus, worker.free_resources.cpus
+                differences.push(format!(
+                    "{machine} had {} CPUs free, not {}",
+                    free.cpus, recorded.cpus
                 ));
                 worker.free_resources = free;
             }
         }
-        let mut on: BTreeMap<&str, u32> = BTreeMap::new();
-        for held in &worker.attempts {
-            *on.entry(held.spec.id.as_str()).or_default() += 1;
+        let mut attempts_by_job: BTreeMap<&str, u32> = BTreeMap::new();
+        for attempt in &worker.attempts {
+            *attempts_by_job.entry(attempt.spec.id.as_str()).or_default() += 1;
         }
-        for (id, count) in on {
-            if let Some(job) = self.jobs.get_mut(id)
-                && job.attempts_by_worker.get(name) != Some(&count)
+        for (job_id, count) in attempts_by_job {
+            if let Some(job) = self.jobs.get_mut(job_id)
+                && job.attempts_by_worker.get(machine) != Some(&count)
             {
-                found.push(format!("{id} did not know of {count} attempts on {name}"));
-                job.attempts_by_worker.insert(name.to_string(), count);
+                differences.push(format!(
+                    "{job_id} did not know of {count} attempts on {machine}"
+                ));
+                job.attempts_by_worker.insert(machine.to_string(), count);
             }
         }
     }
 
-    /// A job's tasks: each is done, on a machine, or waits, and an end of all
-    /// is on its way to be made durable.
-    fn reconcile_job(&mut self, id: &str, found: &mut Vec<String>) {
-        let Some(job) = self.jobs.get_mut(id) else {
+    /// Checks that each task of a job is done, on a machine, or pending, and that
+    /// completed tasks are on their way to be made durable.
+    fn reconcile_job(&mut self, job_id: &str, differences: &mut Vec<String>) {
+        let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        let mut holds: BTreeMap<u32, u32> = BTreeMap::new();
-        let mut zones: BTreeMap<String, u32> = BTreeMap::new();
-        let mut gone = Vec::new();
-        for name in job.attempts_by_worker.keys() {
-            let Some(worker) = self.workers.get(name) else {
-                gone.push(name.clone());
-                continue;
-            };
-            for held in worker
-                .attempts
-                .iter()
-                .filter(|h| h.occupies_capacity() && h.spec.id == id)
-            {
-                *holds.entry(held.index).or_default() += 1;
-                *zones.entry(worker.zone.clone()).or_default() += 1;
-            }
-        }
-        for name in gone {
-            found.push(format!("{id} was thought to be on {name}, which is gone"));
-            job.attempts_by_worker.remove(&name);
-        }
-        if holds != job.attempts_by_task {
-            found.push(format!(
-                "{id} was thought to have {} tasks on machines, not {}",
-                job.attempts_by_task.len(),
-                holds.len()
+        reconcile_attempt_counts(job, &self.workers, differences);
+        reconcile_pending_tasks(job, differences);
+        let has_unsaved_progress = job.is_complete() || !job.unsaved_chunks.is_empty();
+        if has_unsaved_progress && !self.jobs_with_unsaved_progress.contains(job_id) {
+            differences.push(format!(
+                "the end of tasks of {job_id} was not on its way to be kept"
             ));
-            job.attempts_by_task = holds;
-        }
-        job.attempts_by_zone = zones;
-        let waits = job.pending.len() as usize + job.resumable.len();
-        let unfinished = job.unfinished() as usize;
-        let overlap = job.attempts_by_task.keys().any(|n| {
-            job.completed.contains(*n) || job.pending.contains(*n) || job.resumable.contains_key(n)
-        });
-        let held = job
-            .attempts_by_task
-            .keys()
-            .filter(|n| !job.completed.contains(**n))
-            .count();
-        if waits + held != unfinished || overlap {
-            let mut waiting = RangeSet::first(job.spec.tasks);
-            for n in job
-                .completed
-                .iter()
-                .chain(job.attempts_by_task.keys().copied())
-            {
-                waiting.remove(n);
-            }
-            job.resumable.retain(|n, _| waiting.contains(*n));
-            for n in job.resumable.keys() {
-                waiting.remove(*n);
-            }
-            // Two attempts of a done task, while the second is being stopped,
-            // are no loss.
-            if waiting != job.pending {
-                found.push(format!(
-                    "{id} had {} tasks that wait, not {}",
-                    waiting.len(),
-                    job.pending.len()
-                ));
-                job.pending = waiting;
-            }
-        }
-        if (job.is_complete() || !job.unsaved_chunks.is_empty())
-            && !self.jobs_with_unsaved_progress.contains(id)
-        {
-            found.push(format!(
-                "the end of tasks of {id} was not on its way to be kept"
-            ));
-            self.jobs_with_unsaved_progress.insert(id.to_string());
+            self.jobs_with_unsaved_progress.insert(job_id.to_string());
         }
     }
 
-    /// Ids of the open jobs in the picture.
+    /// Ids of the open jobs.
     #[must_use]
     pub fn active_job_ids(&self) -> BTreeSet<String> {
         self.jobs.keys().cloned().collect()
     }
 }
+
+/// Whether two amounts differ by more than sums of decimal amounts may.
+fn differs(a: f64, b: f64) -> bool {
+    (a - b).abs() > MAX_ROUNDING_ERROR
+}
+
+/// Checks a job's counts of attempts against the workers that it is said to be on.
+fn reconcile_attempt_counts(
+    job: &mut Job,
+    workers: &BTreeMap<String, Worker>,
+    differences: &mut Vec<String>,
+) {
+    let job_id = job.spec.id.as_str();
+    let mut attempts_by_task: BTreeMap<u32, u32> = BTreeMap::new();
+    let mut attempts_by_zone: BTreeMap<String, u32> = BTreeMap::new();
+    let mut missing_machines = Vec::new();
+    for machine in job.attempts_by_worker.keys() {
+        let Some(worker) = workers.get(machine) else {
+            missing_machines.push(machine.clone());
+            continue;
+        };
+        for attempt in &worker.attempts {
+            if attempt.occupies_capacity() && attempt.spec.id == job_id {
+                *attempts_by_task.entry(attempt.index).or_default() += 1;
+                *attempts_by_zone.entry(worker.zone.clone()).or_default() += 1;
+            }
+        }
+    }
+    for machine in missing_machines {
+        differences.push(format!(
+            "{job_id} was thought to be on {machine}, which is gone"
+        ));
+        job.attempts_by_worker.remove(&machine);
+    }
+    if attempts_by_task != job.attempts_by_task {
+        differences.push(format!(
+            "{job_id} was thought to have {} tasks on machines, not {}",
+            job.attempts_by_task.len(),
+            attempts_by_task.len()
+        ));
+        job.attempts_by_task = attempts_by_task;
+    }
+    job.attempts_by_zone = attempts_by_zone;
+}
+
+/// Checks that the tasks of a job that are neither completed nor on a machine are
+/// pending or resumable, and no others.
+fn reconcile_pending_tasks(job: &mut Job, differences: &mut Vec<String>) {
+    let waiting = job.pending.len() as usize + job.resumable.len();
+    let placed = job
+        .attempts_by_task
+        .keys()
+        .filter(|task| !job.completed.contains(**task))
+        .count();
+    let overlaps = job.attempts_by_task.keys().any(|task| {
+        job.completed.contains(*task)
+            || job.pending.contains(*task)
+            || job.resumable.contains_key(task)
+    });
+    if waiting + placed == job.unfinished() as usize && !overlaps {
+        return;
+    }
+    let mut pending = RangeSet::first(job.spec.tasks);
+    let placed_tasks = job.attempts_by_task.keys().copied();
+    for task in job.completed.iter().chain(placed_tasks) {
+        pending.remove(task);
+    }
+    job.resumable.retain(|task, _| pending.contains(*task));
+    for task in job.resumable.keys() {
+        pending.remove(*task);
+    }
+    // A completed task with a second attempt that is being stopped is no difference.
+    if pending != job.pending {
+        differences.push(format!(
+            "{} had {} tasks that wait, not {}",
+            job.spec.id,
+            pending.len(),
+            job.pending.len()
+        ));
+        job.pending = pending;
+    }
+}
--- /dev/null
+++ b/crates/tallygauge-scheduler/src/task_end.rs
@@ -0,0 +1,148 @@
+//! What follows from the end of an attempt: its task is completed, or requeued.
+
+use crate::{cluster_state::ClusterState, model::*};
+use tallygauge_protocol::{users::Shape, workers::EndCause};
+
+/// Failed jobs on one machine, without a success between, that make it faulty.
+const FAULTY_AFTER_FAILED_JOBS: usize = 2;
+
+/// Most consecutive failures of a job that are counted.
+const MAX_CONSECUTIVE_FAILURES: u32 = 64;
+
+/// Consecutive failures of a job per doubling of its tasks' backoff.
+const FAILURES_PER_DOUBLING: u32 = 4;
+
+/// Most doublings of the backoff.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+
+/// Heartbeat intervals until a task is placed again whose start was refused.
+const REFUSED_BACKOFF_INTERVALS: f64 = 0.5;
+
+impl ClusterState {
+    /// Handles the end of an attempt, which is at `position` of its worker and was
+    /// released there.
+    pub(crate) fn handle_task_end(
+        &mut self,
+        now: f64,
+        machine: &str,
+        position: usize,
+        attempt: &Attempt,
+        cause: EndCause,
+        is_checkpointed: bool,
+    ) {
+        let is_open = self.jobs.contains_key(&attempt.spec.id);
+        if cause == EndCause::Done && is_open && attempt.spec.shape == Shape::Array {
+            self.record_run_time(attempt, machine, now);
+            self.record_task_completed(machine, position, attempt);
+            self.stop_duplicates(attempt, now);
+            return;
+        }
+        // Any other end needs nothing durable: the task is simply requeued.
+        if let Some(worker) = self.workers.get_mut(machine) {
+            worker.attempts[position].end_durable = true;
+        }
+        match cause {
+            EndCause::Halted | EndCause::Done => {
+                let checkpointed_s = if is_checkpointed {
+                    attempt.checkpointed_s + attempt.run_time_s(now)
+                } else {
+                    self.checkpoint_after_loss(attempt, now)
+                };
+                self.requeue(attempt, checkpointed_s, machine, 0.0);
+            }
+            EndCause::Error | EndCause::NoSuch | EndCause::Unknown => {
+                self.requeue_failed(now, machine, attempt);
+                if cause == EndCause::Error {
+                    self.record_failure_on(machine, &attempt.spec.id, now);
+                }
+            }
+            EndCause::NoRoom | EndCause::Busy => {
+                let backoff_s = self.config.heartbeat_interval_s * REFUSED_BACKOFF_INTERVALS;
+                self.requeue(attempt, attempt.checkpointed_s, machine, now + backoff_s);
+            }
+        }
+    }
+
+    /// A task of an open job is done. Its end becomes durable with its chunk.
+    fn record_task_completed(&mut self, machine: &str, position: usize, attempt: &Attempt) {
+        if let Some(worker) = self.workers.get_mut(machine) {
+            worker.failed_jobs.clear();
+        }
+        let chunk = attempt.index / self.tasks_per_chunk;
+        let Some(job) = self.jobs.get_mut(&attempt.spec.id) else {
+            return;
+        };
+        job.consecutive_failures = 0;
+        job.pending.remove(attempt.index);
+        job.unstarted.remove(attempt.index);
+        job.resumable.remove(&attempt.index);
+        if job.completed.insert(attempt.index) {
+            job.unsaved_chunks.insert(chunk);
+        }
+        // If it was completed under an earlier leader, its end is durable already.
+        if job.unsaved_chunks.contains(&chunk) {
+            job.unsaved_completions.push(UnsavedCompletion {
+                index: attempt.index,
+                worker: machine.to_string(),
+            });
+            self.jobs_with_unsaved_progress
+                .insert(attempt.spec.id.clone());
+        } else if let Some(worker) = self.workers.get_mut(machine) {
+            worker.attempts[position].end_durable = true;
+        }
+    }
+
+    /// Stops the other attempts of a completed task. They are rare.
+    fn stop_duplicates(&mut self, completed: &Attempt, now: f64) {
+        let machines: Vec<String> = match self.jobs.get(&completed.spec.id) {
+            Some(job) if job.attempts_by_task.contains_key(&completed.index) => {
+                job.attempts_by_worker.keys().cloned().collect()
+            }
+            _ => Vec::new(),
+        };
+        for machine in machines {
+            let Some(worker) = self.workers.get_mut(&machine) else {
+                continue;
+            };
+            self.needs_direct_message.insert(machine);
+            for attempt in &mut worker.attempts {
+                if attempt.occupies_capacity()
+                    && attempt.index == completed.index
+                    && attempt.spec.id == completed.spec.id
+                    && attempt.stop.is_none()
+                {
+                    attempt.request_stop(StopReason::Duplicate, now);
+                }
+            }
+        }
+    }
+
+    /// Requeues the task of a failed attempt with a backoff. The first failures are
+    /// likely the machine's fault and cost little; a job that fails everywhere must
+    /// not keep machines busy.
+    fn requeue_failed(&mut self, now: f64, machine: &str, attempt: &Attempt) {
+        let failures = match self.jobs.get_mut(&attempt.spec.id) {
+            Some(job) => {
+                job.consecutive_failures =
+                    (job.consecutive_failures + 1).min(MAX_CONSECUTIVE_FAILURES);
+                job.consecutive_failures
+            }
+            None => 1,
+        };
+        let doublings = (failures / FAILURES_PER_DOUBLING).min(MAX_BACKOFF_DOUBLINGS);
+        let backoff_s = self.config.heartbeat_interval_s * f64::from(1u32 << doublings);
+        let checkpointed_s = self.checkpoint_after_loss(attempt, now);
+        self.requeue(attempt, checkpointed_s, machine, now + backoff_s);
+    }
+
+    /// A job failed on a machine: one on which several do is faulty.
+    fn record_failure_on(&mut self, machine: &str, job_id: &str, now: f64) {
+        let Some(worker) = self.workers.get_mut(machine) else {
+            return;
+        };
+        worker.failed_jobs.insert(job_id.to_string());
+        if worker.failed_jobs.len() >= FAULTY_AFTER_FAILED_JOBS {
+            worker.leave(LeaveReason::Faulty, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/tallygauge-scheduler/src/task_status.rs
@@ -0,0 +1,232 @@
+//! What heartbeats say of tasks: attempts that are absent, run, or have ended, and
+//! those that no leader placed.
+
+use crate::{
+    cluster_state::ClusterState, events::ClusterEvent, heartbeats::HeartbeatSource, model::*,
+};
+use std::collections::HashMap;
+use tallygauge_protocol::workers::{EndCause, Heartbeat, TaskState, TaskStatus};
+
+/// Lowest fetch rate that fetch times are estimated with, in GB per second.
+const MIN_FETCH_GB_PER_S: f64 = 1e-3;
+
+impl ClusterState {
+    /// Applies the task statuses of a heartbeat.
+    pub(crate) fn apply_task_statuses(
+        &mut self,
+        now: f64,
+        heartbeat: &Heartbeat,
+        source: HeartbeatSource,
+    ) {
+        let machine = heartbeat.machine.as_str();
+        self.requeue_absent(now, heartbeat, source);
+        let mut orphans = Vec::new();
+        for status in &heartbeat.tasks {
+            self.apply_task_status(now, machine, heartbeat.incarnation, status, &mut orphans);
+        }
+        if let Some(worker) = self.workers.get_mut(machine) {
+            worker.orphaned_attempts = orphans;
+        }
+    }
+
+    /// Requeues the tasks of attempts that a heartbeat should show but does not.
+    /// Without our fencing token it proves nothing: an older start may still be
+    /// executed after it.
+    fn requeue_absent(&mut self, now: f64, heartbeat: &Heartbeat, source: HeartbeatSource) {
+        let machine = heartbeat.machine.as_str();
+        let is_fenced = heartbeat.token == self.config.term;
+        let reported: HashMap<u64, &TaskStatus> = heartbeat
+            .tasks
+            .iter()
+            .map(|status| (status.attempt, status))
+            .collect();
+        let absent = self.remove_attempts(machine, |attempt| {
+            let is_reported = reported
+                .get(&attempt.number)
+                .is_some_and(|status| attempt.has_task_name(&status.task));
+            // A later incarnation than an agent with our token has reached belongs to
+            // another life of it: it has restarted since.
+            let is_comparable = attempt.incarnation == heartbeat.incarnation || attempt.restored;
+            !is_reported
+                && is_fenced
+                && is_comparable
+                && !attempt.may_yet_start()
+                && is_lost_when_absent(attempt, source)
+        });
+        for attempt in absent.iter().filter(|attempt| attempt.occupies_capacity()) {
+            self.requeue_lost(machine, attempt, now);
+        }
+    }
+
+    fn apply_task_status(
+        &mut self,
+        now: f64,
+        machine: &str,
+        incarnation: u64,
+        status: &TaskStatus,
+        orphans: &mut Vec<OrphanedAttempt>,
+    ) {
+        let Some(position) = self.find_or_adopt_attempt(now, machine, incarnation, status) else {
+            orphans.push(OrphanedAttempt {
+                task: status.task.clone(),
+                attempt: status.attempt,
+                ended: status.state == TaskState::Ended,
+            });
+            return;
+        };
+        let Some(worker) = self.workers.get_mut(machine) else {
+            return;
+        };
+        let attempt = &mut worker.attempts[position];
+        attempt.incarnation = incarnation;
+        attempt.start_sent = true;
+        if attempt.is_ended() {
+            return;
+        }
+        if status.state == TaskState::Ended {
+            self.apply_end(now, machine, position, status);
+        } else {
+            self.apply_observed_state(now, machine, position, status.state);
+        }
+    }
+
+    /// Position of a reported attempt among those of its worker. One that is on no
+    /// leader's record is adopted if its job is open, so that it is accounted for;
+    /// else there is none, and it is to be stopped and cleared.
+    fn find_or_adopt_attempt(
+        &mut self,
+        now: f64,
+        machine: &str,
+        incarnation: u64,
+        status: &TaskStatus,
+    ) -> Option<usize> {
+        let (job_id, index) = parse_task_name(&status.task)?;
+        let worker = self.workers.get(machine)?;
+        let known = worker.attempts.iter().position(|attempt| {
+            attempt.number == status.attempt && attempt.spec.id == job_id && attempt.index == index
+        });
+        if known.is_some() {
+            return known;
+        }
+        let job = self.jobs.get(job_id).filter(|job| index < job.spec.tasks)?;
+        let spec = job.spec.clone();
+        let attempt = Attempt::restored(spec, index, status.attempt, incarnation, now);
+        self.add_attempt(machine, attempt);
+        // It must be recorded, or the next leader would not know of it.
+        if status.state != TaskState::Ended {
+            self.unbatched_attempts.push(UnbatchedAttempt {
+                worker: machine.to_string(),
+                attempt: status.attempt,
+            });
+        }
+        let worker = self.workers.get(machine)?;
+        Some(worker.attempts.len() - 1)
+    }
+
+    /// A heartbeat shows that an attempt has not ended.
+    fn apply_observed_state(&mut self, now: f64, machine: &str, position: usize, state: TaskState) {
+        let Some(worker) = self.workers.get_mut(machine) else {
+            return;
+        };
+        let machine_type = self.machine_types.get(worker.machine_type.as_str());
+        let attempt = &mut worker.attempts[position];
+        attempt.observe(state);
+        let spec = &attempt.spec;
+        if state == TaskState::Fetching {
+            let gb_per_s =
+                machine_type.map_or(f64::MAX, |t| t.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S));
+            let fetched_at = now + spec.image_gb / gb_per_s;
+            worker.images.note_missing(&spec.image, fetched_at);
+        }
+        let is_running = matches!(state, TaskState::Running | TaskState::Saving);
+        if is_running && attempt.running_since.is_none() {
+            // After a failover the start is known from the placement.
+            attempt.running_since = Some(if attempt.restored {
+                attempt.placed_at
+            } else {
+                now
+            });
+            if let Some(job) = self.jobs.get_mut(&spec.id)
+                && !std::mem::replace(&mut job.started, true)
+            {
+                self.events.push(ClusterEvent::JobStarted {
+                    job: spec.id.clone(),
+                    wait_s: now - job.accepted_at,
+                    class: job.spec.class.clone(),
+                    tasks: job.spec.tasks,
+                });
+            }
+            let cache_gb = machine_type.map_or(0.0, |t| t.cache_gb);
+            worker.images.fetching.remove(&spec.image);
+            worker
+                .images
+                .mark_used(&spec.image, spec.image_gb, cache_gb);
+        }
+        let is_completed = self
+            .jobs
+            .get(&spec.id)
+            .is_some_and(|job| job.completed.contains(attempt.index));
+        if is_completed && attempt.stop.is_none() {
+            attempt.request_stop(StopReason::Duplicate, now);
+        }
+    }
+
+    /// A heartbeat shows for the first time that an attempt has ended.
+    fn apply_end(&mut self, now: f64, machine: &str, position: usize, status: &TaskStatus) {
+        let Some(worker) = self.workers.get_mut(machine) else {
+            return;
+        };
+        let cause = status.cause.unwrap_or(EndCause::Unknown);
+        worker.attempts[position].end(cause);
+        let attempt = worker.attempts[position].clone();
+        if cause != EndCause::Done {
+            self.events.push(ClusterEvent::AttemptEnded {
+                task: status.task.clone(),
+                machine: machine.to_string(),
+                cause,
+                checkpointed: status.checkpointed,
+            });
+        }
+        self.release_attempt(machine, &attempt, now);
+        let is_checkpointed = status.checkpointed.unwrap_or(false);
+        self.handle_task_end(now, machine, position, &attempt, cause, is_checkpointed);
+    }
+}
+
+/// Whether an attempt is lost when a heartbeat does not show it, by its phase.
+fn is_lost_when_absent(attempt: &Attempt, source: HeartbeatSource) -> bool {
+    match attempt.phase {
+        AttemptPhase::Planned => false,
+        // A start of this term is sent again until a heartbeat shows it, unless the
+        // attempt is not wanted any more.
+        AttemptPhase::Recorded => {
+            attempt.restored || (attempt.stop.is_some() && source == HeartbeatSource::Periodic)
+        }
+        AttemptPhase::Observed(_) | AttemptPhase::Ended(_) => true,
+    }
+}
+
+/// Whether a heartbeat shows a worker's attempts just as they are known, all of them
+/// and no others, and none of them is waited for.
+pub(crate) fn is_unchanged(worker: &Worker, statuses: &[TaskStatus]) -> bool {
+    worker.orphaned_attempts.is_empty()
+        && worker.attempts.len() == statuses.len()
+        && statuses.iter().all(|status| {
+            let known = worker
+                .attempts
+                .iter()
+                .find(|attempt| attempt.number == status.attempt);
+            known.is_some_and(|attempt| {
+                attempt.phase == AttemptPhase::Observed(status.state)
+                    && attempt.stop.is_none()
+                    && (status.state == TaskState::Fetching || attempt.running_since.is_some())
+                    && attempt.has_task_name(&status.task)
+            })
+        })
+}
+
+/// Job id and task number in a task's name on the wire.
+fn parse_task_name(name: &str) -> Option<(&str, u32)> {
+    let (job_id, index) = name.rsplit_once('/')?;
+    Some((job_id, index.parse().ok()?))
+}
--- a/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
@@ -125,7 +125,9 @@
         (&seen[0].name, (1, 0), 1)
     );
     assert!(
-        next.events.iter().all(|e| !e.1.contains("opens")),
+        next.events
+            .iter()
+            .all(|e| !matches!(e, ClusterEvent::CutoffOpened { .. })),
         "it is open already"
     );
     // It passes with a job open, and closes when that is done.
@@ -133,14 +135,14 @@
     assert!(
         next.events
             .iter()
-            .any(|e| e.1.contains("passed with 1 jobs open"))
+            .any(|e| matches!(e, ClusterEvent::CutoffPassed { open_jobs: 1, .. }))
     );
     finish(&mut next, "req-2", 8005.0);
     next.update_deadline_risk(8006.0);
     assert!(
         next.events
             .iter()
-            .any(|e| e.1.contains("was missed by 20 s")),
+            .any(|e| matches!(e, ClusterEvent::CutoffMissed { late_s, .. } if (late_s - 20.0).abs() <= 0.5)),
         "{:?}",
         next.events
     );
--- /dev/null
+++ b/crates/tallygauge/src/event_log.rs
@@ -0,0 +1,112 @@
+//! Logs what the scheduler reports: each cluster event as one line, its values as
+//! fields.
+
+use tallygauge_protocol::workers::EndCause;
+use tallygauge_scheduler::ClusterEvent;
+
+/// Logs at `info` if the first argument is true, else at `debug`.
+macro_rules! log_info_if {
+    ($is_info:expr, $($line:tt)+) => {
+        if $is_info {
+            tracing::info!($($line)+);
+        } else {
+            tracing::debug!($($line)+);
+        }
+    };
+}
+
+/// Logs a cluster event: what an operator should see by default at `info`, what
+/// happens to single jobs and attempts at `debug`.
+pub(crate) fn log_cluster_event(event: &ClusterEvent) {
+    match event {
+        ClusterEvent::SpotNoticeReceived { machine } => {
+            tracing::info!(machine, "received spot interruption notice");
+        }
+        ClusterEvent::MachineUnreachable { machine, evidence } => {
+            tracing::info!(machine, ?evidence, "machine unreachable");
+        }
+        ClusterEvent::AgentRestarted { machine } => {
+            tracing::info!(machine, "agent restarted, tasks lost");
+        }
+        ClusterEvent::MachineLeaving { machine, reason } => {
+            tracing::info!(machine, ?reason, "decided to return machine");
+        }
+        ClusterEvent::AttemptLost { task, machine } => {
+            tracing::debug!(task, machine, "attempt lost with agent incarnation");
+        }
+        ClusterEvent::AttemptPreempted {
+            task,
+            machine,
+            preempted_by,
+        } => tracing::debug!(task, machine, preempted_by, "preempting attempt"),
+        ClusterEvent::AttemptEnded {
+            task,
+            machine,
+            cause,
+            checkpointed,
+        } => {
+            let is_failure = *cause == EndCause::Error;
+            log_info_if!(
+                is_failure,
+                task,
+                machine,
+                ?cause,
+                checkpointed,
+                "attempt ended"
+            );
+        }
+        ClusterEvent::JobStarted {
+            job,
+            wait_s,
+            class,
+            tasks,
+        } => tracing::debug!(job, wait_s, class, tasks, "job started"),
+        ClusterEvent::JobPlaced {
+            job,
+            wait_s,
+            class,
+            tasks,
+            is_large,
+        } => tracing::debug!(
+            job,
+            wait_s,
+            class,
+            tasks,
+            is_large,
+            "all tasks of job placed"
+        ),
+        ClusterEvent::CutoffOpened {
+            cutoff,
+            is_declared,
+        } => log_info_if!(*is_declared, %cutoff, "cutoff opened"),
+        ClusterEvent::CutoffAtRisk {
+            cutoff,
+            is_declared,
+            open_jobs,
+            remaining_cpu_s,
+            late_s,
+            missing_cpus,
+        } => log_info_if!(
+            *is_declared,
+            %cutoff,
+            open_jobs,
+            remaining_cpu_s,
+            late_s,
+            missing_cpus,
+            "cutoff at risk"
+        ),
+        ClusterEvent::CutoffPassed { cutoff, open_jobs } => {
+            tracing::info!(%cutoff, open_jobs, "cutoff passed with open jobs");
+        }
+        ClusterEvent::CutoffMet { cutoff } => tracing::info!(%cutoff, "cutoff met"),
+        ClusterEvent::CutoffMissed { cutoff, late_s } => {
+            tracing::info!(%cutoff, late_s, "cutoff missed");
+        }
+        ClusterEvent::MinimumShareEnforced { jobs, groups } => {
+            tracing::info!(jobs, ?groups, "enforcing minimum share");
+        }
+        ClusterEvent::MinimumShareReached => {
+            tracing::info!("minimum share no longer enforced");
+        }
+    }
+}
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod connection_limits;
 pub mod controller;
 pub mod deadline_settings;
+mod event_log;
 pub mod fairness_summary;
 pub mod job_watch;
 pub mod leader;
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -1,6 +1,6 @@
 //! The control loop: rounds, one after the other.
 
-use crate::{controller::Controller, placements::PlacementWriter, worker_api};
+use crate::{controller::Controller, event_log, placements::PlacementWriter, worker_api};
 use std::{sync::Arc, time::Duration};
 use tallygauge_protocol::{BODY_LIMIT, state::Condition};
 use tallygauge_scheduler::PlacementBatch;
@@ -108,14 +108,10 @@
     batches.unwrap_or_default()
 }
 
-/// Logs what happened in the picture.
+/// Drains and logs the cluster's events.
 fn log_events(controller: &Controller) {
     let events = controller.with_cluster(|c| std::mem::take(&mut c.events));
-    for (weighs, text) in events.unwrap_or_default() {
-        if weighs {
-            tracing::info!("{text}");
-        } else {
-            tracing::debug!("{text}");
-        }
+    for event in &events.unwrap_or_default() {
+        event_log::log_cluster_event(event);
     }
 }
