--- a/crates/tallygauge-scheduler/src/attempt_accounting.rs
+++ b/crates/tallygauge-scheduler/src/attempt_accounting.rs
@@ -1,10 +1,11 @@
-//! What is held where: attempts on workers, rooms, team ledgers, and the tasks
-//! that wait again.
+//! Accounting of attempts: on workers and their free resources, in jobs, in the quota
+//! of teams and in placement batches; and the requeueing of tasks.
 
 use crate::{cluster_state::ClusterState, events::ClusterEvent, model::*};
 use std::collections::BTreeMap;
 use tallygauge_protocol::users::MIN_COUNTED_RUN_S;
 
+/// Decrements a count, and removes it at 0.
 fn decrement<K: Ord + ?Sized, Q: Ord + std::borrow::Borrow<K>>(
     counts: &mut BTreeMap<Q, u32>,
     key: &K,
@@ -18,119 +19,124 @@
 }
 
 impl ClusterState {
-    /// Ends all attempts of sessions up to `last` on a worker.
-    pub(crate) fn end_incarnation(&mut self, name: &str, last: u64, now: f64) {
-        self.end_attempts(name, now, |h| h.incarnation <= last);
+    /// Ends all attempts of agent incarnations up to `last` on a machine.
+    pub(crate) fn end_incarnation(&mut self, machine: &str, last: u64, now: f64) {
+        self.end_attempts(machine, now, |h| h.incarnation <= last);
     }
 
-    /// Attempts of a worker are surely over, with the session that they were in.
+    /// Ends the attempts on a machine that `is_over` selects: they are certainly over,
+    /// with their agent incarnation.
     pub(crate) fn end_attempts(
         &mut self,
-        name: &str,
+        machine: &str,
         now: f64,
-        which: impl FnMut(&mut Attempt) -> bool,
+        is_over: impl FnMut(&mut Attempt) -> bool,
     ) {
-        if let Some(worker) = self.workers.get_mut(name) {
+        if let Some(worker) = self.workers.get_mut(machine) {
             worker.orphaned_attempts.clear();
         }
-        for held in self.remove_attempts(name, which) {
-            if held.occupies_capacity() {
-                self.requeue_lost(name, &held, now);
+        for attempt in self.remove_attempts(machine, is_over) {
+            if attempt.occupies_capacity() {
+                self.requeue_lost(machine, &attempt, now);
                 self.events.push(ClusterEvent::AttemptLost {
-                    task: held.task_name(),
-                    machine: name.to_string(),
+                    task: attempt.task_name(),
+                    machine: machine.to_string(),
                 });
             }
-            // An end that was not durable yet stands in the picture: a done
-            // task counts as soon as its worker has said so.
+            // An end that is not durable yet stays valid: a completed task counts as
+            // soon as its worker has reported it.
         }
     }
 
-    /// An attempt that was taken off its worker is lost without a word: its task
-    /// waits again.
-    pub(crate) fn requeue_lost(&mut self, name: &str, held: &Attempt, now: f64) {
-        let saved = self.checkpoint_after_loss(held, now);
-        self.release_attempt(name, held, now);
-        self.requeue(held, saved, name, 0.0);
+    /// Releases an attempt that was removed from its machine and lost without a report,
+    /// and requeues its task.
+    pub(crate) fn requeue_lost(&mut self, machine: &str, attempt: &Attempt, now: f64) {
+        let checkpointed_s = self.checkpoint_after_loss(attempt, now);
+        self.release_attempt(machine, attempt, now);
+        self.requeue(attempt, checkpointed_s, machine, 0.0);
     }
 
-    /// Progress that is left when an attempt is lost without a word.
-    pub(crate) fn checkpoint_after_loss(&self, held: &Attempt, now: f64) -> f64 {
-        let every = held.spec.checkpoint_every_s;
+    /// Run time that the last checkpoint holds when an attempt is lost without a
+    /// report, in seconds.
+    pub(crate) fn checkpoint_after_loss(&self, attempt: &Attempt, now: f64) -> f64 {
+        let every = attempt.spec.checkpoint_every_s;
         if every <= 0.0 {
             return 0.0;
         }
-        held.checkpointed_s + (held.run_time_s(now) / every).floor() * every
+        attempt.checkpointed_s + (attempt.run_time_s(now) / every).floor() * every
     }
 
-    /// Adds an attempt to a worker, and to all ledgers.
-    pub(crate) fn add_attempt(&mut self, name: &str, held: Attempt) {
-        let Some(worker) = self.workers.get_mut(name) else {
+    /// Adds an attempt to a machine, and accounts for it.
+    pub(crate) fn add_attempt(&mut self, machine: &str, attempt: Attempt) {
+        let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        worker.free_resources.add_scaled(&held.spec, -1.0);
-        if let Some(team) = self.config.team_index(&held.spec.team) {
-            self.quota_usage[team].add_scaled(&held.spec, 1.0);
+        worker.free_resources.add_scaled(&attempt.spec, -1.0);
+        if let Some(team) = self.config.team_index(&attempt.spec.team) {
+            self.quota_usage[team].add_scaled(&attempt.spec, 1.0);
         }
-        if let Some(job) = self.jobs.get_mut(&held.spec.id) {
-            *job.attempts_by_task.entry(held.index).or_default() += 1;
+        if let Some(job) = self.jobs.get_mut(&attempt.spec.id) {
+            *job.attempts_by_task.entry(attempt.index).or_default() += 1;
             *job.attempts_by_zone.entry(worker.zone.clone()).or_default() += 1;
-            *job.attempts_by_worker.entry(name.to_string()).or_default() += 1;
-            job.pending.remove(held.index);
-            job.resumable.remove(&held.index);
+            *job.attempts_by_worker
+                .entry(machine.to_string())
+                .or_default() += 1;
+            job.pending.remove(attempt.index);
+            job.resumable.remove(&attempt.index);
         }
-        if let Some(batch) = &held.batch {
+        if let Some(batch) = &attempt.batch {
             *self
                 .live_attempts_by_batch
                 .entry(batch.clone())
                 .or_default() += 1;
         }
-        worker.attempts.push(held);
+        worker.attempts.push(attempt);
     }
 
-    /// Takes those of a worker's attempts off it that `which` picks. Ledgers
-    /// are left to the caller.
+    /// Removes the attempts from a machine that `is_selected` selects, and returns
+    /// them. Releasing them is left to the caller.
     pub(crate) fn remove_attempts(
         &mut self,
-        name: &str,
-        which: impl FnMut(&mut Attempt) -> bool,
+        machine: &str,
+        is_selected: impl FnMut(&mut Attempt) -> bool,
     ) -> Vec<Attempt> {
-        let Some(worker) = self.workers.get_mut(name) else {
+        let Some(worker) = self.workers.get_mut(machine) else {
             return Vec::new();
         };
-        let off: Vec<Attempt> = worker.attempts.extract_if(.., which).collect();
-        for held in &off {
-            if let Some(job) = self.jobs.get_mut(&held.spec.id) {
-                decrement(&mut job.attempts_by_worker, name);
+        let removed: Vec<Attempt> = worker.attempts.extract_if(.., is_selected).collect();
+        for attempt in &removed {
+            if let Some(job) = self.jobs.get_mut(&attempt.spec.id) {
+                decrement(&mut job.attempts_by_worker, machine);
             }
         }
-        off
+        removed
     }
 
-    /// Takes an attempt off all ledgers, once.
-    pub(crate) fn release_attempt(&mut self, name: &str, held: &Attempt, now: f64) {
-        let Some(worker) = self.workers.get_mut(name) else {
+    /// Releases what an attempt occupies: resources, quota, counts of its job and its
+    /// batch. To be called once for each attempt.
+    pub(crate) fn release_attempt(&mut self, machine: &str, attempt: &Attempt, now: f64) {
+        let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
         self.needs_scheduling = true;
-        worker.free_resources.add_scaled(&held.spec, 1.0);
+        worker.free_resources.add_scaled(&attempt.spec, 1.0);
         worker
             .images
-            .cancel_unneeded_fetch(&held.spec.image, &worker.attempts);
+            .cancel_unneeded_fetch(&attempt.spec.image, &worker.attempts);
         if !worker.attempts.iter().any(Attempt::occupies_capacity) {
             worker.idle_since = now;
         }
-        if let Some(team) = self.config.team_index(&held.spec.team) {
-            self.quota_usage[team].add_scaled(&held.spec, -1.0);
+        if let Some(team) = self.config.team_index(&attempt.spec.team) {
+            self.quota_usage[team].add_scaled(&attempt.spec, -1.0);
         }
-        if let Some(job) = self.jobs.get_mut(&held.spec.id) {
-            if held.run_time_s(now) >= MIN_COUNTED_RUN_S {
-                job.unstarted.remove(held.index);
+        if let Some(job) = self.jobs.get_mut(&attempt.spec.id) {
+            if attempt.run_time_s(now) >= MIN_COUNTED_RUN_S {
+                job.unstarted.remove(attempt.index);
             }
-            decrement(&mut job.attempts_by_task, &held.index);
+            decrement(&mut job.attempts_by_task, &attempt.index);
             decrement(&mut job.attempts_by_zone, worker.zone.as_str());
         }
-        if let Some(batch) = &held.batch {
+        if let Some(batch) = &attempt.batch {
             decrement(&mut self.live_attempts_by_batch, batch);
             if !self.live_attempts_by_batch.contains_key(batch) {
                 self.obsolete_batches.insert(batch.clone());
@@ -138,28 +144,41 @@
         }
     }
 
-    /// Puts a task back among those that wait, unless it is done or also held
-    /// elsewhere.
-    pub(crate) fn requeue(&mut self, held: &Attempt, saved_s: f64, worker: &str, not_before: f64) {
-        let machine_type = self.workers.get(worker).map(|w| w.machine_type.clone());
-        let Some(job) = self.jobs.get_mut(&held.spec.id) else {
+    /// Makes a task pending again, unless it is completed or also on another machine.
+    /// It resumes from `checkpointed_s` and is placed at `not_before` at the earliest;
+    /// if that is set, not on the same machine.
+    pub(crate) fn requeue(
+        &mut self,
+        attempt: &Attempt,
+        checkpointed_s: f64,
+        machine: &str,
+        not_before: f64,
+    ) {
+        let machine_type = self.workers.get(machine).map(|w| w.machine_type.clone());
+        let Some(job) = self.jobs.get_mut(&attempt.spec.id) else {
             return;
         };
-        if job.completed.contains(held.index) || job.attempts_by_task.contains_key(&held.index) {
+        if job.completed.contains(attempt.index)
+            || job.attempts_by_task.contains_key(&attempt.index)
+        {
             return;
         }
-        job.resumable.remove(&held.index);
-        if saved_s > 0.0 || not_before > 0.0 {
+        job.resumable.remove(&attempt.index);
+        if checkpointed_s > 0.0 || not_before > 0.0 {
             let resume = ResumableTask {
-                index: held.index,
-                checkpointed_s: saved_s,
-                machine_type: if saved_s > 0.0 { machine_type } else { None },
+                index: attempt.index,
+                checkpointed_s,
+                machine_type: if checkpointed_s > 0.0 {
+                    machine_type
+                } else {
+                    None
+                },
                 not_before,
-                avoid_machine: (not_before > 0.0).then(|| worker.to_string()),
+                avoid_machine: (not_before > 0.0).then(|| machine.to_string()),
             };
-            job.resumable.insert(held.index, resume);
+            job.resumable.insert(attempt.index, resume);
         } else {
-            job.pending.insert(held.index);
+            job.pending.insert(attempt.index);
         }
     }
 }
--- a/crates/tallygauge-scheduler/src/commands.rs
+++ b/crates/tallygauge-scheduler/src/commands.rs
@@ -42,6 +42,28 @@
     Probe,
 }
 
+/// Direct messages that wait for an answer.
+///
+/// `probes` of the `total` are probes; both fall to 0 when all were answered or timed
+/// out.
+#[derive(Debug, Default)]
+pub(crate) struct InFlightMessages {
+    total: usize,
+    probes: usize,
+}
+
+impl InFlightMessages {
+    fn add(&mut self, is_probe: bool) {
+        self.total += 1;
+        self.probes += usize::from(is_probe);
+    }
+
+    fn remove(&mut self, is_probe: bool) {
+        self.total = self.total.saturating_sub(1);
+        self.probes = self.probes.saturating_sub(usize::from(is_probe));
+    }
+}
+
 impl ClusterState {
     /// Commands that a worker should execute now, in the order of execution.
     #[must_use]
@@ -99,7 +121,7 @@
         let max_in_flight = ((self.config.max_direct_messages as f64 * spare) as usize).max(1);
         let max_probes = max_in_flight.div_ceil(PROBE_FRACTION);
         let mut due = std::mem::take(&mut self.needs_direct_message).into_iter();
-        while self.direct_messages_in_flight < max_in_flight {
+        while self.in_flight_messages.total < max_in_flight {
             let Some(machine) = due.next() else { break };
             let Some(worker) = self.workers.get(&machine) else {
                 continue;
@@ -109,7 +131,7 @@
             };
             // Many workers may be unreachable at once: their probes must not delay
             // starts. Their next heartbeats make them due again.
-            if purpose == MessagePurpose::Probe && self.probes_in_flight >= max_probes {
+            if purpose == MessagePurpose::Probe && self.in_flight_messages.probes >= max_probes {
                 continue;
             }
             // Those that can't have a message now are looked at again.
@@ -138,8 +160,7 @@
         commands.retain(|command| worker.may_send_directly(command));
         let started_attempts = worker.mark_starts_in_flight(&commands);
         let is_probe = purpose == MessagePurpose::Probe;
-        self.probes_in_flight += usize::from(is_probe);
-        self.direct_messages_in_flight += 1;
+        self.in_flight_messages.add(is_probe);
         worker.direct_message_in_flight = true;
         worker.message_order.liveness_probe_sent();
         Some(DirectMessage {
@@ -164,10 +185,7 @@
     ) {
         let heartbeat_interval_s = self.config.heartbeat_interval_s;
         let thresholds = self.config.reachability_thresholds();
-        self.direct_messages_in_flight = self.direct_messages_in_flight.saturating_sub(1);
-        self.probes_in_flight = self
-            .probes_in_flight
-            .saturating_sub(usize::from(message.is_probe));
+        self.in_flight_messages.remove(message.is_probe);
         self.needs_direct_message.insert(message.worker.clone());
         let Some(worker) = self.workers.get_mut(&message.worker) else {
             return;
--- a/crates/tallygauge-scheduler/src/model/capacity.rs
+++ b/crates/tallygauge-scheduler/src/model/capacity.rs
@@ -2,18 +2,19 @@
 
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
-/// Slack for sums of decimal amounts.
+/// Tolerance for sums of decimal amounts.
 pub(crate) const EPSILON: f64 = 1e-6;
 
-/// How many times `need` goes into what there is.
-pub(crate) fn count_fitting(have: f64, need: f64) -> u32 {
-    if need > 0.0 {
-        ((have + EPSILON) / need).max(0.0) as u32
+/// How many times `needed` fits into `available`.
+pub(crate) fn count_fitting(available: f64, needed: f64) -> u32 {
+    if needed > 0.0 {
+        ((available + EPSILON) / needed).max(0.0) as u32
     } else {
         u32::MAX
     }
 }
 
+/// Whether a task of the job fits into these amounts.
 pub(crate) fn task_fits(spec: &JobSpec, cpus: f64, gpus: f64, memory_gb: f64) -> bool {
     spec.cpus <= cpus + EPSILON
         && spec.gpus <= gpus + EPSILON
@@ -40,7 +41,7 @@
     pub(crate) refusals: u32,
 }
 
-/// An amount of a machine.
+/// Amounts of what a machine provides.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
     /// CPUs.
@@ -52,20 +53,22 @@
 }
 
 impl Resources {
-    /// All of a machine type.
+    /// What a machine of this type provides.
     #[must_use]
-    pub fn of_type(t: &MachineType) -> Self {
+    pub fn of_type(machine_type: &MachineType) -> Self {
         Self {
-            cpus: t.cpus,
-            gpus: t.gpus,
-            memory_gb: t.memory_gb,
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
         }
     }
 
+    /// Whether a task of the job fits.
     pub(crate) fn can_fit(&self, spec: &JobSpec) -> bool {
         task_fits(spec, self.cpus, self.gpus, self.memory_gb)
     }
 
+    /// Adds what `sign` tasks of the job need; a negative number subtracts.
     pub(crate) fn add_scaled(&mut self, spec: &JobSpec, sign: f64) {
         self.cpus += sign * spec.cpus;
         self.gpus += sign * spec.gpus;
--- a/crates/tallygauge-scheduler/src/model/config.rs
+++ b/crates/tallygauge-scheduler/src/model/config.rs
@@ -9,79 +9,81 @@
     users::{JobSpec, Priority, Shape},
 };
 
-/// A team's guarantee and limit.
+/// A team's guaranteed resources and its quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TeamConfig {
     /// Name.
     pub name: String,
     /// Guaranteed CPUs.
     pub guaranteed_cpus: f64,
-    /// Most CPUs; infinite where there is no limit.
+    /// Quota of CPUs; infinite if there is none.
     pub max_cpus: f64,
     /// Guaranteed GPUs.
     pub guaranteed_gpus: f64,
-    /// Most GPUs; infinite where there is no limit.
+    /// Quota of GPUs; infinite if there is none.
     pub max_gpus: f64,
 }
 
-/// What the picture and the mapping are governed by.
+/// Settings of the scheduler. Times are seconds.
 #[derive(Debug, Clone)]
 pub struct Config {
     /// Teams.
     pub teams: Vec<TeamConfig>,
-    /// Time between a worker's reports.
+    /// Time between a worker's heartbeats.
     pub heartbeat_interval_s: f64,
-    /// A worker's lease.
+    /// Duration of a worker's lease.
     pub lease_s: f64,
-    /// Time a cancelled job's tasks have to be gone.
+    /// Time within which a cancelled job's tasks must have ended.
     pub cancel_timeout_s: f64,
-    /// How long a leader that can't confirm its term goes on answering workers.
+    /// How long a leader that can't confirm its term still answers workers.
     pub fence_s: f64,
-    /// Nominal lag of the machine list.
+    /// Nominal lag of the cloud's machine list.
     pub list_lag_s: f64,
-    /// Most that two steady clocks drift apart, as a ratio.
+    /// Maximum drift between two steady clocks, as a ratio.
     pub clock_drift: f64,
-    /// Least remaining time that UPT is worked out with.
+    /// Lower bound of the remaining time in utility per time.
     pub min_remaining_s: f64,
-    /// Worth of each priority, lowest first.
+    /// Utility of each priority, lowest first.
     pub utility: [f64; 4],
-    /// Part of its worth that a job keeps after its deadline.
+    /// Part of its utility that a job keeps after its deadline.
     pub late_utility: f64,
     /// Idle time before a machine is returned, in boot times of its type.
     pub idle_boots: f64,
-    /// Boot times that waiting work is spread over when machines are asked for.
+    /// Boot times over which pending work is spread when machines are rented.
     pub horizon_boots: f64,
-    /// Time within which jobs of a class should be finished.
+    /// Soft deadline of the jobs of a class.
     pub class_deadline_s: HashMap<String, f64>,
-    /// The loosest aims of classes.
+    /// Service-level objectives, by class.
     pub objectives: HashMap<String, ServiceLevelObjective>,
-    /// The floor.
+    /// Minimum share of each group.
     pub minimum_share: MinimumShareConfig,
-    /// Replicas at risk against seconds of fetch.
+    /// How the risk of losing replicas of an image is weighed against fetch time.
     pub replica_spread: ReplicaSpread,
-    /// Most tasks on one machine, so that its record fits the state service.
+    /// Maximum number of tasks on one machine, so that its record fits the key-value
+    /// store.
     pub max_tasks_per_worker: usize,
-    /// Most direct messages under way at a time.
+    /// Maximum number of direct messages in flight.
     pub max_direct_messages: usize,
     /// The leader's term.
     pub term: u64,
 }
 
-/// The loosest aims of a class of jobs.
+/// Service-level objective of a class of jobs.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ServiceLevelObjective {
-    /// Done within so many times the job's own deadline.
+    /// Completion within this multiple of the job's own deadline.
     pub deadline_factor: Option<f64>,
-    /// Done within this time.
+    /// Completion within this time, seconds.
     pub within_s: Option<f64>,
 }
 
-/// The floor under what each class of jobs and each team gets.
+/// Minimum share that each class of jobs and each team gets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MinimumShareConfig {
-    /// Part of the jobs that are done or overdue which is to be done; 0: none.
+    /// Part of the completed or overdue jobs that must be completed; 0 turns the
+    /// minimum share off.
     pub share: f64,
-    /// Seconds after its acceptance by which every job has begun; 0: no bound.
+    /// Seconds after its acceptance within which every job must start; 0: no bound.
     pub start_within_s: f64,
 }
 
@@ -92,21 +94,21 @@
         self.heartbeat_interval_s * 0.2
     }
 
-    /// Seconds after which a worker that said nothing is out of reach.
+    /// Seconds without a heartbeat after which no work is placed on a worker.
     #[must_use]
     pub fn heartbeat_timeout_s(&self) -> f64 {
         self.heartbeat_interval_s * 2.5
     }
 
-    /// `seconds` of another machine's clock, at most, on ours.
+    /// Upper bound on our clock of a duration of `seconds` on another machine's.
     #[must_use]
     pub fn with_clock_drift(&self, seconds: f64) -> f64 {
         seconds * (1.0 + 2.0 * self.clock_drift) + self.timing_margin_s()
     }
 
-    /// What speaks against a machine's hearing, and from when on it counts. A
-    /// lost answer is told from a deaf machine by the next ones: within a
-    /// lease, and no sooner than three reports.
+    /// How much evidence makes a machine suspected or unreachable. Single lost
+    /// responses are told from an unreachable machine by the following ones: within a
+    /// lease, and not before three heartbeats.
     #[must_use]
     pub fn reachability_thresholds(&self) -> ReachabilityThresholds {
         ReachabilityThresholds {
@@ -117,17 +119,17 @@
         }
     }
 
-    /// The team's place in the configuration.
+    /// The team's index in the configuration.
     #[must_use]
     pub fn team_index(&self, name: &str) -> Option<usize> {
         self.teams.iter().position(|t| t.name == name)
     }
 }
 
-/// Why a job can never run.
+/// Checks that a job can ever run with these teams and machine types.
 ///
 /// # Errors
-/// A sentence for the user.
+/// A sentence for the user that says why it can't.
 pub fn check_feasible(
     spec: &JobSpec,
     teams: &[TeamConfig],
@@ -169,7 +171,7 @@
     Ok(())
 }
 
-/// Place of a priority in the worth steps.
+/// Index of a priority's utility in [`Config::utility`].
 #[must_use]
 pub fn priority_index(priority: Priority) -> usize {
     match priority {
--- a/crates/tallygauge-scheduler/src/model/job.rs
+++ b/crates/tallygauge-scheduler/src/model/job.rs
@@ -9,18 +9,18 @@
 use tallygauge_deadlines::CutoffWindow;
 use tallygauge_protocol::users::{JobSpec, Shape};
 
-/// A task that waits with something of its own: progress, or a reason to wait.
+/// A pending task with state of its own: a checkpoint, or a backoff.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResumableTask {
     /// Number of the task.
     pub index: u32,
-    /// Saved progress.
+    /// Run time that its checkpoint holds, in seconds.
     pub checkpointed_s: f64,
-    /// Machine type that the progress is for.
+    /// Machine type that the checkpoint is for.
     pub machine_type: Option<String>,
-    /// Not before this time.
+    /// It is not placed before this time.
     pub not_before: f64,
-    /// A machine it failed on.
+    /// Machine that it failed on.
     pub avoid_machine: Option<String>,
 }
 
@@ -33,7 +33,7 @@
     pub worker: String,
 }
 
-/// An open job.
+/// An open job. Times are seconds of the leader's steady clock.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// As submitted.
@@ -44,19 +44,19 @@
     pub accepted_at: f64,
     /// Its team's place in the configuration.
     pub team: usize,
-    /// Places of its class and its team in the floor's book.
+    /// Groups of the minimum share that it counts for: its class and its team.
     pub group_ids: [usize; 2],
-    /// A task of it has run.
+    /// Whether a task of it has run.
     pub started: bool,
-    /// Tasks that are done.
+    /// Completed tasks.
     pub completed: RangeSet,
-    /// Chunks of `finished` that are not durable yet.
+    /// Chunks of `completed` that are not durable yet.
     pub unsaved_chunks: BTreeSet<u32>,
-    /// Ends that wait to be made durable: task and worker.
+    /// Completed tasks whose end is not durable yet.
     pub unsaved_completions: Vec<UnsavedCompletion>,
-    /// Tasks that wait and have nothing of their own.
+    /// Pending tasks without state of their own.
     pub pending: RangeSet,
-    /// Tasks that wait and have, by number.
+    /// Pending tasks with state of their own, by number.
     pub resumable: BTreeMap<u32, ResumableTask>,
     /// How many attempts occupy a machine, by task.
     pub attempts_by_task: BTreeMap<u32, u32>,
@@ -64,41 +64,82 @@
     pub attempts_by_zone: BTreeMap<String, u32>,
     /// How many attempts each worker knows, ended ones too.
     pub attempts_by_worker: BTreeMap<String, u32>,
-    /// Failures since the last success.
+    /// Failed attempts since the last completed task.
     pub consecutive_failures: u32,
-    /// Run times of its tasks by machine: sum and number.
+    /// Run times of its completed tasks, by machine.
     pub run_times_by_machine: BTreeMap<String, SampleSum>,
-    /// Tasks of which no attempt has run for long enough to count, as far as
-    /// this leader knows.
+    /// Tasks no attempt of which has run for long enough to count as started, as far
+    /// as this leader knows.
     pub unstarted: RangeSet,
     /// The cutoff that it counts for.
     pub cutoff: Option<CutoffWindow>,
     /// Time of day when it was accepted, as its record says.
     pub accepted_time_of_day: Option<f64>,
-    /// How far it is raised within the step of its urgency, 0 to 1.
+    /// How far it is raised within its priority, 0 to 1.
     pub boost: f64,
 }
 
 impl Job {
-    /// Whether all its tasks are done.
+    /// A job none of whose tasks is placed. `team` is its team's place in the
+    /// configuration; `group_ids` are those of its class and its team.
+    #[must_use]
+    pub(crate) fn new(
+        spec: JobSpec,
+        version: u64,
+        accepted_at: f64,
+        team: usize,
+        group_ids: [usize; 2],
+        completed: &RangeSet,
+    ) -> Self {
+        let mut pending = RangeSet::first(spec.tasks);
+        let mut known_completed = RangeSet::default();
+        known_completed.extend(completed, spec.tasks);
+        for task in known_completed.iter() {
+            pending.remove(task);
+        }
+        Self {
+            version,
+            accepted_at,
+            team,
+            group_ids,
+            started: !known_completed.is_empty(),
+            completed: known_completed,
+            unsaved_chunks: BTreeSet::new(),
+            unsaved_completions: Vec::new(),
+            unstarted: pending.clone(),
+            pending,
+            resumable: BTreeMap::new(),
+            attempts_by_task: BTreeMap::new(),
+            attempts_by_zone: BTreeMap::new(),
+            attempts_by_worker: BTreeMap::new(),
+            consecutive_failures: 0,
+            run_times_by_machine: BTreeMap::new(),
+            cutoff: None,
+            accepted_time_of_day: None,
+            boost: 0.0,
+            spec: Arc::new(spec),
+        }
+    }
+
+    /// Whether all its tasks are completed. A service never is.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.spec.shape == Shape::Array && self.completed.len() == self.spec.tasks
     }
 
-    /// Whether a task of it waits.
+    /// Whether a task of it is pending.
     pub(crate) fn has_pending_tasks(&self) -> bool {
         !self.pending.is_empty() || !self.resumable.is_empty()
     }
 
-    /// Tasks that are not done.
+    /// Number of tasks that are not completed.
     #[must_use]
     pub fn unfinished(&self) -> u32 {
         self.spec.tasks - self.completed.len()
     }
 
-    /// Whether a task of the job may be on such a machine, given how many of its
-    /// tasks are in each zone.
+    /// Whether a task of the job may be placed on such a machine, given the number of
+    /// its tasks in each zone.
     pub(crate) fn allows(
         &self,
         machine_type: &str,
@@ -112,7 +153,7 @@
             && self.zone_allowed(zone, zones)
     }
 
-    /// Whether another task may start in a zone, given how many are in each.
+    /// Whether another task may be placed in a zone, given the number in each.
     fn zone_allowed(&self, zone: &str, zones: &BTreeMap<String, u32>) -> bool {
         if self.spec.zone.as_ref().is_some_and(|z| z != zone) {
             return false;
--- a/crates/tallygauge-scheduler/src/model/records.rs
+++ b/crates/tallygauge-scheduler/src/model/records.rs
@@ -1,15 +1,15 @@
-//! Durable records of placements, as the state service keeps them.
+//! Durable records of placements, as the key-value store keeps them.
 
 use serde::{Deserialize, Serialize};
 
-/// A durable batch of placements, as one round made them. It is written once,
-/// never changed, and removed when all its attempts are over.
+/// A durable batch of placements of one scheduling round. It is written once, never
+/// changed, and removed when all its attempts are over.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct PlacementBatchRecord {
     /// Time of day of the placements, seconds.
     #[serde(rename = "t")]
     pub placed_at: u64,
-    /// Least attempt; the others are told from it.
+    /// Lowest attempt number; the others are stored as offsets from it.
     #[serde(rename = "a")]
     pub first_attempt: u64,
     /// Jobs.
@@ -20,7 +20,8 @@
     pub workers: Vec<PlacedWorkerRecord>,
 }
 
-/// What a batch keeps of a job: enough to count its tasks when it is over.
+/// What a batch stores of a job: enough to account for its attempts when the job is
+/// over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlacedJobRecord {
     /// Id.
@@ -52,11 +53,11 @@
     /// Spot machine.
     #[serde(rename = "p")]
     pub spot: bool,
-    /// Session.
+    /// Agent incarnation.
     #[serde(rename = "s")]
     pub incarnation: u64,
-    /// Attempts: place of the job in the batch, number of the task, attempt
-    /// above the least, progress it began with in whole seconds.
+    /// Attempts: position of the job in the batch, number of the task, offset of the
+    /// attempt's number, run time of its checkpoint in whole seconds.
     #[serde(rename = "t")]
     pub tasks: Vec<(usize, u32, u64, u32)>,
 }
--- a/crates/tallygauge-scheduler/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -1,4 +1,4 @@
-//! A machine with its worker: what runs there, what was heard of it.
+//! A machine with its worker: its attempts, its agent's messages, its images.
 
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,21 +8,21 @@
 /// Why a machine is to be returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaveReason {
-    /// Nothing to do for it.
+    /// It has been idle for too long, or is surplus.
     Idle,
-    /// It did not come up.
+    /// Its agent never sent a heartbeat.
     BootTimeout,
-    /// It stopped by itself.
+    /// The cloud reports that it failed.
     Failed,
-    /// Tasks fail on it.
+    /// Tasks of several jobs failed on it.
     Faulty,
-    /// It runs its tasks slowly.
+    /// Tasks run slower on it than on other machines.
     Slow,
-    /// It can't confirm that cancelled work has stopped.
+    /// It does not confirm that cancelled tasks have ended.
     Unconfirmed,
-    /// Nothing was heard of it for long.
+    /// It has sent no heartbeat for several leases.
     Silent,
-    /// It reports, but what is sent to it does not reach it.
+    /// It sends heartbeats, but what is sent to it does not arrive.
     Unreachable,
 }
 
@@ -69,82 +69,83 @@
     }
 }
 
-/// A machine, and the worker on it.
+/// A machine and the worker on it. Times are seconds of the leader's steady clock.
 #[derive(Debug, Clone)]
 pub struct Worker {
     /// Name.
     pub name: String,
-    /// Where it takes direct commands; empty until known.
+    /// Address for direct messages; empty until known.
     pub endpoint: String,
     /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot instance.
     pub spot: bool,
-    /// When its rental was asked for, as far as known.
+    /// When it was rented, as far as known.
     pub rented_at: f64,
     /// Since when it is known to exist.
     pub known_at: f64,
-    /// Session of the newest report; 0 before the first.
+    /// Agent incarnation of the newest heartbeat; 0 before the first.
     pub incarnation: u64,
-    /// Its messages so far.
+    /// Order of its agent's messages.
     pub message_order: MessageOrder,
-    /// Highest token that it has shown.
+    /// Highest fencing token that its heartbeats have shown.
     pub fencing_token: u64,
-    /// Whether what is sent to it reaches it.
+    /// Whether what is sent to it arrives.
     pub reachability: Reachability,
-    /// Since when it has been heard without a pause of some report intervals.
+    /// Since when its heartbeats have arrived without a longer pause.
     pub heartbeats_steady_since: f64,
-    /// The answer to its last check-in carried something that the next one must
-    /// show: our token, or what is `carried`.
+    /// Whether the response to its last heartbeat carried something that the next one
+    /// must show: our fencing token, or a command for an attempt that is
+    /// `awaiting_acknowledgement`.
     pub acknowledgement_due: bool,
-    /// When the session was first heard of.
+    /// When the first heartbeat of the incarnation arrived.
     pub incarnation_seen_at: f64,
-    /// When the list first called the machine running: its worker may be out
-    /// of reach, but it has come up.
+    /// When the machine list first showed it running: its worker may be unreachable,
+    /// but it has booted.
     pub booted_at: Option<f64>,
-    /// Sessions up to this one are surely over.
+    /// Incarnations up to this one are certainly over.
     pub last_dead_incarnation: u64,
-    /// When a report first showed our token.
+    /// When a heartbeat first showed our fencing token.
     pub fencing_token_seen_at: Option<f64>,
-    /// When a report was last answered.
+    /// When a heartbeat was last answered.
     pub lease_renewed_at: f64,
-    /// When anything was last heard.
+    /// When the last heartbeat arrived.
     pub last_heartbeat_at: f64,
-    /// When the cloud takes it.
+    /// When the cloud reclaims it, after a spot notice.
     pub spot_notice_until: Option<f64>,
     /// Attempts on it.
     pub attempts: Vec<Attempt>,
-    /// Attempts on it that nobody placed: stopped and cleared.
+    /// Attempts on it that no leader placed: they are stopped and cleared.
     pub orphaned_attempts: Vec<OrphanedAttempt>,
-    /// Free room.
+    /// What its attempts leave free.
     pub free_resources: Resources,
-    /// Images that it has or fetches.
+    /// Images that it has or fetches, as far as known.
     pub images: ImageCache,
-    /// To be returned, and since when.
+    /// The decision to return it.
     pub leaving: Option<LeaveDecision>,
-    /// More than open work needs: the last choice for new tasks, and returned
-    /// as soon as it is empty.
+    /// Whether open work does not need it: it is the last choice for new tasks, and
+    /// returned as soon as it is empty.
     pub surplus: bool,
-    /// The return was sent; the machine may go at any time.
+    /// Whether the return was sent: the machine may disappear at any time.
     pub return_sent: bool,
-    /// A direct message waits for an answer.
+    /// Whether a direct message waits for an answer.
     pub direct_message_in_flight: bool,
-    /// Direct messages that went unanswered in a row.
+    /// Consecutive direct messages that were not answered.
     pub direct_failures: u32,
     /// No direct message before this time.
     pub next_direct_message_at: f64,
-    /// Since when it has nothing on it.
+    /// Since when no attempt occupies its capacity.
     pub idle_since: f64,
-    /// Jobs that failed on it since the last success.
+    /// Jobs with failed attempts on it since a task last completed there.
     pub failed_jobs: BTreeSet<String>,
-    /// Sum of measured over expected run times, and their number.
+    /// Run times of tasks on it over those of the same job on other machines.
     pub runtime_ratio: SampleSum,
 }
 
 impl Worker {
-    /// A machine that nothing was heard of yet.
+    /// A machine that has sent no heartbeat yet.
     #[must_use]
     pub(crate) fn new(name: &str, kind: MachineKind, capacity: Resources, now: f64) -> Self {
         Self {
@@ -186,15 +187,15 @@
 
     /// Whether tasks may be placed on it.
     #[must_use]
-    pub fn accepts_work(&self, now: f64, cfg: &Config) -> bool {
+    pub fn accepts_work(&self, now: f64, config: &Config) -> bool {
         self.incarnation > self.last_dead_incarnation
             && self.fencing_token_seen_at.is_some()
             && self.leaving.is_none()
             && self.spot_notice_until.is_none()
-            && now - self.last_heartbeat_at < cfg.heartbeat_timeout_s()
+            && now - self.last_heartbeat_at < config.heartbeat_timeout_s()
             && self
                 .reachability
-                .accepts_work(now, &cfg.reachability_thresholds())
+                .accepts_work(now, &config.reachability_thresholds())
     }
 
     /// Decides to return the machine, unless that is decided already. Returns
@@ -223,17 +224,18 @@
     }
 }
 
-/// Images on a machine.
+/// Images on a machine, as the scheduler believes.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ImageCache {
-    /// Those it should hold, least recently used first.
+    /// Images that it should have and their size in GB, least recently used first.
     pub cached: Vec<(String, f64)>,
-    /// Those it fetches now, and when each should be there.
+    /// Images that it fetches now, and when each should be complete.
     pub fetching: BTreeMap<String, f64>,
 }
 
 impl ImageCache {
-    /// Marks an image as used now, dropping the least used above the cache.
+    /// Marks an image as used now and evicts the least recently used ones above the
+    /// size of the cache.
     pub(crate) fn mark_used(&mut self, image: &str, gb: f64, cache_gb: f64) {
         self.cached.retain(|i| i.0 != image);
         self.cached.push((image.to_string(), gb));
@@ -243,8 +245,8 @@
         }
     }
 
-    /// Time until an image would be there, were it asked for now. Fetches
-    /// share the rate, so one waits for those under way.
+    /// Seconds until an image would be complete if it were requested now. Fetches
+    /// share the rate, so a new one is complete after those in progress.
     pub(crate) fn fetch_s(&self, image: &str, gb: f64, gb_per_s: f64, now: f64) -> f64 {
         if let Some(at) = self.fetching.get(image) {
             return (at - now).max(0.0);
@@ -256,8 +258,8 @@
         busy + gb / gb_per_s.max(1e-3)
     }
 
-    /// A task that needs an image is placed: the image is fetched if it is not
-    /// there.
+    /// A task that needs the image is placed: the image is fetched unless it is
+    /// cached.
     pub(crate) fn request(&mut self, spec: &JobSpec, t: &MachineType, now: f64) {
         let fetch = self.fetch_s(&spec.image, spec.image_gb, t.fetch_gb_per_s, now);
         if fetch > 0.0 {
@@ -268,20 +270,21 @@
         self.mark_used(&spec.image, spec.image_gb, t.cache_gb);
     }
 
-    /// A task waits for an image: if it was believed to be there, it is fetched
-    /// all the same, and there at that time at the earliest.
-    pub(crate) fn note_missing(&mut self, image: &str, at: f64) {
+    /// A task fetches an image. If it was believed to be cached, it is complete at
+    /// `fetched_at` at the earliest.
+    pub(crate) fn note_missing(&mut self, image: &str, fetched_at: f64) {
         if !self.fetching.contains_key(image) {
-            self.fetching.insert(image.to_string(), at);
+            self.fetching.insert(image.to_string(), fetched_at);
         }
     }
 
-    /// A fetch that no task waits for any more is given up.
-    pub(crate) fn cancel_unneeded_fetch(&mut self, image: &str, held: &[Attempt]) {
-        let wanted = held
+    /// Forgets the fetch of an image that none of the machine's attempts needs any
+    /// more: the agent cancels it.
+    pub(crate) fn cancel_unneeded_fetch(&mut self, image: &str, attempts: &[Attempt]) {
+        let is_needed = attempts
             .iter()
-            .any(|h| h.occupies_capacity() && h.spec.image == image);
-        if !wanted && self.fetching.remove(image).is_some() {
+            .any(|attempt| attempt.occupies_capacity() && attempt.spec.image == image);
+        if !is_needed && self.fetching.remove(image).is_some() {
             self.cached.retain(|i| i.0 != image);
         }
     }
--- a/crates/tallygauge-scheduler/src/progress.rs
+++ b/crates/tallygauge-scheduler/src/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of jobs that is to be made durable.
+//! Progress of jobs that is to be made durable: completed tasks, and completed jobs.
 
 use crate::{
     cluster_state::ClusterState,
@@ -7,18 +7,18 @@
 };
 use std::collections::BTreeSet;
 
-/// A job whose tasks are all done.
+/// A job whose tasks are all completed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Completion {
-    /// Job.
+    /// Id of the job.
     pub job: String,
     /// Version of its record.
     pub version: u64,
-    /// Tasks.
+    /// Number of its tasks.
     pub tasks: u32,
 }
 
-/// Finished tasks to be made durable in one transaction.
+/// Completed tasks to be made durable in one transaction.
 #[derive(Debug, Clone)]
 pub struct Flush {
     /// Pages to be written.
@@ -28,27 +28,26 @@
 }
 
 impl ClusterState {
-    /// Jobs whose end is not durable, but for those whose record is being
-    /// written.
+    /// Completed jobs whose completion is not durable, at most `limit`, without those
+    /// `in_flight`, whose record is being written.
     #[must_use]
-    pub fn completions(&self, most: usize, sent: &BTreeSet<String>) -> Vec<Completion> {
-        let jobs = self
-            .jobs_with_unsaved_progress
+    pub fn completions(&self, limit: usize, in_flight: &BTreeSet<String>) -> Vec<Completion> {
+        self.jobs_with_unsaved_progress
             .iter()
-            .filter_map(|id| self.jobs.get(id));
-        jobs.filter(|j| j.is_complete() && !sent.contains(&j.spec.id))
-            .take(most)
-            .map(|j| Completion {
-                job: j.spec.id.clone(),
-                version: j.version,
-                tasks: j.spec.tasks,
+            .filter_map(|id| self.jobs.get(id))
+            .filter(|job| job.is_complete() && !in_flight.contains(&job.spec.id))
+            .take(limit)
+            .map(|job| Completion {
+                job: job.spec.id.clone(),
+                version: job.version,
+                tasks: job.spec.tasks,
             })
             .collect()
     }
 
-    /// Progress of jobs that are not complete, as much as fits `most` pages and
-    /// `bytes`.
-    pub fn next_flush(&mut self, most: usize, bytes: usize) -> Option<Flush> {
+    /// Progress of jobs that are not complete, as much as `max_pages` and `max_bytes`
+    /// allow; nothing if all is durable.
+    pub fn next_flush(&mut self, max_pages: usize, max_bytes: usize) -> Option<Flush> {
         let mut changed: Vec<ChunkId> = Vec::new();
         for id in &self.jobs_with_unsaved_progress {
             if let Some(job) = self.jobs.get(id).filter(|j| !j.is_complete()) {
@@ -71,7 +70,7 @@
         };
         let pages = self
             .completion_pages
-            .prepare_flush(&changed, most, bytes, content);
+            .prepare_flush(&changed, max_pages, max_bytes, content);
         let chunks: Vec<(ChunkId, RangeSet)> = pages
             .chunks
             .iter()
@@ -80,40 +79,41 @@
         Some(Flush { pages, chunks })
     }
 
-    /// A flush was made at `revision`: its tasks may be cleared.
+    /// A flush succeeded at `revision`: workers may forget its tasks.
     pub fn record_flushed(&mut self, flush: &Flush, revision: u64) {
         for write in &flush.pages.writes {
             self.completion_pages.mark_written(write, revision);
         }
-        let mut ends = Vec::new();
+        let mut completions = Vec::new();
         for (ChunkId { job: id, chunk }, written) in &flush.chunks {
             let Some(job) = self.jobs.get_mut(id) else {
                 continue;
             };
-            let low = chunk * self.tasks_per_chunk;
-            if job.completed.within(low, low + self.tasks_per_chunk) == *written {
+            let first = chunk * self.tasks_per_chunk;
+            if job.completed.within(first, first + self.tasks_per_chunk) == *written {
                 job.unsaved_chunks.remove(chunk);
             }
             let saved = job
                 .unsaved_completions
                 .extract_if(.., |u| written.contains(u.index));
-            ends.extend(saved.map(|completion| (id.as_str(), completion)));
+            completions.extend(saved.map(|completion| (id.as_str(), completion)));
             if job.unsaved_chunks.is_empty() && !job.is_complete() {
                 self.jobs_with_unsaved_progress.remove(id);
             }
         }
-        for (id, completion) in ends {
+        for (id, completion) in completions {
             self.mark_end_durable(id, completion.index, &completion.worker);
         }
     }
 
-    fn mark_end_durable(&mut self, id: &str, index: u32, worker: &str) {
-        let Some(worker) = self.workers.get_mut(worker) else {
+    /// The ended attempts of a task on a machine may be forgotten.
+    fn mark_end_durable(&mut self, job_id: &str, index: u32, machine: &str) {
+        let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        for held in &mut worker.attempts {
-            if !held.occupies_capacity() && held.index == index && held.spec.id == id {
-                held.end_durable = true;
+        for attempt in &mut worker.attempts {
+            if attempt.is_ended() && attempt.index == index && attempt.spec.id == job_id {
+                attempt.end_durable = true;
             }
         }
     }
--- a/crates/tallygauge-scheduler/src/range_set.rs
+++ b/crates/tallygauge-scheduler/src/range_set.rs
@@ -1,4 +1,5 @@
-//! Sets of task numbers, kept as ranges.
+//! Sets of task numbers as ranges: compact for jobs with many tasks, of which most
+//! consecutive ones are in the same state.
 
 use serde::{Deserialize, Serialize};
 
@@ -18,54 +19,54 @@
         }
     }
 
-    /// Adds a number; `false` when it was there.
+    /// Adds a number. Returns `false` if it was there.
     pub fn insert(&mut self, n: u32) -> bool {
-        let at = self.0.partition_point(|r| r.1 < n);
-        if self.0.get(at).is_some_and(|r| r.0 <= n) {
+        let position = self.0.partition_point(|r| r.1 < n);
+        if self.0.get(position).is_some_and(|r| r.0 <= n) {
             return false;
         }
-        let joins_left = at > 0 && self.0[at - 1].1 + 1 == n;
-        let joins_right = self.0.get(at).is_some_and(|r| r.0 == n + 1);
+        let joins_left = position > 0 && self.0[position - 1].1 + 1 == n;
+        let joins_right = self.0.get(position).is_some_and(|r| r.0 == n + 1);
         match (joins_left, joins_right) {
             (true, true) => {
-                self.0[at - 1].1 = self.0[at].1;
-                self.0.remove(at);
+                self.0[position - 1].1 = self.0[position].1;
+                self.0.remove(position);
             }
-            (true, false) => self.0[at - 1].1 = n,
-            (false, true) => self.0[at].0 = n,
-            (false, false) => self.0.insert(at, (n, n)),
+            (true, false) => self.0[position - 1].1 = n,
+            (false, true) => self.0[position].0 = n,
+            (false, false) => self.0.insert(position, (n, n)),
         }
         true
     }
 
-    /// Removes a number; `false` when it was not there.
+    /// Removes a number. Returns `false` if it was not there.
     pub fn remove(&mut self, n: u32) -> bool {
-        let at = self.0.partition_point(|r| r.1 < n);
-        let Some(&(low, high)) = self.0.get(at).filter(|r| r.0 <= n) else {
+        let position = self.0.partition_point(|r| r.1 < n);
+        let Some(&(low, high)) = self.0.get(position).filter(|r| r.0 <= n) else {
             return false;
         };
         match (low == n, high == n) {
             (true, true) => {
-                self.0.remove(at);
+                self.0.remove(position);
             }
-            (true, false) => self.0[at].0 = n + 1,
-            (false, true) => self.0[at].1 = n - 1,
+            (true, false) => self.0[position].0 = n + 1,
+            (false, true) => self.0[position].1 = n - 1,
             (false, false) => {
-                self.0[at].1 = n - 1;
-                self.0.insert(at + 1, (n + 1, high));
+                self.0[position].1 = n - 1;
+                self.0.insert(position + 1, (n + 1, high));
             }
         }
         true
     }
 
-    /// Whether a number is there.
+    /// Whether a number is in the set.
     #[must_use]
     pub fn contains(&self, n: u32) -> bool {
-        let at = self.0.partition_point(|r| r.1 < n);
-        self.0.get(at).is_some_and(|r| r.0 <= n)
+        let position = self.0.partition_point(|r| r.1 < n);
+        self.0.get(position).is_some_and(|r| r.0 <= n)
     }
 
-    /// The number that has `n` lesser ones before it.
+    /// The number at position `n` in ascending order, from 0.
     #[must_use]
     pub fn nth(&self, mut n: u32) -> Option<u32> {
         for &(low, high) in &self.0 {
@@ -77,19 +78,19 @@
         None
     }
 
-    /// How many numbers there are.
+    /// Number of elements.
     #[must_use]
     pub fn len(&self) -> u32 {
         self.0.iter().map(|r| r.1 - r.0 + 1).sum()
     }
 
-    /// Whether there are none.
+    /// Whether the set is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Bytes that the set takes as text, at most.
+    /// Upper bound of the bytes that the set takes as JSON.
     #[must_use]
     pub fn encoded_len(&self) -> usize {
         let digits = |n: u32| n.checked_ilog10().unwrap_or(0) as usize + 1;
@@ -97,12 +98,12 @@
         2 + self.0.iter().map(one).sum::<usize>()
     }
 
-    /// All numbers, in order.
+    /// All numbers in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter().flat_map(|&(low, high)| low..=high)
     }
 
-    /// The part that lies from `low` up to, not including, `end`.
+    /// The numbers from `low` up to, not including, `end`.
     #[must_use]
     pub fn within(&self, low: u32, end: u32) -> Self {
         Self(
@@ -114,7 +115,7 @@
         )
     }
 
-    /// Adds all numbers of another set, leaving out those not below `end`.
+    /// Adds the numbers of another set that are below `end`.
     pub fn extend(&mut self, other: &Self, end: u32) {
         for n in other.iter().take_while(|n| *n < end) {
             self.insert(n);
--- a/crates/tallygauge-scheduler/src/runtime_estimates.rs
+++ b/crates/tallygauge-scheduler/src/runtime_estimates.rs
@@ -19,6 +19,26 @@
 /// Tasks of a job on other machines that a machine is compared with, at least.
 const MIN_COMPARED_TASKS: u32 = 2;
 
+/// Decaying sum of the ratios of measured over expected run time of a class.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct RuntimeRatio {
+    ratio_sum: f64,
+    count: f64,
+}
+
+impl RuntimeRatio {
+    fn add(&mut self, ratio: f64) {
+        self.ratio_sum = self.ratio_sum * DECAY + ratio;
+        self.count = self.count * DECAY + 1.0;
+    }
+
+    /// The mean ratio, close to 1 while little is known.
+    fn estimate(&self) -> f64 {
+        ((self.ratio_sum + PRIOR_TASKS) / (self.count + PRIOR_TASKS))
+            .clamp(CLASS_RATIO_BOUNDS.0, CLASS_RATIO_BOUNDS.1)
+    }
+}
+
 impl ClusterState {
     /// Records the run time of an attempt that completed its task.
     pub(crate) fn record_run_time(&mut self, attempt: &Attempt, machine: &str, now: f64) {
@@ -28,12 +48,10 @@
             return;
         }
         let ratio = (run_time_s / expected_s).clamp(TASK_RATIO_BOUNDS.0, TASK_RATIO_BOUNDS.1);
-        let class = self
-            .runtime_ratios
+        self.runtime_ratios
             .entry(attempt.spec.class.clone())
-            .or_default();
-        class.ratio_sum = class.ratio_sum * DECAY + ratio;
-        class.count = class.count * DECAY + 1.0;
+            .or_default()
+            .add(ratio);
         self.compare_machine(attempt, machine, run_time_s);
     }
 
@@ -65,8 +83,10 @@
     /// Measured over expected run time of a class, close to 1 while little is known.
     #[must_use]
     pub fn runtime_ratio(&self, class: &str) -> f64 {
-        let class = self.runtime_ratios.get(class).copied().unwrap_or_default();
-        ((class.ratio_sum + PRIOR_TASKS) / (class.count + PRIOR_TASKS))
-            .clamp(CLASS_RATIO_BOUNDS.0, CLASS_RATIO_BOUNDS.1)
+        self.runtime_ratios
+            .get(class)
+            .copied()
+            .unwrap_or_default()
+            .estimate()
     }
 }
