--- a/crates/tallygauge-scheduler/src/lib.rs
+++ b/crates/tallygauge-scheduler/src/lib.rs
@@ -41,7 +41,7 @@
 pub use minimum_share::GroupStatus;
 pub use model::*;
 pub use pending_reasons::{PendingExplanation, PendingReason};
-pub use placements::PlacementBatch;
+pub use placements::{JobVersion, PlacementBatch};
 pub use progress::{Completion, Flush};
 pub use range_set::RangeSet;
 pub use scale_out::Rental;
--- a/crates/tallygauge-scheduler/src/model/capacity.rs
+++ b/crates/tallygauge-scheduler/src/model/capacity.rs
@@ -1,5 +1,6 @@
 //! Amounts of CPUs, GPUs and memory, and how often a task fits into them.
 
+use serde::{Deserialize, Serialize};
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
 /// Tolerance for sums of decimal amounts.
@@ -41,8 +42,10 @@
     pub(crate) refusals: u32,
 }
 
-/// Amounts of what a machine provides.
-#[derive(Debug, Clone, Copy, Default, PartialEq)]
+/// Amounts of what a machine provides or a task needs. In records they are stored as
+/// an array of CPUs, GPUs and memory.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64, f64)", into = "(f64, f64, f64)")]
 pub struct Resources {
     /// CPUs.
     pub cpus: f64,
@@ -52,7 +55,33 @@
     pub memory_gb: f64,
 }
 
+impl From<(f64, f64, f64)> for Resources {
+    fn from((cpus, gpus, memory_gb): (f64, f64, f64)) -> Self {
+        Self {
+            cpus,
+            gpus,
+            memory_gb,
+        }
+    }
+}
+
+impl From<Resources> for (f64, f64, f64) {
+    fn from(resources: Resources) -> Self {
+        (resources.cpus, resources.gpus, resources.memory_gb)
+    }
+}
+
 impl Resources {
+    /// What a task of the job needs.
+    #[must_use]
+    pub fn of_task(spec: &JobSpec) -> Self {
+        Self {
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
+        }
+    }
+
     /// What a machine of this type provides.
     #[must_use]
     pub fn of_type(machine_type: &MachineType) -> Self {
--- a/crates/tallygauge-scheduler/src/model/records.rs
+++ b/crates/tallygauge-scheduler/src/model/records.rs
@@ -1,5 +1,6 @@
 //! Durable records of placements, as the key-value store keeps them.
 
+use super::Resources;
 use serde::{Deserialize, Serialize};
 
 /// A durable batch of placements of one scheduling round. It is written once, never
@@ -32,7 +33,7 @@
     pub team: String,
     /// CPUs, GPUs and memory of a task.
     #[serde(rename = "r")]
-    pub resources: (f64, f64, f64),
+    pub resources: Resources,
 }
 
 /// A worker in a batch.
@@ -56,8 +57,43 @@
     /// Agent incarnation.
     #[serde(rename = "s")]
     pub incarnation: u64,
-    /// Attempts: position of the job in the batch, number of the task, offset of the
-    /// attempt's number, run time of its checkpoint in whole seconds.
+    /// Its attempts.
     #[serde(rename = "t")]
-    pub tasks: Vec<(usize, u32, u64, u32)>,
+    pub tasks: Vec<PlacedTaskRecord>,
+}
+
+/// An attempt in a batch, stored as an array of its fields in this order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(usize, u32, u64, u32)", into = "(usize, u32, u64, u32)")]
+pub struct PlacedTaskRecord {
+    /// Position of the job in the batch.
+    pub job_position: usize,
+    /// Number of the task within the job.
+    pub index: u32,
+    /// Number of the attempt less the batch's `first_attempt`.
+    pub attempt_offset: u64,
+    /// Run time that its checkpoint held, in whole seconds.
+    pub checkpointed_s: u32,
+}
+
+impl From<(usize, u32, u64, u32)> for PlacedTaskRecord {
+    fn from((job_position, index, attempt_offset, checkpointed_s): (usize, u32, u64, u32)) -> Self {
+        Self {
+            job_position,
+            index,
+            attempt_offset,
+            checkpointed_s,
+        }
+    }
+}
+
+impl From<PlacedTaskRecord> for (usize, u32, u64, u32) {
+    fn from(task: PlacedTaskRecord) -> Self {
+        (
+            task.job_position,
+            task.index,
+            task.attempt_offset,
+            task.checkpointed_s,
+        )
+    }
 }
--- a/crates/tallygauge-scheduler/src/placements.rs
+++ b/crates/tallygauge-scheduler/src/placements.rs
@@ -16,8 +16,17 @@
     pub name: Arc<str>,
     /// Content.
     pub record: PlacementBatchRecord,
-    /// Jobs whose records must be unchanged, with their versions.
-    pub jobs: Vec<(String, u64)>,
+    /// The jobs in it, whose records must be unchanged when it is written.
+    pub jobs: Vec<JobVersion>,
+}
+
+/// A job's record that must be unchanged.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct JobVersion {
+    /// Id of the job.
+    pub job: String,
+    /// Version of its record.
+    pub version: u64,
 }
 
 /// Upper bounds of the bytes around the values of a record's entries: keys, quotes,
@@ -43,9 +52,9 @@
         shape: Shape::Array,
         priority: Priority::Low,
         tasks: 0,
-        cpus: job.resources.0,
-        gpus: job.resources.1,
-        memory_gb: job.resources.2,
+        cpus: job.resources.cpus,
+        gpus: job.resources.gpus,
+        memory_gb: job.resources.memory_gb,
         image: String::new(),
         image_gb: 0.0,
         machine_types: None,
@@ -95,18 +104,18 @@
                 now,
             );
             self.needs_direct_message.insert(placed.name.clone());
-            for &(job_position, index, offset, checkpointed_s) in &placed.tasks {
-                let Some(job) = jobs.get(job_position) else {
+            for task in &placed.tasks {
+                let Some(job) = jobs.get(task.job_position) else {
                     continue;
                 };
                 let mut attempt = Attempt::restored(
                     job.spec.clone(),
-                    index,
-                    record.first_attempt + offset,
+                    task.index,
+                    record.first_attempt + task.attempt_offset,
                     placed.incarnation,
                     now - age_s,
                 );
-                attempt.checkpointed_s = f64::from(checkpointed_s);
+                attempt.checkpointed_s = f64::from(task.checkpointed_s);
                 attempt.batch = Some(batch.clone());
                 if job.is_open {
                     self.mark_image_used(&placed.name, &job.spec);
@@ -264,7 +273,7 @@
         worker
             .tasks
             .iter()
-            .any(|(_, _, offset, _)| first + offset == attempt.number)
+            .any(|task| first + task.attempt_offset == attempt.number)
     }
 }
 
@@ -310,12 +319,14 @@
             batch.record.workers.push(placed_worker(worker));
         }
         batch.record.lower_first_attempt(attempt.number);
-        let offset = attempt.number - batch.record.first_attempt;
+        let task = PlacedTaskRecord {
+            job_position,
+            index: attempt.index,
+            attempt_offset: attempt.number - batch.record.first_attempt,
+            checkpointed_s: attempt.checkpointed_s as u32,
+        };
         if let Some(entry) = batch.record.workers.last_mut() {
-            let checkpointed_s = attempt.checkpointed_s as u32;
-            entry
-                .tasks
-                .push((job_position, attempt.index, offset, checkpointed_s));
+            entry.tasks.push(task);
         }
     }
 
@@ -355,11 +366,14 @@
 impl PlacementBatch {
     /// Adds a job with the version that its record must have. Returns its position.
     fn add_job(&mut self, spec: &JobSpec, version: u64) -> usize {
-        self.jobs.push((spec.id.clone(), version));
+        self.jobs.push(JobVersion {
+            job: spec.id.clone(),
+            version,
+        });
         self.record.jobs.push(PlacedJobRecord {
             id: spec.id.clone(),
             team: spec.team.clone(),
-            resources: (spec.cpus, spec.gpus, spec.memory_gb),
+            resources: Resources::of_task(spec),
         });
         self.record.jobs.len() - 1
     }
@@ -373,7 +387,7 @@
             return;
         };
         for task in self.workers.iter_mut().flat_map(|worker| &mut worker.tasks) {
-            task.2 += lowered_by;
+            task.attempt_offset += lowered_by;
         }
         self.first_attempt = number;
     }
--- a/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
+++ b/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
@@ -1,32 +1,32 @@
-//! What holds a task, its capacity and its quota, and until when.
+//! How long an attempt holds its task, capacity and quota.
 
 use super::*;
 
 #[test]
-fn a_process_that_lags_leaves_starts_to_check_ins() {
+fn overloaded_leader_sends_few_direct_messages_and_starts_go_with_heartbeat_responses() {
     // Hundreds of direct messages at once made a leader seconds late for its
-    // lease; the workers' next check-ins carry the same.
+    // lease; the workers' next heartbeat responses carry the same.
     let mut c = cluster(&["sa", "sb", "sc"], 100.0);
     c.add_job(spec(1, 3, 4.0), 1, 90.0, &RangeSet::default());
     assert_eq!(round(&mut c, 100.0).len(), 3);
     let first = c.take_direct_messages(100.0, 0.0);
-    assert_eq!(first.len(), 1, "one goes out all the same");
+    assert_eq!(first.len(), 1, "at least one is sent");
     assert!(
         c.take_direct_messages(100.0, 0.0).is_empty(),
-        "while it is under way"
+        "while it is in flight"
     );
     let carried = start_of(&c, "sb", 100.5);
     assert_eq!(carried.len(), 1);
     let commands = c.commands("sb", 100.5);
     c.record_heartbeat_response("sb", &commands, 100.5);
-    // With time to spare again, only what no check-in carried goes out.
+    // With time to spare again, only what no heartbeat response carried is sent.
     let rest = c.take_direct_messages(101.0, 1.0);
     let workers: Vec<&str> = rest.iter().map(|m| m.worker.as_str()).collect();
     assert_eq!((first[0].worker.as_str(), workers), ("sa", vec!["sc"]));
 }
 
 #[test]
-fn an_attempt_whose_direct_start_went_unanswered_stays_known_to_its_worker() {
+fn attempt_with_start_in_doubt_is_not_cleared_until_its_incarnation_ends() {
     // The start may be delivered minutes late. Cleared, it would run again.
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 1, 1.0), 1, 90.0, &RangeSet::default());
@@ -44,14 +44,14 @@
     assert_eq!(c.completions(9, &BTreeSet::new()).len(), 1);
     c.remove_job("req-1", 110.0);
     assert!(c.commands("sa", 110.0).is_empty(), "must not be cleared");
-    // Absent from a report it would still hold its place, being uncertain.
+    // Absent from a heartbeat it still holds its capacity, being in doubt.
     c.apply_heartbeat(
         111.0,
         &report("sa", 1, 6, TERM, vec![]),
         HeartbeatSource::Periodic,
     );
     assert_eq!(c.workers["sa"].attempts.len(), 1);
-    // The next session knows nothing of it, and a late start is refused there.
+    // The next incarnation does not know it, and refuses a late start.
     c.apply_heartbeat(
         140.0,
         &report("sa", 2, 1, TERM, vec![]),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_an_earlier_leader_placed_is_held_until_surely_gone() {
+fn restored_attempts_hold_capacity_until_certainly_over() {
     let record = left_record();
     let fresh = || {
         let mut c = cluster(&["l1a"], 100.0);
@@ -69,7 +69,7 @@
         c.restore_placements("2-7", &record, 100.0, 0.0);
         c
     };
-    // A report older than the fence proves nothing: a start may be under way.
+    // A heartbeat without our token proves nothing: a start may be in transit.
     let mut c = fresh();
     c.apply_heartbeat(
         101.0,
@@ -83,8 +83,8 @@
         HeartbeatSource::Periodic,
     );
     assert_eq!(round(&mut c, 102.0).len(), 1);
-    // The session ended, and not that of a life before the one on record: only a
-    // report with our token is surely newer than the record.
+    // Its incarnation ended, or this one is of a life before the recorded one: only a
+    // heartbeat with our token is certainly newer than the record.
     let mut c = fresh();
     c.apply_heartbeat(
         101.0,
@@ -98,7 +98,7 @@
         HeartbeatSource::Periodic,
     );
     assert_eq!(round(&mut c, 102.0).len(), 1);
-    // A lower one than on record is one of another life, which began since.
+    // A lower incarnation than recorded is of another life, which began since.
     let mut c = fresh();
     let mut later = record.clone();
     later.workers[0].incarnation = 3;
@@ -111,7 +111,7 @@
         );
     }
     assert!(c.workers["sa"].attempts.is_empty(), "held for ever");
-    // Nothing is heard: until no earlier leader can have kept its lease alive.
+    // No heartbeat: until no earlier leader can have kept its lease alive.
     let mut c = fresh();
     let bound = 100.0 + 17.0 + 20.0;
     for now in [110.0, 125.0, bound] {
@@ -130,7 +130,7 @@
     );
     c.advance_time(bound + 2.0);
     assert_eq!(round(&mut c, bound + 2.0).len(), 1);
-    // The machine is not in a list asked for well after it was known.
+    // The machine is not in a list requested well after it was known.
     let mut c = fresh();
     let known = |name: &str| Machine {
         name: name.into(),
@@ -155,9 +155,9 @@
 }
 
 #[test]
-fn a_start_that_may_be_on_its_way_is_not_taken_for_gone() {
-    // The answer to a check-in carries a start; before the worker has it, a
-    // direct message is answered. That report can't know of the start yet.
+fn direct_reply_without_the_attempt_does_not_requeue_a_start_in_transit() {
+    // A heartbeat response carries a start; before the worker has it, a direct message
+    // is answered. The heartbeat in that reply can't show the start yet.
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 1, 1.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
@@ -174,7 +174,7 @@
         HeartbeatSource::DirectReply,
     );
     assert!(c.jobs["req-1"].resumable.is_empty() && c.jobs["req-1"].pending.is_empty());
-    // The next check-in comes only after that answer was taken or given up.
+    // The next heartbeat is sent only after that response arrived or timed out.
     c.apply_heartbeat(
         101.0,
         &report("sa", 1, 6, TERM, vec![]),
@@ -184,8 +184,8 @@
 }
 
 #[test]
-fn a_report_that_says_nothing_new_is_told_from_one_that_does() {
-    // The short way must not pass over an end, a stray or a task that is gone.
+fn routine_heartbeat_is_skipped_but_changes_are_applied() {
+    // The short path must not skip an end, an orphaned attempt or an absent task.
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
@@ -207,7 +207,7 @@
     c.needs_scheduling = false;
     assert!(tell(&mut c, &running), "it was heard");
     assert!(!c.needs_scheduling);
-    // Another task under a known attempt is a stray, whatever else is the same.
+    // Another task with a known attempt number is orphaned, even if all else is equal.
     let mut other = running.clone();
     other[1].task = "req-9/0".into();
     tell(&mut c, &other);
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_cut_zone_s_machines_are_kept_though_they_ran_jobs_that_are_over() {
+fn unreachable_machines_with_attempts_of_closed_jobs_are_kept() {
     // Batches name jobs that are over until their last attempt is. A new leader
     // returned whole zones that were cut off, with all that ran there, since
     // nothing confirmed that those attempts had stopped.
@@ -15,7 +15,7 @@
     let end = c.lease_expiry(&c.workers["sa"]);
     assert!(
         end < 100.0 + c.config.cancel_timeout_s,
-        "its session ends in time"
+        "its lease expires in time"
     );
     c.advance_time(end - 0.1);
     assert_eq!(
@@ -27,7 +27,7 @@
         (c.workers["sa"].attempts.len(), c.workers["sa"].leaving),
         (0, None)
     );
-    // One that is heard of and goes on is returned.
+    // One whose heartbeats show that they go on is returned.
     let mut c = cluster(&[], 100.0);
     c.restore_placements("2-7", &left_record(), 100.0, 0.0);
     for (seq, now) in [110.0, 120.0, 129.0].into_iter().enumerate() {
@@ -41,7 +41,7 @@
     assert_eq!(leaving, Some(LeaveReason::Unconfirmed));
 }
 
-/// Worker `sa`'s machine, old already, as the list shows it.
+/// Machine `sa`, rented long ago, as the machine list shows it.
 fn listed(state: MachineState) -> Machine {
     Machine {
         name: "sa".into(),
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn a_leader_new_in_office_does_not_give_up_machines_it_has_not_heard_yet() {
-    // Old machines whose workers had not reported to the new leader were
-    // taken for such that never came up, and returned with their tasks.
+fn new_leader_keeps_machines_without_heartbeats_until_a_lease_has_passed() {
+    // Old machines without a heartbeat to the new leader were returned with their
+    // tasks, as if they had never booted.
     let mut c = cluster(&[], 100.0);
     let old = listed(MachineState::Booting);
     let leaving = |c: &ClusterState| c.workers["sa"].leaving.map(|l| l.reason);
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn a_cut_zone_s_machines_are_not_thrown_away_by_a_new_leader() {
-    // A hundred running machines of a zone that was cut off were returned as
-    // never come up, with their tasks, a lease after a take-over.
+fn new_leader_keeps_running_machines_of_a_partitioned_zone() {
+    // A hundred running machines of a partitioned zone were returned with their tasks,
+    // as if they had never booted, a lease after a failover.
     let mut c = cluster(&[], 100.0);
     let running = listed(MachineState::Running);
     c.apply_machine_list(&[running], 101.0, 101.0);
@@ -87,7 +87,7 @@
         c.advance_time(now);
         assert_eq!(leaving(&c), None, "at {now}");
     }
-    // Others are rented meanwhile for what waits.
+    // Others are rented meanwhile for pending tasks.
     c.add_job(spec(1, 2, 1.0), 1, 150.0, &RangeSet::default());
     assert!(!c.rentals(150.0).is_empty());
     c.advance_time(182.0);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_machine_that_still_fetches_an_image_is_not_taken_for_one_that_has_it() {
+fn machine_that_fetches_an_image_does_not_count_as_having_it() {
     // A second task of the image went to wherever its first task was placed,
     // and waited there for most of the fetch beside machines that had it.
     let mut c = cluster(&["sa", "s2b"], 100.0);
@@ -121,7 +121,7 @@
     let w = c.workers.get_mut(other).unwrap();
     w.images.request(&s, t, 103.0);
     assert_eq!(fetch(&c, other, 104.0), 1.5, "under way is not there");
-    // Given up with the last task that waits for it.
+    // The fetch is cancelled with the last task that needs the image.
     c.workers
         .get_mut(other)
         .unwrap()
@@ -131,9 +131,9 @@
 }
 
 #[test]
-fn machines_known_before_their_types_have_their_room_later() {
-    // A node that took over before it had read the catalogue saw no room on
-    // any machine, placed nothing, and returned the whole fleet as idle.
+fn machines_registered_before_their_types_get_their_capacity_later() {
+    // A controller that became leader before it had read the catalogue saw no capacity
+    // on any machine, placed nothing, and returned the whole fleet as idle.
     let mut c = ClusterState::new(config(), 100.0, 16, 4096);
     c.add_job(spec(1, 2, 1.5), 1, 90.0, &RangeSet::default());
     c.restore_placements("2-7", &left_record(), 100.0, 0.0);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_machine_is_not_called_slow_for_a_job_that_was_estimated_too_low() {
+fn machine_is_not_slow_because_of_a_low_run_time_estimate() {
     // Tasks that took three times what their owner said got the machine they
     // happened to run on returned. Against other machines it was as fast.
     let mut c = cluster(&["l1a", "l2b"], 100.0);
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_notice_stops_what_can_save_and_leaves_what_will_end() {
+fn spot_notice_stops_checkpointing_attempts_and_lets_short_ones_finish() {
     let mut c = cluster(&["l1a"], 100.0);
     let mut never = spec(2, 1, 1.0);
     never.checkpoint_every_s = 0.0;
@@ -232,14 +232,14 @@
         matches!(&commands[..], [Command::Stop { task, grace_s, .. }] if task == "req-1/0" && *grace_s >= 2.0),
         "{commands:?}"
     );
-    // Nothing new goes there, and other room is asked for.
+    // Nothing new is placed there, and other machines are rented.
     c.add_job(spec(4, 1, 1.0), 1, 103.0, &RangeSet::default());
     assert!(round(&mut c, 103.0).is_empty());
     assert!(!c.rentals(103.0).is_empty());
 }
 
 #[test]
-fn a_kind_of_machine_that_was_refused_is_left_for_another() {
+fn machine_kind_without_capacity_is_replaced_by_another() {
     let mut c = cluster(&[], 100.0);
     c.add_job(spec(1, 4, 1.0), 1, 90.0, &RangeSet::default());
     let mut seen = Vec::new();
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn machines_beyond_what_work_may_rise_to_go_when_empty() {
+fn surplus_machines_are_returned_when_empty() {
     // A thousand machines were kept for the idle wait, and half full for long
     // after, when work had fallen to a third for good.
     let names: Vec<String> = (0..10).map(|n| format!("l{n}a")).collect();
@@ -293,7 +293,7 @@
     // The rise is forgotten after some boots: two machines are more than needed.
     let now = turn(&mut c, 330.0);
     assert_eq!(surplus(&c), 2);
-    // New tasks go elsewhere while there is room.
+    // New tasks are placed elsewhere while there is capacity.
     let spare: Vec<String> = c
         .workers
         .values()
@@ -303,10 +303,10 @@
     let placed = round(&mut c, now);
     assert_eq!(placed.len(), 128);
     assert!(placed.iter().all(|p| !spare.contains(&p.2)));
-    // Empty, they go at once; the others stay.
+    // They are returned as soon as they are empty; the others stay.
     let due: Vec<String> = c.returns(now).into_iter().map(|d| d.0).collect();
     assert_eq!(due, spare);
-    // Work that comes back takes them into use again.
+    // New work uses them again.
     let mut c = cluster(&names, 100.0);
     c.config.teams[0].max_cpus = 200.0;
     for w in c.workers.values_mut() {
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn small_machines_are_rented_to_free_large_ones_that_can_not_be_had() {
+fn small_machines_are_rented_to_free_large_ones_without_capacity() {
     // Large tasks waited for minutes beside large machines full of small
     // tasks, with every small machine of the cloud still to be had.
     let mut c = cluster(&["l1a", "s2b"], 100.0);
--- a/crates/tallygauge-scheduler/src/tests/mod.rs
+++ b/crates/tallygauge-scheduler/src/tests/mod.rs
@@ -181,7 +181,7 @@
         jobs: vec![PlacedJobRecord {
             id: "req-1".into(),
             team: "red".into(),
-            resources: (1.5, 0.0, 1.0),
+            resources: (1.5, 0.0, 1.0).into(),
         }],
         workers: vec![PlacedWorkerRecord {
             name: "sa".into(),
@@ -190,7 +190,7 @@
             zone: "a".into(),
             spot: false,
             incarnation: 1,
-            tasks: vec![(0, 0, 0, 0)],
+            tasks: vec![(0, 0, 0, 0).into()],
         }],
     }
 }
--- a/crates/tallygauge-scheduler/src/tests/placement_batches.rs
+++ b/crates/tallygauge-scheduler/src/tests/placement_batches.rs
@@ -1,9 +1,9 @@
-//! Batches of placements and their attempts.
+//! Placement batches and their attempts.
 
 use super::*;
 
 #[test]
-fn attempts_that_would_run_into_the_next_term_end_this_one() {
+fn attempt_numbers_are_exhausted_before_they_reach_the_next_term() {
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
     let mut next = config();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_round_s_placements_come_back_from_their_batches() {
+fn placements_of_a_round_are_restored_from_their_batches() {
     // However they are split into records, each holds to its limits, and a new
     // leader finds every attempt where it was placed.
     let names = fleet(30);
@@ -42,7 +42,7 @@
     }
     for batch in &batches {
         assert!(serde_json::to_string(&batch.record).unwrap().len() <= 1500);
-        assert!(batch.jobs.len() <= 4 && batch.jobs.iter().all(|j| j.1 == 5));
+        assert!(batch.jobs.len() <= 4 && batch.jobs.iter().all(|j| j.version == 5));
         c.record_batch_committed(batch, 100.0);
         next.restore_placements(&batch.name, &batch.record, 200.0, 1100.0);
     }
@@ -61,15 +61,15 @@
     };
     assert_eq!(held(&c).len(), 120);
     assert_eq!(held(&c), held(&next));
-    // The job that is over counts as well, until its tasks are surely gone.
+    // The job that is over counts as well, until its attempts are certainly over.
     assert!((next.quota_usage[0].cpus - 120.0).abs() < 1e-6);
     assert_eq!(next.live_attempts_by_batch.len(), batches.len());
 }
 
 #[test]
-fn a_batch_outlives_a_job_that_is_cancelled_while_it_is_written() {
+fn batch_is_kept_while_one_of_its_jobs_runs_and_another_is_cancelled_during_the_write() {
     // The first worker's attempts were dropped before the second's were
-    // counted: the batch was taken for over and removed, and the next leader
+    // counted: the batch became obsolete and was removed, and the next leader
     // started again what still ran.
     let mut c = cluster(&["sa", "s2b"], 100.0);
     c.add_job(spec(1, 1, 3.0), 1, 90.0, &RangeSet::default());
@@ -78,14 +78,14 @@
     let batch = c.take_placement_batches(4096, 60, 0.0).remove(0);
     assert_eq!(batch.record.workers.len(), 2);
     let first = &batch.record.workers[0];
-    let id = batch.record.jobs[first.tasks[0].0].id.clone();
+    let id = batch.record.jobs[first.tasks[0].job_position].id.clone();
     c.remove_job(&id, 100.1);
     c.record_batch_committed(&batch, 100.2);
     let held: usize = c.workers.values().map(|w| w.attempts.len()).sum();
     assert_eq!(held, 1);
     assert_eq!(c.live_attempts_by_batch.get(&batch.name), Some(&1));
     assert!(c.obsolete_batches.is_empty(), "its record is still needed");
-    // With the last attempt it goes.
+    // It becomes obsolete with its last attempt.
     let other = if id == "req-1" { "req-2" } else { "req-1" };
     c.remove_job(other, 100.3);
     for name in ["sa", "s2b"] {
@@ -99,9 +99,9 @@
 }
 
 #[test]
-fn an_attempt_found_on_a_machine_comes_on_record() {
-    // Lost from the records for whatever reason, what runs is counted by this
-    // leader, but the next one would start it again.
+fn adopted_attempt_is_recorded_in_a_batch() {
+    // An attempt that runs but is missing from the records is accounted for by this
+    // leader, but the next one would start its task again.
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 1, 1.0), 1, 90.0, &RangeSet::default());
     let found = task("req-1/0", 77, TaskState::Running, None);
@@ -114,7 +114,7 @@
     let batch = c.take_placement_batches(4096, 60, 0.0).remove(0);
     assert_eq!((batch.record.first_attempt, batch.jobs.len()), (77, 1));
     assert!(c.take_placement_batches(4096, 60, 0.0).is_empty(), "once");
-    // Refused, it stays on the machine and is written later.
+    // If the batch is rejected, it stays on the machine and is recorded later.
     c.record_batch_rejected(&batch, 101.5);
     assert_eq!(c.workers["sa"].attempts.len(), 1);
     let again = c.take_placement_batches(4096, 60, 0.0).remove(0);
--- a/crates/tallygauge-scheduler/src/tests/reachability.rs
+++ b/crates/tallygauge-scheduler/src/tests/reachability.rs
@@ -1,44 +1,49 @@
-//! Machines that are deaf, copies that come late, workers that begin again.
+//! Unreachable machines, duplicate heartbeats, agents that restart.
 
 use super::*;
 use tallygauge_health::Reachability;
 
-/// A worker as it is, whatever of it reaches the picture.
-struct Real {
-    session: u64,
-    seq: u64,
+/// A simulated agent: what really happens on the machine.
+struct SimulatedAgent {
+    incarnation: u64,
+    sequence: u64,
     token: u64,
-    /// When the last report that was answered, and whose answer arrived, was
-    /// sent.
-    renewed: f64,
+    /// When the last heartbeat was sent whose response arrived.
+    lease_renewed_at: f64,
     tasks: Vec<TaskStatus>,
 }
 
-impl Real {
+impl SimulatedAgent {
     fn new(now: f64) -> Self {
         Self {
-            session: 1,
-            seq: 1,
+            incarnation: 1,
+            sequence: 1,
             token: TERM,
-            renewed: now,
+            lease_renewed_at: now,
             tasks: Vec::new(),
         }
     }
 
-    fn live(&mut self, now: f64) {
-        if now - self.renewed > 20.0 {
-            self.session += 1;
+    fn expire_lease(&mut self, now: f64) {
+        if now - self.lease_renewed_at > 20.0 {
+            self.incarnation += 1;
             self.tasks.clear();
-            self.renewed = now;
+            self.lease_renewed_at = now;
         }
     }
 
     fn report(&mut self, name: &str) -> Heartbeat {
-        self.seq += 1;
-        report(name, self.session, self.seq, self.token, self.tasks.clone())
+        self.sequence += 1;
+        report(
+            name,
+            self.incarnation,
+            self.sequence,
+            self.token,
+            self.tasks.clone(),
+        )
     }
 
-    fn obey(&mut self, commands: &[Command]) {
+    fn execute(&mut self, commands: &[Command]) {
         for command in commands {
             match command {
                 Command::Start {
@@ -58,51 +63,64 @@
     }
 }
 
-/// One report of a worker, answered; what of the answer arrives is up to `deaf`.
-fn turn(c: &mut ClusterState, real: &mut Real, name: &str, deaf: bool, now: f64) {
-    real.live(now);
-    let told = real.report(name);
+/// One heartbeat of an agent and its response, which is lost if it `is_unreachable`.
+fn exchange_heartbeat(
+    c: &mut ClusterState,
+    agent: &mut SimulatedAgent,
+    name: &str,
+    is_unreachable: bool,
+    now: f64,
+) {
+    agent.expire_lease(now);
+    let heartbeat = agent.report(name);
     c.advance_time(now);
-    if c.apply_heartbeat(now, &told, HeartbeatSource::Periodic) == HeartbeatOutcome::DeadIncarnation
+    if c.apply_heartbeat(now, &heartbeat, HeartbeatSource::Periodic)
+        == HeartbeatOutcome::DeadIncarnation
     {
         return;
     }
     let commands = c.commands(name, now);
     c.record_heartbeat_response(name, &commands, now);
-    if !deaf {
-        real.token = TERM;
-        real.renewed = now;
-        real.obey(&commands);
+    if !is_unreachable {
+        agent.token = TERM;
+        agent.lease_renewed_at = now;
+        agent.execute(&commands);
     }
 }
 
-/// Sends direct messages; those to a deaf machine are given up.
-fn ask(c: &mut ClusterState, real: &mut Real, deaf: bool, now: f64) -> usize {
+/// Sends direct messages, which time out if the agent `is_unreachable`. Returns their
+/// number.
+fn send_direct_messages(
+    c: &mut ClusterState,
+    agent: &mut SimulatedAgent,
+    is_unreachable: bool,
+    now: f64,
+) -> usize {
     let messages = c.take_direct_messages(now, 1.0);
     for message in &messages {
-        c.record_direct_message_result(message, !deaf, false, now);
-        if !deaf {
-            real.obey(&message.commands);
-            let told = real.report(&message.worker);
-            c.apply_direct_reply(now, message, &told);
+        c.record_direct_message_result(message, !is_unreachable, false, now);
+        if !is_unreachable {
+            agent.execute(&message.commands);
+            let heartbeat = agent.report(&message.worker);
+            c.apply_direct_reply(now, message, &heartbeat);
         }
     }
     messages.len()
 }
 
-// A machine whose reports arrive and that hears nothing looked up, empty and
-// free: the same three tasks were placed on it anew in each of its sessions, 75
-// times in 500 s, and it was never given up.
+// A machine whose heartbeats arrived but that received nothing looked up, empty and
+// free: the same three tasks were placed on it again in each of its incarnations, 75
+// times in 500 s, and it was never returned.
 #[test]
-fn a_deaf_machine_gets_no_more_work_and_goes_if_it_stays_deaf() {
+fn unreachable_machine_gets_no_more_work_and_is_returned_if_it_stays_so() {
     let mut c = cluster(&["sa"], 100.0);
-    let mut real = Real::new(100.0);
+    let mut agent = SimulatedAgent::new(100.0);
     c.add_job(spec(1, 3, 1.0), 1, 90.0, &RangeSet::default());
     let (mut placed, mut last, mut left_at) = (0, 0.0, None);
     for step in 0..125 {
         let now = 102.0 + f64::from(step) * 2.0;
-        turn(&mut c, &mut real, "sa", true, now);
-        ask(&mut c, &mut real, true, now);
+        exchange_heartbeat(&mut c, &mut agent, "sa", true, now);
+        send_direct_messages(&mut c, &mut agent, true, now);
         let more = round(&mut c, now).len();
         placed += more;
         if more > 0 {
@@ -115,28 +133,28 @@
     assert_eq!(placed, 3, "once, before it could be known");
     assert!(last < 110.0);
     let lease = c.config.lease_s;
-    let left_at = left_at.expect("it stays deaf and is returned");
+    let left_at = left_at.expect("it stays unreachable and is returned");
     assert!(left_at < 102.0 + lease * 6.0, "{left_at}");
     assert_eq!(
         c.workers["sa"].leaving.map(|l| l.reason),
         Some(LeaveReason::Unreachable)
     );
-    // Its sessions ended, and what it was thought to hold is back.
+    // Its incarnations ended, and its tasks are pending again.
     assert_eq!(c.jobs["req-1"].unfinished(), 3);
     assert!(c.jobs["req-1"].attempts_by_task.is_empty());
     assert!(c.returns(400.0).iter().any(|r| r.0 == "sa"));
 }
 
 #[test]
-fn a_machine_that_hears_again_is_let_in_again_at_once() {
+fn machine_that_is_reachable_again_gets_work_at_once() {
     let mut c = cluster(&["sa"], 100.0);
-    let mut real = Real::new(100.0);
+    let mut agent = SimulatedAgent::new(100.0);
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
     let mut now = 100.0;
     while now < 200.0 {
         now += 2.0;
-        turn(&mut c, &mut real, "sa", true, now);
-        ask(&mut c, &mut real, true, now);
+        exchange_heartbeat(&mut c, &mut agent, "sa", true, now);
+        send_direct_messages(&mut c, &mut agent, true, now);
         round(&mut c, now);
     }
     assert!(matches!(
@@ -144,49 +162,52 @@
         Reachability::Unreachable { .. }
     ));
     assert!(c.workers["sa"].leaving.is_some());
-    // It is asked again and again, but not with each of its reports.
-    let mut asked = 0;
+    // It is probed repeatedly, but not with each of its heartbeats.
+    let mut probes = 0;
     while now < 260.0 && c.workers["sa"].reachability.needs_probe() {
         now += 2.0;
-        turn(&mut c, &mut real, "sa", false, now);
-        asked += ask(&mut c, &mut real, false, now);
+        exchange_heartbeat(&mut c, &mut agent, "sa", false, now);
+        probes += send_direct_messages(&mut c, &mut agent, false, now);
     }
-    assert!((1..=2).contains(&asked) && now < 222.0, "{asked} at {now}");
+    assert!(
+        (1..=2).contains(&probes) && now < 222.0,
+        "{probes} at {now}"
+    );
     assert_eq!(c.workers["sa"].leaving, None);
     assert_eq!(round(&mut c, now).len(), 2);
 }
 
-// When a cut ends, what was held back comes at once: old reports are answered,
-// and a moment later the same machine shows its next session. Taken for a sign,
-// that kept a hundred machines without work for as long as it took to ask them.
+// When a partition ends, delayed heartbeats arrive all at once: old ones are answered,
+// and a moment later the same machine shows its next incarnation. Taken as evidence,
+// that kept a hundred machines without work for as long as it took to probe them.
 #[test]
-fn reports_that_were_held_back_are_no_sign() {
+fn delayed_heartbeats_are_no_evidence() {
     let mut c = cluster(&["sa"], 100.0);
-    let mut real = Real::new(100.0);
+    let mut agent = SimulatedAgent::new(100.0);
     for step in 0..10 {
-        turn(
+        exchange_heartbeat(
             &mut c,
-            &mut real,
+            &mut agent,
             "sa",
             false,
             102.0 + f64::from(step) * 2.0,
         );
     }
-    let held: Vec<Heartbeat> = (0..4).map(|_| real.report("sa")).collect();
-    for (n, told) in (0..).zip(&held) {
+    let held: Vec<Heartbeat> = (0..4).map(|_| agent.report("sa")).collect();
+    for (n, heartbeat) in (0..).zip(&held) {
         let now = 180.0 + f64::from(n) * 0.01;
-        c.apply_heartbeat(now, told, HeartbeatSource::Periodic);
+        c.apply_heartbeat(now, heartbeat, HeartbeatSource::Periodic);
         c.record_heartbeat_response("sa", &[], now);
     }
-    real.session = 3;
-    c.apply_heartbeat(180.1, &real.report("sa"), HeartbeatSource::Periodic);
+    agent.incarnation = 3;
+    c.apply_heartbeat(180.1, &agent.report("sa"), HeartbeatSource::Periodic);
     assert!(!c.workers["sa"].reachability.needs_probe());
     assert!(c.workers["sa"].accepts_work(180.1, &c.config));
 }
 
-// Deaf machines are not counted on: what waits is rented for elsewhere.
+// Unreachable machines do not count: machines are rented for pending tasks.
 #[test]
-fn work_does_not_wait_for_the_room_of_a_deaf_machine() {
+fn capacity_of_an_unreachable_machine_is_rented_elsewhere() {
     let mut c = cluster(&["l1a"], 100.0);
     c.add_job(spec(1, 3, 4.0), 1, 90.0, &RangeSet::default());
     assert!(c.rentals(100.0).is_empty());
@@ -194,11 +215,11 @@
     assert!(!c.rentals(100.0).is_empty());
 }
 
-// One lost answer, or two, must not empty a fleet.
+// One or two lost responses must not empty a fleet.
 #[test]
-fn a_lost_answer_now_and_then_is_no_sign() {
+fn occasional_lost_responses_do_not_make_a_machine_unreachable() {
     let mut c = cluster(&["sa"], 100.0);
-    let mut real = Real::new(100.0);
+    let mut agent = SimulatedAgent::new(100.0);
     for step in 0..60 {
         let now = 102.0 + f64::from(step) * 2.0;
         if step % 6 == 0 {
@@ -209,8 +230,8 @@
                 &RangeSet::default(),
             );
         }
-        turn(&mut c, &mut real, "sa", step % 3 == 1, now);
-        ask(&mut c, &mut real, false, now);
+        exchange_heartbeat(&mut c, &mut agent, "sa", step % 3 == 1, now);
+        send_direct_messages(&mut c, &mut agent, false, now);
         round(&mut c, now);
         assert!(
             !matches!(
@@ -222,25 +243,25 @@
     }
 }
 
-// A machine's reports arrive and a cancelled task on it can't be stopped: its
-// session, of which no answer is taken, is over before the cancellation is due.
+// A machine's heartbeats arrive and a cancelled task on it can't be stopped: its
+// incarnation, which receives no response, is over before the cancel timeout.
 #[test]
-fn what_was_cancelled_is_gone_from_a_deaf_machine_in_time() {
+fn cancelled_task_on_an_unreachable_machine_ends_within_the_cancel_timeout() {
     let mut c = cluster(&["sa"], 100.0);
-    let mut real = Real::new(100.0);
+    let mut agent = SimulatedAgent::new(100.0);
     c.add_job(spec(1, 1, 1.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
-    turn(&mut c, &mut real, "sa", false, 102.0);
-    turn(&mut c, &mut real, "sa", false, 104.0);
-    assert_eq!(real.tasks.len(), 1);
+    exchange_heartbeat(&mut c, &mut agent, "sa", false, 102.0);
+    exchange_heartbeat(&mut c, &mut agent, "sa", false, 104.0);
+    assert_eq!(agent.tasks.len(), 1);
     let cancelled = 105.0;
     c.remove_job("req-1", cancelled);
     let (mut now, mut gone) = (cancelled, None);
     while gone.is_none() {
         now += 2.0;
-        turn(&mut c, &mut real, "sa", true, now);
-        ask(&mut c, &mut real, true, now);
-        if real.tasks.is_empty() || c.returns(now).iter().any(|r| r.0 == "sa") {
+        exchange_heartbeat(&mut c, &mut agent, "sa", true, now);
+        send_direct_messages(&mut c, &mut agent, true, now);
+        if agent.tasks.is_empty() || c.returns(now).iter().any(|r| r.0 == "sa") {
             gone = Some(now);
         }
     }
@@ -250,21 +271,21 @@
     );
 }
 
-// A dead machine whose reports come again and again, as copies, was answered
-// each time, and its tasks were held for as long as copies came.
+// A dead machine whose heartbeats arrived repeatedly, as duplicates, was answered each
+// time, and its tasks stayed on it for as long as duplicates arrived.
 #[test]
-fn copies_renew_nothing_and_bring_nothing_back() {
+fn duplicate_heartbeats_renew_no_lease_and_add_no_machine() {
     let mut c = cluster(&["sa", "l1a"], 100.0);
-    let mut real = Real::new(100.0);
+    let mut agent = SimulatedAgent::new(100.0);
     c.add_job(spec(1, 1, 3.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
     let mut kept = Vec::new();
     for now in [102.0, 104.0, 106.0] {
-        turn(&mut c, &mut real, "sa", false, now);
-        kept.push(report("sa", 1, real.seq, TERM, real.tasks.clone()));
+        exchange_heartbeat(&mut c, &mut agent, "sa", false, now);
+        kept.push(report("sa", 1, agent.sequence, TERM, agent.tasks.clone()));
     }
     assert_eq!(c.jobs["req-1"].attempts_by_task.len(), 1);
-    // It dies. Copies come every second.
+    // It dies. Duplicates arrive every second.
     let (mut now, mut free_at) = (106.0, None);
     while now < 200.0 {
         now += 1.0;
@@ -288,7 +309,7 @@
             before
         );
         for message in c.take_direct_messages(now, 1.0) {
-            assert!(message.commands.is_empty(), "no orders");
+            assert!(message.commands.is_empty(), "no commands");
             c.record_direct_message_result(&message, false, false, now);
         }
         c.advance_time(now);
@@ -301,7 +322,7 @@
         free_at.is_some_and(|at| at > over && at < over + 1.5),
         "{free_at:?}"
     );
-    // Gone from the list, it makes no room that nobody has, for several leases.
+    // Gone from the list, it adds no capacity, for several leases.
     c.deregister_machine("sa", 200.0);
     for late in [201.0, 240.0, 290.0] {
         assert_eq!(
@@ -312,47 +333,47 @@
     }
 }
 
-// A worker that began again at session 1 with a low number was taken for a late
-// copy until its number had passed the old one: 89 reports in a row, 222 s, its
-// tasks held and itself kept by the answers.
+// An agent that restarted at incarnation 1 with a low sequence number was taken for a
+// late duplicate until its number had passed the old one: 89 heartbeats in a row, 222 s,
+// while its tasks stayed on it.
 #[test]
-fn a_worker_that_begins_again_is_told_from_a_copy_by_asking() {
+fn liveness_probe_tells_a_restarted_agent_from_duplicate_heartbeats() {
     let mut c = cluster(&["sa", "sb"], 100.0);
-    let mut real = Real::new(100.0);
+    let mut agent = SimulatedAgent::new(100.0);
     c.add_job(spec(1, 3, 1.0), 1, 90.0, &RangeSet::default());
     let mut now = 100.0;
     while now < 150.0 {
         now += 2.0;
         round(&mut c, now);
-        turn(&mut c, &mut real, "sa", false, now);
-        ask(&mut c, &mut real, false, now);
+        exchange_heartbeat(&mut c, &mut agent, "sa", false, now);
+        send_direct_messages(&mut c, &mut agent, false, now);
     }
-    let there = real.tasks.len();
+    let there = agent.tasks.len();
     assert!(there > 0);
     let newest = c.workers["sa"].message_order.newest;
-    // Back within a fraction of a second, with nothing of what it had.
-    real = Real::new(now);
-    (real.seq, real.token) = (0, 0);
-    let told = real.report("sa");
+    // It restarts within a fraction of a second, without its tasks.
+    agent = SimulatedAgent::new(now);
+    (agent.sequence, agent.token) = (0, 0);
+    let heartbeat = agent.report("sa");
     now += 0.3;
     assert_eq!(
-        c.apply_heartbeat(now, &told, HeartbeatSource::Periodic),
+        c.apply_heartbeat(now, &heartbeat, HeartbeatSource::Periodic),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
         c.jobs["req-1"].attempts_by_task.len(),
         there.max(c.jobs["req-1"].attempts_by_task.len())
     );
-    // Asked, it answers with its own low number, and with our token by then.
+    // It answers a probe with its own low sequence number, and with our token by then.
     let messages = c.take_direct_messages(now, 1.0);
-    let message = messages.iter().find(|m| m.worker == "sa").expect("asked");
+    let message = messages.iter().find(|m| m.worker == "sa").expect("probed");
     assert!(message.is_probe && message.commands.is_empty());
     assert_eq!(message.sent_after, newest);
     c.record_direct_message_result(message, true, false, now);
-    real.token = TERM;
-    let word = real.report("sa");
+    agent.token = TERM;
+    let reply = agent.report("sa");
     assert_eq!(
-        c.apply_direct_reply(now, message, &word),
+        c.apply_direct_reply(now, message, &reply),
         HeartbeatOutcome::DeadIncarnation
     );
     let on = c.workers["sa"]
@@ -360,9 +381,9 @@
         .iter()
         .filter(|h| h.occupies_capacity())
         .count();
-    assert_eq!(on, 0, "its tasks wait again at once");
+    assert_eq!(on, 0, "its tasks are pending again at once");
     assert!(!c.workers["sa"].accepts_work(now, &c.config));
-    // Copies from its former life, of all numbers, change nothing.
+    // Duplicates from before the restart, of any number, change nothing.
     let copy = report(
         "sa",
         1,
@@ -375,20 +396,20 @@
         HeartbeatOutcome::DeadIncarnation
     );
     assert!(c.workers["sa"].attempts.is_empty());
-    // Not answered, it goes on with the next session a lease later.
+    // It is not answered, so it goes on with the next incarnation a lease later.
     let since = now;
     while !c.workers["sa"].accepts_work(now, &c.config) {
         now += 1.0;
-        turn(&mut c, &mut real, "sa", false, now);
-        ask(&mut c, &mut real, false, now);
+        exchange_heartbeat(&mut c, &mut agent, "sa", false, now);
+        send_direct_messages(&mut c, &mut agent, false, now);
     }
     assert!(now - since < c.config.lease_s + 4.0, "{}", now - since);
 }
 
-// A start in a direct message that was never answered may still reach the new
-// life of the worker, in the session of the same number.
+// A start in a direct message that was never answered may still reach the restarted
+// agent, in the incarnation of the same number.
 #[test]
-fn a_start_that_may_yet_arrive_is_held_when_its_worker_begins_again() {
+fn start_in_doubt_holds_its_attempt_when_the_agent_restarts() {
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
@@ -411,9 +432,9 @@
     assert_eq!(
         c.jobs["req-1"].attempts_by_task.len(),
         2,
-        "held until the session is over"
+        "on the machine until the incarnation is over"
     );
-    // Given up at 103, it may arrive for a lease, and run for another.
+    // Timed out at 103, it may arrive for a lease, and run for another.
     let lease = c.config.with_clock_drift(c.config.lease_s);
     for now in [104.1 + lease + 0.1, 103.0 + 2.0 * lease - 0.1] {
         c.advance_time(now);
@@ -423,9 +444,9 @@
     assert_eq!(c.jobs["req-1"].pending.len(), 2);
 }
 
-// Without a question: a worker's token never falls while it lives.
+// Without a probe: an agent's fencing token never decreases while it lives.
 #[test]
-fn a_token_that_falls_shows_that_a_worker_has_begun_again() {
+fn decreasing_fencing_token_shows_an_agent_restart() {
     let mut c = cluster(&["sa"], 100.0);
     assert_eq!(
         c.apply_heartbeat(
--- a/crates/tallygauge-scheduler/src/tests/reconciliation.rs
+++ b/crates/tallygauge-scheduler/src/tests/reconciliation.rs
@@ -1,8 +1,8 @@
-//! Each kind of loss, planted, is found and mended.
+//! Each kind of inconsistency, if present, is found and repaired.
 
 use super::*;
 
-fn furnished() -> ClusterState {
+fn cluster_with_jobs() -> ClusterState {
     let mut c = cluster(&["sa", "l1a", "l2b"], 100.0);
     for n in 1..5 {
         c.add_job(spec(n, 6, 1.5), 1, 0.0, &RangeSet::first(1));
@@ -12,8 +12,8 @@
 }
 
 #[test]
-fn nothing_is_found_where_nothing_is_wrong() {
-    let mut c = furnished();
+fn reconcile_finds_no_difference_in_a_consistent_state() {
+    let mut c = cluster_with_jobs();
     assert!(
         c.jobs.values().any(|j| !j.attempts_by_task.is_empty())
             && c.jobs.values().any(|j| !j.pending.is_empty())
@@ -24,15 +24,15 @@
 }
 
 #[test]
-fn every_kind_of_loss_is_found_within_one_turn_of_the_sweep() {
-    type Plant = fn(&mut ClusterState);
-    let plants: [(&str, Plant); 8] = [
-        ("a task waits nowhere", |c| {
+fn reconcile_finds_and_repairs_every_kind_of_inconsistency_in_one_pass() {
+    type Corrupt = fn(&mut ClusterState);
+    let corruptions: [(&str, Corrupt); 8] = [
+        ("a task is pending nowhere", |c| {
             let job = c.jobs.values_mut().find(|j| !j.pending.is_empty()).unwrap();
             let n = job.pending.nth(0).unwrap();
             job.pending.remove(n);
         }),
-        ("a task waits and is on a machine", |c| {
+        ("a task is pending and on a machine", |c| {
             let job = c
                 .jobs
                 .values_mut()
@@ -41,7 +41,7 @@
             let n = *job.attempts_by_task.keys().next().unwrap();
             job.pending.insert(n);
         }),
-        ("a task is held by nobody", |c| {
+        ("a task is on no machine", |c| {
             let job = c.jobs.values_mut().find(|j| !j.pending.is_empty()).unwrap();
             let n = job.pending.nth(0).unwrap();
             job.pending.remove(n);
@@ -59,26 +59,26 @@
                 .unwrap();
             job.attempts_by_worker.clear();
         }),
-        ("a room that is free and not counted", |c| {
+        ("free resources are too low", |c| {
             c.workers.get_mut("sa").unwrap().free_resources.cpus -= 1.0;
         }),
-        ("an end that nobody keeps", |c| {
+        ("an unsaved chunk of a job that is not to be saved", |c| {
             let job = c.jobs.get_mut("req-1").unwrap();
             job.unsaved_chunks.insert(0);
         }),
-        ("all done and nobody says so", |c| {
+        ("a completed job that is not to be saved", |c| {
             let done = RangeSet::first(2);
             c.add_job(spec(7, 2, 1.0), 1, 0.0, &done);
             c.jobs_with_unsaved_progress.clear();
         }),
     ];
-    for (what, plant) in plants {
-        let mut c = furnished();
-        plant(&mut c);
+    for (what, corrupt) in corruptions {
+        let mut c = cluster_with_jobs();
+        corrupt(&mut c);
         let found: Vec<String> = (0..4).flat_map(|_| c.reconcile(2)).collect();
         assert!(!found.is_empty(), "{what} was not found");
         let again: Vec<String> = (0..4).flat_map(|_| c.reconcile(2)).collect();
-        assert!(again.is_empty(), "{what} was not mended: {again:?}");
+        assert!(again.is_empty(), "{what} was not repaired: {again:?}");
         for j in c.jobs.values() {
             let waits = j.pending.len() + j.resumable.len() as u32;
             assert_eq!(
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -10,7 +10,7 @@
 };
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 use tallygauge_protocol::state::{Condition, Transaction, Write};
-use tallygauge_scheduler::PlacementBatch;
+use tallygauge_scheduler::{JobVersion, PlacementBatch};
 use tallygauge_store::{RequestPriority, TransactionOutcome};
 
 /// Part of the leader's writes of a second that may be placements under way.
@@ -99,10 +99,15 @@
             version: 0,
         },
     ];
-    guards.extend(batch.jobs.iter().map(|(id, version)| Condition {
-        key: active_job_key(id),
-        version: *version,
-    }));
+    guards.extend(
+        batch
+            .jobs
+            .iter()
+            .map(|JobVersion { job: id, version }| Condition {
+                key: active_job_key(id),
+                version: *version,
+            }),
+    );
     Transaction {
         conditions: guards,
         writes: vec![Write::Set {
@@ -140,7 +145,7 @@
             let now = controller.now();
             // The jobs are over; the watch will say how.
             controller.with_cluster(|c| {
-                for (id, _) in &batch.jobs {
+                for JobVersion { job: id, .. } in &batch.jobs {
                     if failed.contains(&active_job_key(id)) {
                         c.remove_job(id, now);
                     }
