--- a/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
@@ -6,7 +6,7 @@
 
 pub(crate) mod state;
 
-use crate::{cluster_state::ClusterState, model::*};
+use crate::{cluster_state::ClusterState, events::ClusterEvent, model::*};
 use std::{collections::BTreeMap, sync::Arc};
 use tallygauge_deadlines::{
     CutoffEvent, CutoffLoad, CutoffRule, CutoffWindow, DeadlineTracker, Forecast, forecasts,
@@ -115,8 +115,10 @@
         if let Some(due) = job.cutoff.clone()
             && let Some(CutoffEvent::Opened(name)) = self.batch_deadlines.tracker.add_job(&due)
         {
-            let text = format!("cutoff {name} opens");
-            self.events.push((due.declared, text));
+            self.events.push(ClusterEvent::CutoffOpened {
+                cutoff: name,
+                is_declared: due.declared,
+            });
         }
     }
 
@@ -165,7 +167,7 @@
         let open_jobs = |name: &str| work.get(name).map_or(0, |w| w.jobs);
         let expired = self.batch_deadlines.tracker.expire(time_of_day, &open_jobs);
         for event in expired {
-            events.push((true, expiry_text(event, &open_jobs)));
+            events.push(expiry_event(event, &open_jobs));
         }
         self.events.extend(events);
         self.batch_deadlines.forecasts = forecasts;
@@ -215,16 +217,19 @@
         &self,
         work: &WorkByCutoff,
         forecasts: &BTreeMap<Arc<str>, Forecast>,
-    ) -> Vec<(bool, String)> {
+    ) -> Vec<ClusterEvent> {
         let mut events = Vec::new();
         for ((name, work), forecast) in work.iter().zip(forecasts.values()) {
             let before = self.batch_deadlines.forecasts.get(name);
             if forecast.at_risk && !before.is_some_and(|f| f.at_risk) {
-                let text = format!(
-                    "cutoff {name} is at risk: {} jobs, {:.0} CPU-s left, {:.0} s late as it stands, {:.0} CPUs lacking",
-                    work.jobs, work.cpu_s, -forecast.slack_s, forecast.missing_cpus
-                );
-                events.push((work.declared, text));
+                events.push(ClusterEvent::CutoffAtRisk {
+                    cutoff: name.clone(),
+                    is_declared: work.declared,
+                    open_jobs: work.jobs,
+                    remaining_cpu_s: work.cpu_s,
+                    late_s: -forecast.slack_s,
+                    missing_cpus: forecast.missing_cpus,
+                });
             }
         }
         events
@@ -307,20 +312,18 @@
     }
 }
 
-/// Words for operators of what became of a cutoff. `open_jobs` counts the open jobs
-/// of one.
-fn expiry_text(event: CutoffEvent, open_jobs: &dyn Fn(&str) -> usize) -> String {
+/// The event that tells operators how a cutoff expired.
+fn expiry_event(event: CutoffEvent, open_jobs: &dyn Fn(&str) -> usize) -> ClusterEvent {
     match event {
-        CutoffEvent::Opened(name) => format!("cutoff {name} opens"),
-        CutoffEvent::Missed(name) => {
-            format!(
-                "cutoff {name} has passed with {} jobs open",
-                open_jobs(&name)
-            )
-        }
-        CutoffEvent::Closed(name, true, _) => format!("cutoff {name} was met"),
-        CutoffEvent::Closed(name, false, late) => {
-            format!("cutoff {name} was missed by {late:.0} s")
-        }
+        CutoffEvent::Opened(cutoff) => ClusterEvent::CutoffOpened {
+            cutoff,
+            is_declared: true,
+        },
+        CutoffEvent::Missed(cutoff) => ClusterEvent::CutoffPassed {
+            open_jobs: open_jobs(&cutoff),
+            cutoff,
+        },
+        CutoffEvent::Closed(cutoff, true, _) => ClusterEvent::CutoffMet { cutoff },
+        CutoffEvent::Closed(cutoff, false, late_s) => ClusterEvent::CutoffMissed { cutoff, late_s },
     }
 }
--- a/crates/tallygauge-scheduler/src/mapping/mod.rs
+++ b/crates/tallygauge-scheduler/src/mapping/mod.rs
@@ -16,7 +16,7 @@
 mod round_state;
 mod utility;
 
-use crate::{cluster_state::ClusterState, model::*};
+use crate::{cluster_state::ClusterState, events::ClusterEvent, model::*};
 use round_state::{PlannedStart, PlannedStop, Round};
 
 /// Tasks of one job that are alike to the scheduler.
@@ -131,13 +131,13 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        for held in worker.attempts.iter_mut().filter(|a| a.number == *number) {
-            held.stop = Some(StopDecision {
-                reason: StopReason::Preempted,
-                at: now,
+        for attempt in worker.attempts.iter_mut().filter(|a| a.number == *number) {
+            attempt.request_stop(StopReason::Preempted, now);
+            self.events.push(ClusterEvent::AttemptPreempted {
+                task: attempt.task_name(),
+                machine: name.clone(),
+                preempted_by: newcomer.clone(),
             });
-            let text = format!("{} is stopped on {name} for {newcomer}", held.task_name());
-            self.events.push((false, text));
         }
         self.needs_direct_message.insert(name.clone());
     }
@@ -171,16 +171,14 @@
         if let Some(job) = self.jobs.get(id)
             && !job.has_pending_tasks()
         {
-            let after = now - job.accepted_at;
-            let (class, tasks) = (&job.spec.class, job.spec.tasks);
-            let large = if self.is_large(job) {
-                ", a large one"
-            } else {
-                ""
+            let event = ClusterEvent::JobPlaced {
+                job: id.to_string(),
+                wait_s: now - job.accepted_at,
+                class: job.spec.class.clone(),
+                tasks: job.spec.tasks,
+                is_large: self.is_large(job),
             };
-            let text =
-                format!("{id} waits no more after {after:.1} s: {class}, {tasks} tasks{large}");
-            self.events.push((false, text));
+            self.events.push(event);
         }
     }
 }
--- a/crates/tallygauge-scheduler/src/minimum_share/selection.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/selection.rs
@@ -4,7 +4,11 @@
     backlog::{AvailableKind, Backlog, OpenJob},
     state::PriorityClaim,
 };
-use crate::{cluster_state::ClusterState, model::*};
+use crate::{
+    cluster_state::ClusterState,
+    events::{ClusterEvent, UnderservedGroup},
+    model::*,
+};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tallygauge_fairness::{
     Candidate, GroupIds, LARGEST_FRACTION, Selection, ShareTarget, Shortfall, select_underserved,
@@ -48,8 +52,8 @@
         let machine_share = machine_share(&open_jobs, &claims);
         let reserved = self.reserve_machines(&selected, &claims, machine_share, now);
         if claims.is_empty() != self.minimum_share.claims.is_empty() {
-            let text = self.binding_event(claims.len(), &selection.shortfalls, now);
-            self.events.push((true, text));
+            let event = self.enforcement_event(claims.len(), &selection.shortfalls, now);
+            self.events.push(event);
         }
         self.minimum_share.shortfalls = selection.shortfalls;
         self.minimum_share.claims = claims;
@@ -183,9 +187,14 @@
 
     /// Event for operators when the minimum share begins or ceases to give jobs
     /// priority.
-    fn binding_event(&self, claim_count: usize, shortfalls: &[Shortfall], now: f64) -> String {
+    fn enforcement_event(
+        &self,
+        claim_count: usize,
+        shortfalls: &[Shortfall],
+        now: f64,
+    ) -> ClusterEvent {
         if claim_count == 0 {
-            return "the floor binds no more".to_string();
+            return ClusterEvent::MinimumShareReached;
         }
         let service_counts = &self.minimum_share.service_counts;
         let time_of_day = self.time_of_day(now);
@@ -193,21 +202,16 @@
             .iter()
             .enumerate()
             .filter(|(_, shortfall)| shortfall.to_target_share > 0);
-        let details: Vec<String> = underserved
-            .map(|(group, shortfall)| {
-                format!(
-                    "{}:{}/{}/{}",
-                    service_counts.keys()[group].name,
-                    service_counts.done_in_windows(group, time_of_day)[0],
-                    shortfall.overdue,
-                    shortfall.to_target_share
-                )
-            })
-            .collect();
-        format!(
-            "the floor binds: {claim_count} jobs come first: {}",
-            details.join(" ")
-        )
+        let groups = underserved.map(|(group, shortfall)| UnderservedGroup {
+            name: service_counts.keys()[group].name.to_string(),
+            done_within_day: service_counts.done_in_windows(group, time_of_day)[0],
+            overdue: shortfall.overdue,
+            to_target_share: shortfall.to_target_share,
+        });
+        ClusterEvent::MinimumShareEnforced {
+            jobs: claim_count,
+            groups: groups.collect(),
+        }
     }
 }
 
--- a/crates/tallygauge-scheduler/src/model/capacity.rs
+++ b/crates/tallygauge-scheduler/src/model/capacity.rs
@@ -1,19 +1,21 @@
 //! Amounts of CPUs, GPUs and memory, and how often a task fits into them.
 
+use serde::{Deserialize, Serialize};
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
-/// Slack for sums of decimal amounts.
+/// Tolerance for sums of decimal amounts.
 pub(crate) const EPSILON: f64 = 1e-6;
 
-/// How many times `need` goes into what there is.
-pub(crate) fn count_fitting(have: f64, need: f64) -> u32 {
-    if need > 0.0 {
-        ((have + EPSILON) / need).max(0.0) as u32
+/// How many times `needed` fits into `available`.
+pub(crate) fn count_fitting(available: f64, needed: f64) -> u32 {
+    if needed > 0.0 {
+        ((available + EPSILON) / needed).max(0.0) as u32
     } else {
         u32::MAX
     }
 }
 
+/// Whether a task of the job fits into these amounts.
 pub(crate) fn task_fits(spec: &JobSpec, cpus: f64, gpus: f64, memory_gb: f64) -> bool {
     spec.cpus <= cpus + EPSILON
         && spec.gpus <= gpus + EPSILON
@@ -40,8 +42,10 @@
     pub(crate) refusals: u32,
 }
 
-/// An amount of a machine.
-#[derive(Debug, Clone, Copy, Default, PartialEq)]
+/// Amounts of what a machine provides or a task needs. In records they are stored as
+/// an array of CPUs, GPUs and memory.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64, f64)", into = "(f64, f64, f64)")]
 pub struct Resources {
     /// CPUs.
     pub cpus: f64,
@@ -51,21 +55,49 @@
     pub memory_gb: f64,
 }
 
+impl From<(f64, f64, f64)> for Resources {
+    fn from((cpus, gpus, memory_gb): (f64, f64, f64)) -> Self {
+        Self {
+            cpus,
+            gpus,
+            memory_gb,
+        }
+    }
+}
+
+impl From<Resources> for (f64, f64, f64) {
+    fn from(resources: Resources) -> Self {
+        (resources.cpus, resources.gpus, resources.memory_gb)
+    }
+}
+
 impl Resources {
-    /// All of a machine type.
+    /// What a task of the job needs.
+    #[must_use]
+    pub fn of_task(spec: &JobSpec) -> Self {
+        Self {
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
+        }
+    }
+
+    /// What a machine of this type provides.
     #[must_use]
-    pub fn of_type(t: &MachineType) -> Self {
+    pub fn of_type(machine_type: &MachineType) -> Self {
         Self {
-            cpus: t.cpus,
-            gpus: t.gpus,
-            memory_gb: t.memory_gb,
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
         }
     }
 
+    /// Whether a task of the job fits.
     pub(crate) fn can_fit(&self, spec: &JobSpec) -> bool {
         task_fits(spec, self.cpus, self.gpus, self.memory_gb)
     }
 
+    /// Adds what `sign` tasks of the job need; a negative number subtracts.
     pub(crate) fn add_scaled(&mut self, spec: &JobSpec, sign: f64) {
         self.cpus += sign * spec.cpus;
         self.gpus += sign * spec.gpus;
--- a/crates/tallygauge-scheduler/src/model/records.rs
+++ b/crates/tallygauge-scheduler/src/model/records.rs
@@ -1,15 +1,16 @@
-//! Durable records of placements, as the state service keeps them.
+//! Durable records of placements, as the key-value store keeps them.
 
+use super::Resources;
 use serde::{Deserialize, Serialize};
 
-/// A durable batch of placements, as one round made them. It is written once,
-/// never changed, and removed when all its attempts are over.
+/// A durable batch of placements of one scheduling round. It is written once, never
+/// changed, and removed when all its attempts are over.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct PlacementBatchRecord {
     /// Time of day of the placements, seconds.
     #[serde(rename = "t")]
     pub placed_at: u64,
-    /// Least attempt; the others are told from it.
+    /// Lowest attempt number; the others are stored as offsets from it.
     #[serde(rename = "a")]
     pub first_attempt: u64,
     /// Jobs.
@@ -20,7 +21,8 @@
     pub workers: Vec<PlacedWorkerRecord>,
 }
 
-/// What a batch keeps of a job: enough to count its tasks when it is over.
+/// What a batch stores of a job: enough to account for its attempts when the job is
+/// over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlacedJobRecord {
     /// Id.
@@ -31,7 +33,7 @@
     pub team: String,
     /// CPUs, GPUs and memory of a task.
     #[serde(rename = "r")]
-    pub resources: (f64, f64, f64),
+    pub resources: Resources,
 }
 
 /// A worker in a batch.
@@ -52,11 +54,46 @@
     /// Spot machine.
     #[serde(rename = "p")]
     pub spot: bool,
-    /// Session.
+    /// Agent incarnation.
     #[serde(rename = "s")]
     pub incarnation: u64,
-    /// Attempts: place of the job in the batch, number of the task, attempt
-    /// above the least, progress it began with in whole seconds.
+    /// Its attempts.
     #[serde(rename = "t")]
-    pub tasks: Vec<(usize, u32, u64, u32)>,
+    pub tasks: Vec<PlacedTaskRecord>,
+}
+
+/// An attempt in a batch, stored as an array of its fields in this order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(usize, u32, u64, u32)", into = "(usize, u32, u64, u32)")]
+pub struct PlacedTaskRecord {
+    /// Position of the job in the batch.
+    pub job_position: usize,
+    /// Number of the task within the job.
+    pub index: u32,
+    /// Number of the attempt less the batch's `first_attempt`.
+    pub attempt_offset: u64,
+    /// Run time that its checkpoint held, in whole seconds.
+    pub checkpointed_s: u32,
+}
+
+impl From<(usize, u32, u64, u32)> for PlacedTaskRecord {
+    fn from((job_position, index, attempt_offset, checkpointed_s): (usize, u32, u64, u32)) -> Self {
+        Self {
+            job_position,
+            index,
+            attempt_offset,
+            checkpointed_s,
+        }
+    }
+}
+
+impl From<PlacedTaskRecord> for (usize, u32, u64, u32) {
+    fn from(task: PlacedTaskRecord) -> Self {
+        (
+            task.job_position,
+            task.index,
+            task.attempt_offset,
+            task.checkpointed_s,
+        )
+    }
 }
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod controller;
 pub mod deadline_settings;
 pub mod direct_messages;
+mod event_log;
 pub mod fairness_summary;
 pub mod job_cache;
 pub mod job_watch;
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -13,7 +13,7 @@
 };
 use std::{collections::VecDeque, sync::Arc};
 use tallygauge_protocol::state::{Condition, Transaction};
-use tallygauge_scheduler::PlacementBatch;
+use tallygauge_scheduler::{JobVersion, PlacementBatch};
 use tallygauge_store::{CommitResult, RequestPriority, TransactionOutcome};
 use tokio::time::Instant;
 
@@ -101,9 +101,9 @@
         key: key.clone(),
         version: 0,
     });
-    let job_conditions = batch.jobs.iter().map(|(id, version)| Condition {
-        key: active_job_key(id),
-        version: *version,
+    let job_conditions = batch.jobs.iter().map(|job| Condition {
+        key: active_job_key(&job.job),
+        version: job.version,
     });
     transaction.conditions.extend(job_conditions);
     transaction.writes.push(set_record(key, &batch.record));
@@ -175,9 +175,9 @@
 fn remove_ended_jobs(controller: &Controller, batch: &PlacementBatch, failed_keys: &[String]) {
     let now = controller.now();
     controller.with_cluster(|cluster| {
-        for (id, _) in &batch.jobs {
-            if failed_keys.contains(&active_job_key(id)) {
-                cluster.remove_job(id, now);
+        for JobVersion { job, .. } in &batch.jobs {
+            if failed_keys.contains(&active_job_key(job)) {
+                cluster.remove_job(job, now);
             }
         }
     });
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -1,7 +1,7 @@
 //! The leader's control loop: scheduling rounds, one after the other.
 
 use crate::{
-    controller::Controller, direct_messages, leader_transaction::max_writes,
+    controller::Controller, direct_messages, event_log, leader_transaction::max_writes,
     placements::PlacementWriter,
 };
 use std::{sync::Arc, time::Duration};
@@ -135,14 +135,10 @@
     max_writes(controller) * 4 - 2
 }
 
-/// Logs what happened in the picture.
+/// Drains and logs the events of the cluster state.
 fn log_events(controller: &Controller) {
-    let events = controller.with_cluster(|c| std::mem::take(&mut c.events));
-    for (weighs, text) in events.unwrap_or_default() {
-        if weighs {
-            tracing::info!("{text}");
-        } else {
-            tracing::debug!("{text}");
-        }
+    let events = controller.with_cluster(|cluster| std::mem::take(&mut cluster.events));
+    for event in &events.unwrap_or_default() {
+        event_log::log_cluster_event(event);
     }
 }
