--- a/crates/tallygauge-scheduler/src/commands.rs
+++ b/crates/tallygauge-scheduler/src/commands.rs
@@ -114,7 +114,7 @@
 
     /// Direct messages that should be sent now: fencing tokens, starts that were not
     /// sent yet, stops, and probes. Marks them as in flight. `spare` is the part, 0 to
-    /// 1, of the most messages in flight that the process has time for: what is not
+    /// 1, of the message limit that the process has time for: what is not
     /// sent waits for the worker's next heartbeat, whose response carries the same.
     pub fn take_direct_messages(&mut self, now: f64, spare: f64) -> Vec<DirectMessage> {
         let mut messages = Vec::new();
@@ -287,7 +287,7 @@
         started
     }
 
-    /// The incarnation that a direct message is meant for: the newest one heard of,
+    /// The incarnation that a direct message is meant for: that of the newest heartbeat,
     /// or before the first heartbeat the newest one that an attempt was placed in.
     fn addressed_incarnation(&self) -> u64 {
         if self.incarnation > 0 {
--- a/crates/tallygauge-scheduler/src/completion_pages.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages.rs
@@ -86,7 +86,7 @@
     pages: BTreeMap<u32, CompletionPage>,
     page_by_chunk: HashMap<ChunkId, u32>,
     /// Further pages that a chunk may be on: a flush that was to move it is in
-    /// doubt. It stays on both until the new page was surely written.
+    /// doubt. It stays on both until the new page was certainly written.
     possible_pages: HashMap<ChunkId, BTreeSet<u32>>,
     max_page_bytes: usize,
 }
--- a/crates/tallygauge-scheduler/src/lib.rs
+++ b/crates/tallygauge-scheduler/src/lib.rs
@@ -45,10 +45,8 @@
 pub use progress::{Completion, Flush};
 pub use range_set::RangeSet;
 pub use scale_out::Rental;
-pub use tallygauge_deadlines::{CutoffDays, CutoffRule, DeadlineTracker as CalendarBook};
-pub use tallygauge_fairness::{GroupKind, ServiceCountsRecord as FloorRecord};
+pub use tallygauge_deadlines::{CutoffDays, CutoffRule, DeadlineTracker};
+pub use tallygauge_fairness::{GroupKind, ServiceCountsRecord};
 pub use tallygauge_health::{Reachability, SequenceMark};
-pub use tallygauge_locality::{ImageLocations as ImagesPart, ReplicaSpread};
-pub use tallygauge_priority::{
-    DeclaredRules, MAX_RANK, PriorityRules, RankRule, RulesChange as LedgerChange,
-};
+pub use tallygauge_locality::{ImageLocations, ReplicaSpread};
+pub use tallygauge_priority::{DeclaredRules, MAX_RANK, PriorityRules, RankRule, RulesChange};
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -184,7 +184,7 @@
     /// Why a machine should be returned, if it should.
     fn decommission_reason(&self, worker: &Worker, now: f64) -> Option<LeaveReason> {
         let config = &self.config;
-        // A new leader has not heard of any worker yet: that alone does not mean that
+        // A new leader has had no heartbeat of any worker yet: that alone does not mean that
         // an old machine never came up.
         if !worker.is_up() && worker.booted_at.is_none() {
             return self
@@ -300,9 +300,9 @@
     }
 }
 
-/// Whether a cancelled attempt is overdue on a machine that was heard of since. One
-/// that was not heard of was not answered either, so its lease expires in time: most
-/// such machines are in a zone that is cut off, with other jobs running.
+/// Whether a cancelled attempt is overdue on a machine that has sent a heartbeat since.
+/// One that has not was not answered either, so its lease expires in time: most such
+/// machines are in a zone that is cut off, with other jobs running.
 fn has_unconfirmed_cancellation(worker: &Worker, config: &Config, now: f64) -> bool {
     let is_overdue = |stop: StopDecision| {
         stop.reason == StopReason::Cancelled
--- a/crates/tallygauge-scheduler/src/parts.rs
+++ b/crates/tallygauge-scheduler/src/parts.rs
@@ -6,7 +6,7 @@
     collections::{BTreeMap, HashMap, VecDeque},
     sync::Arc,
 };
-use tallygauge_deadlines::{CutoffRule, DeadlineTracker as CalendarBook, Forecast};
+use tallygauge_deadlines::{CutoffRule, DeadlineTracker, Forecast};
 use tallygauge_fairness::{ServiceCounts, Shortfall};
 use tallygauge_priority::PriorityRules;
 
@@ -103,7 +103,7 @@
     pub(crate) rules: Vec<CutoffRule>,
     /// Cutoffs drawn from jobs raise them as well.
     pub(crate) act_on_inferred: bool,
-    pub(crate) tracker: CalendarBook,
+    pub(crate) tracker: DeadlineTracker,
     pub(crate) priority_rules: PriorityRules,
     /// How open cutoffs stand, as last looked at.
     pub(crate) forecasts: BTreeMap<Arc<str>, Forecast>,
--- a/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
+++ b/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
@@ -103,14 +103,17 @@
     let mut later = record.clone();
     later.workers[0].incarnation = 3;
     c.restore_placements("2-8", &later, 100.0, 0.0);
-    for (session, seq) in [(1, 5), (2, 1)] {
+    for (incarnation, sequence) in [(1, 5), (2, 1)] {
         c.apply_heartbeat(
             102.0,
-            &report("sa", session, seq, TERM, vec![]),
+            &report("sa", incarnation, sequence, TERM, vec![]),
             HeartbeatSource::Periodic,
         );
     }
-    assert!(c.workers["sa"].attempts.is_empty(), "held for ever");
+    assert!(
+        c.workers["sa"].attempts.is_empty(),
+        "on the machine for ever"
+    );
     // No heartbeat: until no earlier leader can have kept its lease alive.
     let mut c = fresh();
     let bound = 100.0 + 17.0 + 20.0;
@@ -163,8 +166,8 @@
     round(&mut c, 100.0);
     let commands = c.commands("sa", 100.0);
     c.record_heartbeat_response("sa", &commands, 100.0);
-    let held = &mut c.workers.get_mut("sa").unwrap().attempts[0];
-    held.stop = Some(StopDecision {
+    let attempt = &mut c.workers.get_mut("sa").unwrap().attempts[0];
+    attempt.stop = Some(StopDecision {
         reason: StopReason::Drained,
         at: 100.5,
     });
@@ -205,7 +208,7 @@
     };
     assert!(tell(&mut c, &running));
     c.needs_scheduling = false;
-    assert!(tell(&mut c, &running), "it was heard");
+    assert!(tell(&mut c, &running), "it was applied");
     assert!(!c.needs_scheduling);
     // Another task with a known attempt number is orphaned, even if all else is equal.
     let mut other = running.clone();
--- a/crates/tallygauge-scheduler/src/tests/mod.rs
+++ b/crates/tallygauge-scheduler/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the cluster picture, and what they share.
+//! Tests of the cluster state, and their shared helpers.
 
 mod attempt_lifecycle;
 mod batch_deadlines;
--- a/crates/tallygauge-scheduler/src/tests/placement_batches.rs
+++ b/crates/tallygauge-scheduler/src/tests/placement_batches.rs
@@ -46,7 +46,7 @@
         c.record_batch_committed(batch, 100.0);
         next.restore_placements(&batch.name, &batch.record, 200.0, 1100.0);
     }
-    let held = |c: &ClusterState| {
+    let placed_attempts = |c: &ClusterState| {
         let mut out: Vec<(String, String, u64)> = c
             .workers
             .values()
@@ -59,8 +59,8 @@
         out.sort();
         out
     };
-    assert_eq!(held(&c).len(), 120);
-    assert_eq!(held(&c), held(&next));
+    assert_eq!(placed_attempts(&c).len(), 120);
+    assert_eq!(placed_attempts(&c), placed_attempts(&next));
     // The job that is over counts as well, until its attempts are certainly over.
     assert!((next.quota_usage[0].cpus - 120.0).abs() < 1e-6);
     assert_eq!(next.live_attempts_by_batch.len(), batches.len());
@@ -81,8 +81,8 @@
     let id = batch.record.jobs[first.tasks[0].job_position].id.clone();
     c.remove_job(&id, 100.1);
     c.record_batch_committed(&batch, 100.2);
-    let held: usize = c.workers.values().map(|w| w.attempts.len()).sum();
-    assert_eq!(held, 1);
+    let remaining: usize = c.workers.values().map(|w| w.attempts.len()).sum();
+    assert_eq!(remaining, 1);
     assert_eq!(c.live_attempts_by_batch.get(&batch.name), Some(&1));
     assert!(c.obsolete_batches.is_empty(), "its record is still needed");
     // It becomes obsolete with its last attempt.
--- a/crates/tallygauge-scheduler/src/tests/reachability.rs
+++ b/crates/tallygauge-scheduler/src/tests/reachability.rs
@@ -193,8 +193,8 @@
             102.0 + f64::from(step) * 2.0,
         );
     }
-    let held: Vec<Heartbeat> = (0..4).map(|_| agent.report("sa")).collect();
-    for (n, heartbeat) in (0..).zip(&held) {
+    let delayed: Vec<Heartbeat> = (0..4).map(|_| agent.report("sa")).collect();
+    for (n, heartbeat) in (0..).zip(&delayed) {
         let now = 180.0 + f64::from(n) * 0.01;
         c.apply_heartbeat(now, heartbeat, HeartbeatSource::Periodic);
         c.record_heartbeat_response("sa", &[], now);
--- a/crates/tallygauge-scheduler/src/tests/recovery.rs
+++ b/crates/tallygauge-scheduler/src/tests/recovery.rs
@@ -31,7 +31,7 @@
     serde_json::from_value(value.clone()).unwrap()
 }
 
-fn kept<T: DeserializeOwned>(key: &str) -> T {
+fn stored_value<T: DeserializeOwned>(key: &str) -> T {
     value(&rows(key)[0].2)
 }
 
@@ -39,10 +39,13 @@
 fn recover() -> ClusterState {
     let mut cluster = cluster(&[], NOW);
     cluster.set_time_of_day(NOW, TIME_OF_DAY);
-    assert!(cluster.restore_service_counts(kept("s/floor")));
-    assert_eq!(cluster.restore_image_locations(&kept("s/images/0")), 0);
-    cluster.restore_deadline_tracker(kept("s/calendar"));
-    cluster.set_priority_rules(kept("s/ledger"));
+    assert!(cluster.restore_service_counts(stored_value("s/floor")));
+    assert_eq!(
+        cluster.restore_image_locations(&stored_value("s/images/0")),
+        0
+    );
+    cluster.restore_deadline_tracker(stored_value("s/calendar"));
+    cluster.set_priority_rules(stored_value("s/ledger"));
     let mut done: HashMap<String, RangeSet> = HashMap::new();
     for (page, version, record) in rows("f/") {
         let page = page.parse().unwrap();
@@ -85,9 +88,9 @@
     let waiting = |id: &str| cluster.jobs[id].pending.iter().collect::<Vec<u32>>();
     assert_eq!((waiting("req-1"), waiting("req-2")), (vec![5], vec![1]));
 
-    let mut held: Vec<(String, &str, u64, u64, f64, bool)> = Vec::new();
+    let mut attempts: Vec<(String, &str, u64, u64, f64, bool)> = Vec::new();
     for worker in cluster.workers.values() {
-        held.extend(worker.attempts.iter().map(|h| {
+        attempts.extend(worker.attempts.iter().map(|h| {
             let stopped = h.stop.is_some();
             (
                 h.task_name(),
@@ -99,9 +102,9 @@
             )
         }));
     }
-    held.sort_by_key(|attempt| attempt.2);
+    attempts.sort_by_key(|attempt| attempt.2);
     assert_eq!(
-        held,
+        attempts,
         [
             ("req-1/2".into(), "sa", 536_870_914, 1, 0.0, false),
             ("req-1/3".into(), "sa", 536_870_915, 1, 12.0, false),
@@ -110,7 +113,10 @@
             ("req-2/0".into(), "la", 536_870_920, 2, 0.0, false),
         ]
     );
-    assert!(cluster.last_attempt > held[4].2, "attempts never repeat");
+    assert!(
+        cluster.last_attempt > attempts[4].2,
+        "attempts never repeat"
+    );
 
     let used: Vec<f64> = cluster.quota_usage.iter().map(|l| l.cpus).collect();
     assert_eq!(used, [4.5, 3.0]);
--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -11,7 +11,7 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 use tallygauge_protocol::state::{Condition, Transaction, WatchEvent, Write};
 use tallygauge_scheduler::{
-    ClusterState, CompletionPageRecord, ImagesPart, PlacementBatchRecord, RangeSet,
+    ClusterState, CompletionPageRecord, ImageLocations, PlacementBatchRecord, RangeSet,
 };
 use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome, WatchOutcome};
 
@@ -332,7 +332,7 @@
     if let Some(floor) = kept.decode(None) {
         cluster.restore_service_counts(floor);
     }
-    for part in kept.decode_shards::<ImagesPart>() {
+    for part in kept.decode_shards::<ImageLocations>() {
         cluster.restore_image_locations(&part);
     }
     if let Some(calendar) = &kept.calendar {
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -8,7 +8,7 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use tallygauge_protocol::state::{Condition, Transaction, Write};
 use tallygauge_records::{Record, StoredRecord, WriteBatch, WriteBehind, decode, record_name};
-use tallygauge_scheduler::{LedgerChange, PriorityRules};
+use tallygauge_scheduler::{PriorityRules, RulesChange};
 use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
 /// What the keys of kept records begin with.
@@ -156,20 +156,20 @@
         Some((d.version, change))
     });
     match change {
-        Some((version, LedgerChange::New(ledger))) => {
+        Some((version, RulesChange::New(ledger))) => {
             if let Err(why) = shelf.stage(None, &ledger, at) {
                 tracing::warn!(why, "the ranks can't be kept and are not in force");
             } else {
                 tracing::info!(version, "ranks are declared");
             }
         }
-        Some((version, LedgerChange::VersionConflict)) => {
+        Some((version, RulesChange::VersionConflict)) => {
             tracing::warn!(
                 version,
                 "other ranks of this version are in force: raise the version"
             );
         }
-        Some((_, LedgerChange::Unchanged)) | None => {}
+        Some((_, RulesChange::Unchanged)) | None => {}
     }
 }
 
--- a/crates/tallygauge/tests/golden.rs
+++ b/crates/tallygauge/tests/golden.rs
@@ -18,8 +18,8 @@
 };
 use tallygauge_records::{Record, StoredRecord, decode, encode, record_name};
 use tallygauge_scheduler::{
-    CalendarBook, CompletionPageRecord, FloorRecord, ImagesPart, PlacementBatchRecord,
-    PriorityRules,
+    CompletionPageRecord, DeadlineTracker, ImageLocations, PlacementBatchRecord, PriorityRules,
+    ServiceCountsRecord,
 };
 
 /// Reads a record with its type, and writes it again.
@@ -51,9 +51,12 @@
         (completion_page_key(0), plain::<CompletionPageRecord>),
         (placement_batch_key("2-1"), plain::<PlacementBatchRecord>),
         (placement_batch_key("2-2"), plain::<PlacementBatchRecord>),
-        (kept_key::<FloorRecord>(None), kept::<FloorRecord>),
-        (kept_key::<ImagesPart>(Some(0)), kept::<ImagesPart>),
-        (kept_key::<CalendarBook>(None), kept::<CalendarBook>),
+        (
+            kept_key::<ServiceCountsRecord>(None),
+            kept::<ServiceCountsRecord>,
+        ),
+        (kept_key::<ImageLocations>(Some(0)), kept::<ImageLocations>),
+        (kept_key::<DeadlineTracker>(None), kept::<DeadlineTracker>),
         (kept_key::<PriorityRules>(None), kept::<PriorityRules>),
         (kept_key::<CutoffSettings>(None), kept::<CutoffSettings>),
     ];
