--- a/crates/tallygauge/src/leader/recovery.rs
+++ b/crates/tallygauge/src/leader/recovery.rs
@@ -13,7 +13,7 @@
 use std::collections::HashMap;
 use tallygauge_protocol::state::KeyValue;
 use tallygauge_scheduler::{
-    ClusterState, CompletionPageRecord, ImagesPart, PlacementBatchRecord, RangeSet,
+    ClusterState, CompletionPageRecord, ImageLocations, PlacementBatchRecord, RangeSet,
 };
 use tallygauge_store::RequestPriority;
 
@@ -116,7 +116,7 @@
     if let Some(service_counts) = records.decode(None) {
         cluster.restore_service_counts(service_counts);
     }
-    for shard in records.decode_shards::<ImagesPart>() {
+    for shard in records.decode_shards::<ImageLocations>() {
         cluster.restore_image_locations(&shard);
     }
     if let Some(cutoffs) = &records.calendar {
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -12,7 +12,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 use tallygauge_protocol::state::{Condition, KeyValue, Transaction, Write};
 use tallygauge_records::{Record, WriteBatch, WriteBehind, decode, record_name};
-use tallygauge_scheduler::{LedgerChange, PriorityRules};
+use tallygauge_scheduler::{PriorityRules, RulesChange};
 use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
 /// Prefix of the keys of the leader's records.
@@ -182,19 +182,19 @@
             .with_cluster(|cluster| cluster.priority_rules().declare(&declared, now));
         let version = declared.version;
         match change {
-            Some(LedgerChange::New(rules)) => match self.records.stage(None, &rules, now) {
+            Some(RulesChange::New(rules)) => match self.records.stage(None, &rules, now) {
                 Ok(_) => tracing::info!(version, "declared priority rules"),
                 Err(error) => {
                     tracing::warn!(%error, "priority rules can't be stored and are not in force");
                 }
             },
-            Some(LedgerChange::VersionConflict) => {
+            Some(RulesChange::VersionConflict) => {
                 tracing::warn!(
                     version,
                     "other priority rules of this version are in force: raise the version"
                 );
             }
-            Some(LedgerChange::Unchanged) | None => {}
+            Some(RulesChange::Unchanged) | None => {}
         }
     }
 
