--- a/crates/tallygauge-deadlines/src/lib.rs
+++ b/crates/tallygauge-deadlines/src/lib.rs
@@ -5,7 +5,7 @@
 //! accepted within its window. Which [`Due`] a job belongs to follows from what
 //! is on record of it alone, so every leader finds the same. The [`Book`] counts
 //! what is done of each and how the last ones ended; [`verdicts`] says what can
-//! still be met. `docs/cutoff-rules.md` says why it is so.
+//! still be met. `docs/calendar.md` says why it is so.
 
 mod deadline_tracker;
 mod forecast;
--- a/crates/tallygauge-fairness/src/lib.rs
+++ b/crates/tallygauge-fairness/src/lib.rs
@@ -3,7 +3,7 @@
 //! Pure: no clock, no input or output. [`Book`] counts what is over, by class,
 //! by team and for the largest jobs of each class; [`elect`] compares that with what is open and names the jobs
 //! that should come first where a class or a team has fallen behind. Below
-//! overload it names none. `docs/minimum-share.md` says why it is so.
+//! overload it names none. `docs/floor.md` says why it is so.
 
 mod selection;
 mod service_counts;
--- a/crates/tallygauge-health/src/lib.rs
+++ b/crates/tallygauge-health/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`Hearing`] weighs the signs that what is sent to a machine does not reach
 //! it. [`Departed`] remembers machines that are gone, whose late words must not
 //! bring them back. None of it frees a room or a task by itself: that rests on
-//! the proofs of `docs/design.md`, "Attempt retention".
+//! the proofs of `docs/design.md`, "Holding".
 
 mod message_order;
 mod reachability;
--- a/crates/tallygauge-locality/src/lib.rs
+++ b/crates/tallygauge-locality/src/lib.rs
@@ -5,7 +5,7 @@
 //! leaves to its successor, a bitmap of machines by image, bounded, those first
 //! whose fetch would cost most. A wrong belief costs seconds, never a rule.
 //! [`Spread`] weighs seconds of fetch against replicas that one failure would
-//! take. `docs/locality.md` says why it is so.
+//! take. `docs/weights.md` says why it is so.
 
 mod image_index;
 mod replica_spread;
--- a/crates/tallygauge-priority/src/lib.rs
+++ b/crates/tallygauge-priority/src/lib.rs
@@ -6,7 +6,7 @@
 //! the time of day from which it is in force; the last ones are kept, so that
 //! any leader works out alike which rank a job was accepted with. Of two
 //! declarations the later version wins; an older file never sets it back, and
-//! one that lacks a class takes nothing away. `docs/priority-rules.md` says why.
+//! one that lacks a class takes nothing away. `docs/ledger.md` says why.
 
 mod priority_rules;
 mod rank;
--- a/crates/tallygauge-records/src/lib.rs
+++ b/crates/tallygauge-records/src/lib.rs
@@ -7,7 +7,7 @@
 //! takes one up as it was found: missing, torn, or of a version that this
 //! program doesn't know, which is said and never keeps a node from leading. A
 //! [`Shelf`] says what is to be written when, many records in one change.
-//! `docs/batch-deadlines.md` says what is kept where.
+//! `docs/trade.md` says what is kept where.
 
 mod record;
 mod write_behind;
