--- a/crates/tallygauge-http/tests/connections.rs
+++ b/crates/tallygauge-http/tests/connections.rs
@@ -1,5 +1,10 @@
 //! Refused connections and oversized bodies, over loopback sockets.
 
+#![allow(
+    clippy::unwrap_used,
+    reason = "a test ends on a value that it does not expect"
+)]
+
 use hyper_util::service::TowerToHyperService;
 use std::{net::SocketAddr, time::Duration};
 use tallygauge_http::{accept, bounded_body};
--- a/crates/tallygauge-protocol/src/lib.rs
+++ b/crates/tallygauge-protocol/src/lib.rs
@@ -14,8 +14,12 @@
 
 /// Messages, client and server of the service between controllers (gRPC), generated
 /// from `proto/peer.proto`.
-// Generated code has the comments of the proto file, which leaves some items without.
-#[allow(missing_docs)]
+#[allow(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "generated code has only the comments of the proto file"
+)]
 pub mod peer {
     tonic::include_proto!("tallygauge.peer.v1");
 }
--- a/crates/tallygauge-protocol/tests/golden.rs
+++ b/crates/tallygauge-protocol/tests/golden.rs
@@ -4,6 +4,11 @@
 //! text (protobuf in hexadecimal). The files are never changed along with the
 //! names of types and fields.
 
+#![allow(
+    clippy::unwrap_used,
+    reason = "a test ends on a value that it does not expect"
+)]
+
 use serde::{Serialize, de::DeserializeOwned};
 use tallygauge_protocol::{cloud, peer, state, users, workers};
 
--- a/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
+++ b/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
@@ -60,6 +60,10 @@
     assert!(c.workers["sa"].attempts.is_empty());
 }
 
+#[allow(
+    clippy::too_many_lines,
+    reason = "one table or one course of events, read from top to bottom"
+)]
 #[test]
 fn restored_attempts_hold_capacity_until_certainly_over() {
     let record = left_record();
--- a/crates/tallygauge-scheduler/src/tests/start_deadline.rs
+++ b/crates/tallygauge-scheduler/src/tests/start_deadline.rs
@@ -93,6 +93,10 @@
 
 /// Simulates a flood of small urgent jobs on a few machines, and one large job with a lower
 /// utility per time. Returns when the large job's first task started, if it did.
+#[allow(
+    clippy::too_many_lines,
+    reason = "one table or one course of events, read from top to bottom"
+)]
 fn first_start_at(bound: f64, team_cpus: f64) -> Option<f64> {
     let names = ["l1a", "l2b", "l3a"];
     let mut cluster = cluster(&names, 0.0);
--- a/crates/tallygauge-sim/examples/load/main.rs
+++ b/crates/tallygauge-sim/examples/load/main.rs
@@ -9,6 +9,11 @@
 //! restart of the process with all machines at work. Times are the process's own, as the
 //! kernel counts them.
 
+#![allow(
+    clippy::unwrap_used,
+    reason = "a load test ends on a value that it does not expect"
+)]
+
 mod http;
 mod phase;
 mod program;
--- a/crates/tallygauge-sim/src/lib.rs
+++ b/crates/tallygauge-sim/src/lib.rs
@@ -11,6 +11,11 @@
 //! workers that are silent, unreachable in one direction, hung or restarted; late and
 //! duplicated heartbeats and direct commands.
 
+#![allow(
+    clippy::unwrap_used,
+    reason = "the simulation serves tests, which end on a value that they do not expect"
+)]
+
 mod clock;
 mod cloud;
 mod command_execution;
--- a/crates/tallygauge-sim/src/store_requests.rs
+++ b/crates/tallygauge-sim/src/store_requests.rs
@@ -62,6 +62,9 @@
     }
 
     /// Answers a controller's request as the store does.
+    ///
+    /// # Errors
+    /// When an injected fault loses the request or its response.
     pub async fn handle_store_request(
         &self,
         controller: &str,
--- a/crates/tallygauge-sim/src/worker_agent.rs
+++ b/crates/tallygauge-sim/src/worker_agent.rs
@@ -84,6 +84,9 @@
 
     /// Delivers a controller's direct commands to a worker and returns its answer. Commands
     /// that are delayed, or whose machine hangs, get no response and are executed later.
+    ///
+    /// # Errors
+    /// When an injected fault loses the request or its response.
     pub async fn deliver_direct_commands(
         &self,
         controller: &str,
--- a/crates/tallygauge-sim/tests/batch_deadlines.rs
+++ b/crates/tallygauge-sim/tests/batch_deadlines.rs
@@ -1,6 +1,11 @@
 //! Batch deadlines, priority ranks and image locations across failovers: what the next
 //! leader restores from the records of the one before.
 
+#![allow(
+    clippy::unwrap_used,
+    reason = "a test ends on a value that it does not expect"
+)]
+
 use std::sync::Arc;
 use tallygauge::{controller::Controller, operator_settings::OperatorSettings};
 use tallygauge_protocol::{
--- a/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
@@ -1,5 +1,10 @@
 //! Faults under which the statuses that users read must stay linearizable.
 
+#![allow(
+    clippy::unwrap_used,
+    reason = "a test ends on a value that it does not expect"
+)]
+
 use std::{
     sync::{Arc, Mutex},
     time::Duration,
--- a/crates/tallygauge-sim/tests/process_pauses.rs
+++ b/crates/tallygauge-sim/tests/process_pauses.rs
@@ -1,6 +1,11 @@
 //! Controllers whose process is paused for seconds while clocks run on: what they knew
 //! before the pause is verified before they act on it.
 
+#![allow(
+    clippy::unwrap_used,
+    reason = "a test ends on a value that it does not expect"
+)]
+
 use std::{sync::Arc, time::Duration};
 use tallygauge::{
     controller::Controller,
--- a/crates/tallygauge-store/tests/commit_with_retries.rs
+++ b/crates/tallygauge-store/tests/commit_with_retries.rs
@@ -1,6 +1,11 @@
 //! Committing transactions whose answers are lost, late or refused, against a plain
 //! store that executes conditional writes.
 
+#![allow(
+    clippy::unwrap_used,
+    reason = "a test ends on a value that it does not expect"
+)]
+
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
 use std::{
--- a/crates/tallygauge/src/event_log.rs
+++ b/crates/tallygauge/src/event_log.rs
@@ -17,6 +17,10 @@
 
 /// Logs a cluster event: what an operator should see by default at `info`, what
 /// happens to single jobs and attempts at `debug`.
+#[allow(
+    clippy::too_many_lines,
+    reason = "one flat match with an arm for each event"
+)]
 pub(crate) fn log_cluster_event(event: &ClusterEvent) {
     match event {
         ClusterEvent::SpotNoticeReceived { machine } => {
--- a/crates/tallygauge/src/settings_error/tests.rs
+++ b/crates/tallygauge/src/settings_error/tests.rs
@@ -92,6 +92,10 @@
     }
 }
 
+#[allow(
+    clippy::too_many_lines,
+    reason = "one table or one course of events, read from top to bottom"
+)]
 #[test]
 fn each_fault_of_the_operator_settings_displays_its_line() {
     let cutoff = |attributes: &str| {
--- a/crates/tallygauge/tests/golden.rs
+++ b/crates/tallygauge/tests/golden.rs
@@ -5,6 +5,11 @@
 //! version and its value. The files are never changed along with the names of
 //! types and fields.
 
+#![allow(
+    clippy::unwrap_used,
+    reason = "a test ends on a value that it does not expect"
+)]
+
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::Value;
 use tallygauge::{
