--- a/crates/tallygauge-scheduler/src/model/config.rs
+++ b/crates/tallygauge-scheduler/src/model/config.rs
@@ -1,13 +1,9 @@
-//! Settings of the scheduler, and whether a job can ever run under them.
+//! Settings of the scheduler.
 
-use super::*;
-use std::collections::{BTreeSet, HashMap};
+use std::collections::HashMap;
 use tallygauge_health::ReachabilityThresholds;
 use tallygauge_locality::ReplicaSpread;
-use tallygauge_protocol::{
-    cloud::MachineType,
-    users::{JobSpec, Priority, Shape},
-};
+use tallygauge_protocol::users::Priority;
 
 /// A team's guaranteed resources and its quota.
 #[derive(Debug, Clone, PartialEq)]
@@ -126,51 +122,6 @@
     }
 }
 
-/// Checks that a job can ever run with these teams and machine types.
-///
-/// # Errors
-/// A sentence for the user that says why it can't.
-pub fn check_feasible(
-    spec: &JobSpec,
-    teams: &[TeamConfig],
-    types: &[MachineType],
-) -> Result<(), String> {
-    let Some(team) = teams.iter().find(|t| t.name == spec.team) else {
-        return Err(format!("no team is called '{}'", spec.team));
-    };
-    let count = if spec.shape == Shape::Service {
-        f64::from(spec.tasks)
-    } else {
-        1.0
-    };
-    if spec.cpus * count > team.max_cpus + EPSILON || spec.gpus * count > team.max_gpus + EPSILON {
-        return Err(format!("needs more than the limit of team '{}'", spec.team));
-    }
-    let mut zones: BTreeSet<&str> = BTreeSet::new();
-    for t in types {
-        let named = spec
-            .machine_types
-            .as_ref()
-            .is_none_or(|names| names.contains(&t.name));
-        if named && task_fits(spec, t.cpus, t.gpus, t.memory_gb) {
-            zones.extend(t.zones.iter().map(String::as_str));
-        }
-    }
-    if let Some(zone) = &spec.zone {
-        zones.retain(|z| z == zone);
-    }
-    if zones.is_empty() {
-        return Err("a task fits no allowed machine type and zone".into());
-    }
-    if spec.spread && spec.tasks > 1 && spec.one_zone && spec.shape == Shape::Service {
-        return Err("all tasks in one zone and at most half of them there can't both be".into());
-    }
-    if spec.spread && spec.tasks > 1 && zones.len() < 2 && spec.shape == Shape::Service {
-        return Err("spread over zones, but only one zone is allowed".into());
-    }
-    Ok(())
-}
-
 /// Index of a priority's utility in [`Config::utility`].
 #[must_use]
 pub fn priority_index(priority: Priority) -> usize {
--- /dev/null
+++ b/crates/tallygauge-scheduler/src/model/feasibility.rs
@@ -0,0 +1,88 @@
+//! Whether a submitted job can ever run with the configured teams and machine types.
+
+use super::{EPSILON, TeamConfig, task_fits};
+use std::collections::BTreeSet;
+use tallygauge_protocol::{
+    cloud::MachineType,
+    users::{JobSpec, Shape},
+};
+
+/// Why a job can never run. The text is shown to the user.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum InfeasibleJob {
+    /// The job names a team that is not configured.
+    #[error("no team is called '{0}'")]
+    UnknownTeam(String),
+    /// One task of an array, or all tasks of a service, exceed the team's limit.
+    #[error("needs more than the limit of team '{0}'")]
+    OverTeamLimit(String),
+    /// A task fits no machine type in a zone that the job allows.
+    #[error("a task fits no allowed machine type and zone")]
+    NoFittingMachine,
+    /// The job asks for one zone and for a spread over zones.
+    #[error("all tasks in one zone and at most half of them there can't both be")]
+    SpreadInOneZone,
+    /// The job asks for a spread over zones but allows only one.
+    #[error("spread over zones, but only one zone is allowed")]
+    SpreadWithoutZones,
+}
+
+/// Checks that a job can ever run with these teams and machine types.
+///
+/// # Errors
+/// When it can't, and why.
+pub fn check_feasible(
+    spec: &JobSpec,
+    teams: &[TeamConfig],
+    machine_types: &[MachineType],
+) -> Result<(), InfeasibleJob> {
+    let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
+        return Err(InfeasibleJob::UnknownTeam(spec.team.clone()));
+    };
+    if exceeds_limit(spec, team) {
+        return Err(InfeasibleJob::OverTeamLimit(spec.team.clone()));
+    }
+    let zones = fitting_zones(spec, machine_types);
+    if zones.is_empty() {
+        return Err(InfeasibleJob::NoFittingMachine);
+    }
+    let must_spread = spec.spread && spec.tasks > 1 && spec.shape == Shape::Service;
+    if must_spread && spec.one_zone {
+        return Err(InfeasibleJob::SpreadInOneZone);
+    }
+    if must_spread && zones.len() < 2 {
+        return Err(InfeasibleJob::SpreadWithoutZones);
+    }
+    Ok(())
+}
+
+/// Whether what the job needs at a time, one task of an array or all of a service, is
+/// more than the team's limit.
+fn exceeds_limit(spec: &JobSpec, team: &TeamConfig) -> bool {
+    let concurrent_tasks = if spec.shape == Shape::Service {
+        f64::from(spec.tasks)
+    } else {
+        1.0
+    };
+    spec.cpus * concurrent_tasks > team.max_cpus + EPSILON
+        || spec.gpus * concurrent_tasks > team.max_gpus + EPSILON
+}
+
+/// Zones that the job allows with a machine type that it allows and a task of it fits.
+fn fitting_zones<'a>(spec: &JobSpec, machine_types: &'a [MachineType]) -> BTreeSet<&'a str> {
+    let mut zones: BTreeSet<&str> = BTreeSet::new();
+    for machine_type in machine_types {
+        let is_allowed = spec
+            .machine_types
+            .as_ref()
+            .is_none_or(|names| names.contains(&machine_type.name));
+        let (cpus, gpus) = (machine_type.cpus, machine_type.gpus);
+        if is_allowed && task_fits(spec, cpus, gpus, machine_type.memory_gb) {
+            zones.extend(machine_type.zones.iter().map(String::as_str));
+        }
+    }
+    if let Some(zone) = &spec.zone {
+        zones.retain(|candidate| candidate == zone);
+    }
+    zones
+}
--- a/crates/tallygauge-scheduler/src/model/mod.rs
+++ b/crates/tallygauge-scheduler/src/model/mod.rs
@@ -4,6 +4,7 @@
 mod attempt;
 mod capacity;
 mod config;
+mod feasibility;
 mod job;
 mod records;
 mod worker;
@@ -11,6 +12,7 @@
 pub use attempt::*;
 pub use capacity::*;
 pub use config::*;
+pub use feasibility::*;
 pub use job::*;
 pub use records::*;
 pub use worker::*;
--- a/crates/tallygauge/src/user_api/submit.rs
+++ b/crates/tallygauge/src/user_api/submit.rs
@@ -13,7 +13,7 @@
     state::{Transaction, Write},
     users::{JobSpec, JobStatus, is_valid_job_id},
 };
-use tallygauge_scheduler::check_feasible;
+use tallygauge_scheduler::{InfeasibleJob, check_feasible};
 use tallygauge_store::{RequestPriority, TransactionOutcome};
 
 /// Part of the store's largest value that the record of a job may take.
@@ -32,8 +32,8 @@
     #[error("{0}")]
     InvalidField(String),
     /// No machine type, or not the team's limit, allows for the job.
-    #[error("{0}")]
-    Infeasible(String),
+    #[error(transparent)]
+    Infeasible(#[from] InfeasibleJob),
     #[error("the machine types are not known yet")]
     CatalogueUnknown,
     #[error("the submission can't be kept")]
@@ -107,8 +107,7 @@
         .map_err(|error| SubmissionError::InvalidField(error.to_string()))?;
     let catalogue = controller.catalogue.get();
     let machine_types = catalogue.ok_or(SubmissionError::CatalogueUnknown)?;
-    check_feasible(&spec, &controller.settings.teams(), &machine_types)
-        .map_err(|error| SubmissionError::Infeasible(error.to_string()))?;
+    check_feasible(&spec, &controller.settings.teams(), &machine_types)?;
     Ok(spec)
 }
 
