--- a/crates/tallygauge/src/event_log.rs
+++ b/crates/tallygauge/src/event_log.rs
@@ -2,7 +2,7 @@
 //! fields.
 
 use tallygauge_protocol::workers::EndCause;
-use tallygauge_scheduler::ClusterEvent;
+use tallygauge_scheduler::{ClusterEvent, UnderservedGroup};
 
 /// Logs at `info` if the first argument is true, else at `debug`.
 macro_rules! log_info_if {
@@ -15,6 +15,26 @@
     };
 }
 
+/// A value with one decimal, as it is logged.
+fn one_decimal(value: f64) -> f64 {
+    (value * 10.0).round() / 10.0
+}
+
+/// `NAME:DONE/OVERDUE/MISSING` for each group, separated by blanks: jobs done within a
+/// day, jobs that should have been served by now, jobs missing to the target share.
+fn format_groups(groups: &[UnderservedGroup]) -> String {
+    let formatted: Vec<String> = groups
+        .iter()
+        .map(|group| {
+            format!(
+                "{}:{}/{}/{}",
+                group.name, group.done_within_day, group.overdue, group.to_target_share
+            )
+        })
+        .collect();
+    formatted.join(" ")
+}
+
 /// Logs a cluster event: what an operator should see by default at `info`, what
 /// happens to single jobs and attempts at `debug`.
 #[allow(
@@ -64,7 +84,13 @@
             wait_s,
             class,
             tasks,
-        } => tracing::debug!(job, wait_s, class, tasks, "job started"),
+        } => tracing::debug!(
+            job,
+            wait_s = one_decimal(*wait_s),
+            class,
+            tasks,
+            "job started"
+        ),
         ClusterEvent::JobPlaced {
             job,
             wait_s,
@@ -73,7 +99,7 @@
             is_large,
         } => tracing::debug!(
             job,
-            wait_s,
+            wait_s = one_decimal(*wait_s),
             class,
             tasks,
             is_large,
@@ -94,9 +120,9 @@
             *is_declared,
             %cutoff,
             open_jobs,
-            remaining_cpu_s,
-            late_s,
-            missing_cpus,
+            remaining_cpu_s = remaining_cpu_s.round(),
+            late_s = late_s.round(),
+            missing_cpus = missing_cpus.round(),
             "cutoff at risk"
         ),
         ClusterEvent::CutoffPassed { cutoff, open_jobs } => {
@@ -104,10 +130,14 @@
         }
         ClusterEvent::CutoffMet { cutoff } => tracing::info!(%cutoff, "cutoff met"),
         ClusterEvent::CutoffMissed { cutoff, late_s } => {
-            tracing::info!(%cutoff, late_s, "cutoff missed");
+            tracing::info!(%cutoff, late_s = late_s.round(), "cutoff missed");
         }
         ClusterEvent::MinimumShareEnforced { jobs, groups } => {
-            tracing::info!(jobs, ?groups, "enforcing minimum share");
+            tracing::info!(
+                jobs,
+                groups = format_groups(groups),
+                "enforcing minimum share"
+            );
         }
         ClusterEvent::MinimumShareReached => {
             tracing::info!("minimum share no longer enforced");
--- a/crates/tallygauge/src/operator_settings.rs
+++ b/crates/tallygauge/src/operator_settings.rs
@@ -141,18 +141,7 @@
     /// [`SettingsFileError`], whose one line names the file, the element and what is
     /// wrong.
     pub fn load(path: &Path) -> Result<Self, SettingsFileError> {
-        let file = SettingsFile::Operator;
-        let text =
-            std::fs::read_to_string(path).map_err(|source| SettingsFileError::Unreadable {
-                file,
-                path: path.to_path_buf(),
-                source,
-            })?;
-        Self::parse(&text).map_err(|source| SettingsFileError::Refused {
-            file,
-            path: path.to_path_buf(),
-            source,
-        })
+        SettingsFile::Operator.load(path, Self::parse)
     }
 
     /// Parses and checks the settings.
--- a/crates/tallygauge/src/settings.rs
+++ b/crates/tallygauge/src/settings.rs
@@ -172,18 +172,7 @@
     /// # Errors
     /// [`SettingsFileError`], whose one line names the file, the field and what is wrong.
     pub fn load(path: &Path) -> Result<Self, SettingsFileError> {
-        let file = SettingsFile::Platform;
-        let text =
-            std::fs::read_to_string(path).map_err(|source| SettingsFileError::Unreadable {
-                file,
-                path: path.to_path_buf(),
-                source,
-            })?;
-        Self::parse(&text).map_err(|source| SettingsFileError::Refused {
-            file,
-            path: path.to_path_buf(),
-            source,
-        })
+        SettingsFile::Platform.load(path, Self::parse)
     }
 
     /// Parses and checks settings.
--- a/crates/tallygauge/src/settings_error.rs
+++ b/crates/tallygauge/src/settings_error.rs
@@ -1,7 +1,11 @@
 //! Errors of both settings files. Each displays as the one line that an operator
 //! reads: it names the field, or the element, as it stands in the file.
 
-use std::{fmt, io, net::SocketAddr, path::PathBuf};
+use std::{
+    fmt, fs, io,
+    net::SocketAddr,
+    path::{Path, PathBuf},
+};
 use tallygauge_scheduler::CutoffRuleError;
 
 /// Which of the two settings files an error is about.
@@ -13,6 +17,29 @@
     Operator,
 }
 
+impl SettingsFile {
+    /// Reads a file and parses its text.
+    ///
+    /// # Errors
+    /// [`SettingsFileError`], which names the file.
+    pub(crate) fn load<T>(
+        self,
+        path: &Path,
+        parse: impl FnOnce(&str) -> Result<T, SettingsError>,
+    ) -> Result<T, SettingsFileError> {
+        let text = fs::read_to_string(path).map_err(|source| SettingsFileError::Unreadable {
+            file: self,
+            path: path.to_path_buf(),
+            source,
+        })?;
+        parse(&text).map_err(|source| SettingsFileError::Refused {
+            file: self,
+            path: path.to_path_buf(),
+            source,
+        })
+    }
+}
+
 impl fmt::Display for SettingsFile {
     /// The words in front of the file's path.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
