--- a/crates/tallygauge-deadlines/src/forecast.rs
+++ b/crates/tallygauge-deadlines/src/forecast.rs
@@ -38,7 +38,7 @@
 
 /// Forecasts for all loads, in their order, with `cpus` CPUs for all of them together.
 #[must_use]
-pub fn forecasts(loads: &[CutoffLoad], cpus: f64) -> Vec<Forecast> {
+pub fn forecast_cutoffs(loads: &[CutoffLoad], cpus: f64) -> Vec<Forecast> {
     let mut by_cutoff: Vec<usize> = (0..loads.len()).collect();
     by_cutoff.sort_by(|a, b| {
         let by_time_left = loads[*a].left_s.total_cmp(&loads[*b].left_s);
--- a/crates/tallygauge-deadlines/src/forecast/tests.rs
+++ b/crates/tallygauge-deadlines/src/forecast/tests.rs
@@ -16,7 +16,7 @@
         load(300.0, 900.0, 3.0, 20.0),    // bound by its team's limit
         load(10.0, 0.0, 9.0, 0.0),        // nothing left to do
     ];
-    let found = forecasts(&loads, 10.0);
+    let found = forecast_cutoffs(&loads, 10.0);
     let risk: Vec<bool> = found.iter().map(|v| v.at_risk).collect();
     assert_eq!(risk, [false, true, false, true, false]);
     assert_eq!(found[0].slack_s, 100.0 - 51.0);
@@ -31,7 +31,7 @@
     #[test]
     fn the_end_is_that_of_a_simulation_in_small_steps(works in prop::collection::vec((1.0f64..300.0, 0.0f64..500.0), 1..8), cpus in 1.0f64..20.0) {
         let loads: Vec<CutoffLoad> = works.iter().map(|(left_s, work)| CutoffLoad { left_s: *left_s, cpu_s: *work, cpus: f64::MAX, longest_s: 0.0 }).collect();
-        let found = forecasts(&loads, cpus);
+        let found = forecast_cutoffs(&loads, cpus);
         let mut left: Vec<f64> = loads.iter().map(|l| l.cpu_s).collect();
         let mut ends = vec![0.0; loads.len()];
         let (step, mut now) = (0.05, 0.0);
--- a/crates/tallygauge-deadlines/src/lib.rs
+++ b/crates/tallygauge-deadlines/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`CutoffRule`] says which days have a cutoff, and which jobs count for it: those
 //! accepted within its window. Which [`CutoffWindow`] a job counts for follows from its
 //! record alone, so every leader finds the same. The [`DeadlineTracker`] counts what is
-//! done for each cutoff and how the last ones ended; [`forecasts`] says which can still
+//! done for each cutoff and how the last ones ended; [`forecast_cutoffs`] says which can still
 //! be met. The scheduler's batch deadlines call it. `docs/cutoff-rules.md` says why the
 //! rules are as they are.
 
@@ -14,5 +14,5 @@
 mod rule;
 
 pub use deadline_tracker::{CutoffEvent, CutoffProgress, DeadlineTracker, DoneJobs};
-pub use forecast::{CutoffLoad, Forecast, forecasts};
-pub use rule::{CutoffDays, CutoffRule, CutoffRuleError, CutoffWindow, inferred};
+pub use forecast::{CutoffLoad, Forecast, forecast_cutoffs};
+pub use rule::{CutoffDays, CutoffRule, CutoffRuleError, CutoffWindow, infer_cutoff};
--- a/crates/tallygauge-deadlines/src/rule.rs
+++ b/crates/tallygauge-deadlines/src/rule.rs
@@ -203,7 +203,7 @@
 /// `accepted` is wall-clock time in seconds, `deadline_s` the job's deadline in seconds
 /// after it.
 #[must_use]
-pub fn inferred(
+pub fn infer_cutoff(
     class: &str,
     team: &str,
     accepted: f64,
--- a/crates/tallygauge-scheduler/examples/scale.rs
+++ b/crates/tallygauge-scheduler/examples/scale.rs
@@ -243,7 +243,7 @@
         if step.is_multiple_of(3) {
             self.cluster.advance_time(now);
         }
-        self.placed += self.cluster.run_round(now, true).0;
+        self.placed += self.cluster.run_round(now, true).placed;
         let batches = self.cluster.take_placement_batches(7000, 90, now);
         self.rounds.push(started_at.elapsed().as_secs_f64());
         for batch in batches {
--- a/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
@@ -9,8 +9,8 @@
 use crate::{cluster_state::ClusterState, events::ClusterEvent, model::*};
 use std::{collections::BTreeMap, sync::Arc};
 use tallygauge_deadlines::{
-    CutoffEvent, CutoffLoad, CutoffRule, CutoffWindow, DeadlineTracker, Forecast, forecasts,
-    inferred,
+    CutoffEvent, CutoffLoad, CutoffRule, CutoffWindow, DeadlineTracker, Forecast, forecast_cutoffs,
+    infer_cutoff,
 };
 use tallygauge_priority::{MAX_RANK, PriorityRules};
 
@@ -138,7 +138,7 @@
         let class_deadline_s = self.config.class_deadline_s.get(class).copied();
         let deadlines = job.spec.deadline_s.into_iter().chain(class_deadline_s);
         let deadline_s = deadlines.reduce(f64::min)?;
-        Some(inferred(
+        Some(infer_cutoff(
             class,
             team,
             accepted_time_of_day,
@@ -208,7 +208,7 @@
                 longest_s: work.longest_s,
             })
             .collect();
-        let found = forecasts(&loads, self.usable_or_booting_cpus(now));
+        let found = forecast_cutoffs(&loads, self.usable_or_booting_cpus(now));
         work.keys().cloned().zip(found).collect()
     }
 
--- a/crates/tallygauge-scheduler/src/cluster_state.rs
+++ b/crates/tallygauge-scheduler/src/cluster_state.rs
@@ -224,11 +224,13 @@
         true
     }
 
-    /// Numbers of completed and of placed tasks of an open job.
+    /// Numbers of tasks of an open job, for display.
     #[must_use]
-    pub fn task_counts(&self, id: &str) -> Option<(u32, u32)> {
+    pub fn task_count(&self, id: &str) -> Option<TaskCount> {
         let job = self.jobs.get(id)?;
-        let placed = u32::try_from(job.attempts_by_task.len()).unwrap_or(u32::MAX);
-        Some((job.completed.len(), placed))
+        Some(TaskCount {
+            done: job.completed.len(),
+            running: u32::try_from(job.attempts_by_task.len()).unwrap_or(u32::MAX),
+        })
     }
 }
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -28,6 +28,19 @@
 /// a cancelled attempt is returned.
 const UNCONFIRMED_TIMEOUT_PART: f64 = 0.7;
 
+/// What the CPUs of machines that are up are used for, in CPUs.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct CpuUsage {
+    /// By tasks that are starting or being stopped.
+    pub starting: f64,
+    /// By tasks whose image is being fetched.
+    pub fetching: f64,
+    /// By running tasks.
+    pub running: f64,
+    /// By none.
+    pub free: f64,
+}
+
 impl ClusterState {
     /// Adds a machine unless it is known. Fills in its endpoint if that is not known.
     pub fn register_machine(
@@ -283,23 +296,22 @@
             .collect()
     }
 
-    /// CPUs of machines that are up: starting or stopping a task, fetching an
-    /// image, running, free.
+    /// What the CPUs of machines that are up are used for.
     #[must_use]
-    pub fn cpu_usage(&self) -> [f64; 4] {
-        let mut sums = [0.0; 4];
+    pub fn cpu_usage(&self) -> CpuUsage {
+        let mut usage = CpuUsage::default();
         for worker in self.workers.values().filter(|w| w.is_up()) {
-            sums[3] += worker.free_resources.cpus;
+            usage.free += worker.free_resources.cpus;
             for attempt in worker.attempts.iter().filter(|a| a.occupies_capacity()) {
-                let place = match attempt.phase {
-                    AttemptPhase::Observed(TaskState::Fetching) => 1,
-                    AttemptPhase::Observed(TaskState::Running) => 2,
-                    _ => 0,
+                let cpus = match attempt.phase {
+                    AttemptPhase::Observed(TaskState::Fetching) => &mut usage.fetching,
+                    AttemptPhase::Observed(TaskState::Running) => &mut usage.running,
+                    _ => &mut usage.starting,
                 };
-                sums[place] += attempt.spec.cpus;
+                *cpus += attempt.spec.cpus;
             }
         }
-        sums
+        usage
     }
 }
 
--- a/crates/tallygauge-scheduler/src/mapping/mod.rs
+++ b/crates/tallygauge-scheduler/src/mapping/mod.rs
@@ -19,6 +19,15 @@
 use crate::{cluster_state::ClusterState, events::ClusterEvent, model::*};
 use round_state::{PlannedStart, PlannedStop, Round};
 
+/// What a scheduling round did.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct RoundOutcome {
+    /// Tasks placed.
+    pub placed: usize,
+    /// Attempts marked to be preempted.
+    pub preempted: usize,
+}
+
 /// Tasks of one job that are alike to the scheduler.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TaskGroup<'a> {
@@ -97,9 +106,8 @@
     }
 
     /// Runs one scheduling round: places pending tasks as `Planned`, and, if
-    /// `preempt` is set, marks running ones to be preempted. Returns how many were
-    /// placed and how many preempted.
-    pub fn run_round(&mut self, now: f64, preempt: bool) -> (usize, usize) {
+    /// `preempt` is set, marks running ones to be preempted.
+    pub fn run_round(&mut self, now: f64, preempt: bool) -> RoundOutcome {
         let PendingTasks {
             groups,
             next_backoff_end,
@@ -118,7 +126,10 @@
         for start in &starts {
             self.place(start, now);
         }
-        (starts.len(), stops.len())
+        RoundOutcome {
+            placed: starts.len(),
+            preempted: stops.len(),
+        }
     }
 
     /// Marks an attempt to be stopped for another job.
--- a/crates/tallygauge-scheduler/src/model/job.rs
+++ b/crates/tallygauge-scheduler/src/model/job.rs
@@ -9,6 +9,15 @@
 use tallygauge_deadlines::CutoffWindow;
 use tallygauge_protocol::users::{JobSpec, Shape};
 
+/// Numbers of a job's tasks.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct TaskCount {
+    /// Tasks done.
+    pub done: u32,
+    /// Tasks placed on machines.
+    pub running: u32,
+}
+
 /// A pending task with state of its own: a checkpoint, or a backoff.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResumableTask {
--- a/crates/tallygauge-scheduler/src/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/pending_reasons.rs
@@ -15,36 +15,36 @@
         /// CPUs that its tasks use.
         cpus: f64,
         /// CPUs that they may use at most.
-        cpus_max: f64,
+        max_cpus: f64,
         /// GPUs that its tasks use.
         gpus: f64,
         /// GPUs that they may use at most.
-        gpus_max: f64,
+        max_gpus: f64,
     },
     /// No machine that the job may use has enough free resources for a task.
-    NoRoom {
+    InsufficientResources {
         /// Usable machines that the job may use.
         machines: usize,
         /// Booting machines that it may use.
-        coming: usize,
+        booting: usize,
         /// Machines it may use that are being returned or interrupted.
         leaving: usize,
     },
     /// The cloud had no capacity for machines that the job may use.
-    NoCapacity {
+    NoCloudCapacity {
         /// Kinds of machines that were refused.
         kinds: usize,
         /// Seconds until one of them is requested again.
-        again_s: f64,
+        retry_in_s: f64,
     },
     /// Machines have enough free resources for a task: the next round will use them,
     /// after tasks that are ahead.
-    Room {
+    ResourcesAvailable {
         /// Number of such machines.
         machines: usize,
     },
     /// Pending tasks of other jobs are ahead.
-    Behind {
+    QueuedBehind {
         /// Jobs.
         jobs: usize,
         /// Tasks of these.
@@ -55,9 +55,9 @@
         /// Number of tasks.
         tasks: usize,
         /// Seconds until the first of them is retried.
-        next_s: f64,
+        retry_in_s: f64,
         /// Failures since the last success.
-        errors: u32,
+        failures: u32,
     },
     /// Tasks are placed, and their start is being recorded or sent to the worker.
     Starting {
@@ -76,11 +76,11 @@
     },
     /// Tasks are on machines that send no heartbeats; they count until their lease has
     /// certainly expired.
-    OutOfReach {
+    Unreachable {
         /// Number of tasks.
         tasks: usize,
         /// Seconds until the last lease has certainly expired.
-        over_s: f64,
+        lease_expires_in_s: f64,
     },
 }
 
@@ -152,8 +152,8 @@
             let next = ends.fold(f64::MAX, f64::min);
             reasons.push(PendingReason::Retry {
                 tasks: in_backoff.len(),
-                next_s: next - now,
-                errors: job.consecutive_failures,
+                retry_in_s: next - now,
+                failures: job.consecutive_failures,
             });
         }
         self.why_not_running(job, now, &mut reasons);
@@ -174,16 +174,16 @@
         reasons.extend(self.team_limit(job));
         let machines = self.count_machines(job, now);
         if machines.with_free_resources == 0 {
-            reasons.push(PendingReason::NoRoom {
+            reasons.push(PendingReason::InsufficientResources {
                 machines: machines.usable,
-                coming: machines.booting,
+                booting: machines.booting,
                 leaving: machines.leaving,
             });
             reasons.extend(self.refused_kinds(job, now));
         }
         reasons.extend(self.tasks_ahead(job, within_guarantee, now));
         if machines.with_free_resources > 0 {
-            reasons.push(PendingReason::Room {
+            reasons.push(PendingReason::ResourcesAvailable {
                 machines: machines.with_free_resources,
             });
         }
@@ -198,9 +198,9 @@
         let by_gpus = count_fitting(team.max_gpus - usage.gpus, spec.gpus);
         (by_cpus.min(by_gpus) == 0).then_some(PendingReason::TeamLimit {
             cpus: usage.cpus,
-            cpus_max: team.max_cpus,
+            max_cpus: team.max_cpus,
             gpus: usage.gpus,
-            gpus_max: team.max_gpus,
+            max_gpus: team.max_gpus,
         })
     }
 
@@ -246,9 +246,9 @@
         });
         let backoff_ends: Vec<f64> = refused.map(|(_, backoff)| backoff.until).collect();
         let first_end = backoff_ends.iter().copied().reduce(f64::min)?;
-        Some(PendingReason::NoCapacity {
+        Some(PendingReason::NoCloudCapacity {
             kinds: backoff_ends.len(),
-            again_s: first_end - now,
+            retry_in_s: first_end - now,
         })
     }
 
@@ -278,7 +278,7 @@
             jobs.insert(group.job.spec.id.as_str());
             tasks += group.task_count() as usize;
         }
-        (tasks > 0).then_some(PendingReason::Behind {
+        (tasks > 0).then_some(PendingReason::QueuedBehind {
             jobs: jobs.len(),
             tasks,
         })
@@ -289,9 +289,9 @@
         let by_count = [
             (
                 tasks.out_of_reach,
-                PendingReason::OutOfReach {
+                PendingReason::Unreachable {
                     tasks: tasks.out_of_reach,
-                    over_s: tasks.over_s,
+                    lease_expires_in_s: tasks.over_s,
                 },
             ),
             (
--- a/crates/tallygauge-scheduler/src/scale_in.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -39,6 +39,15 @@
     surplus: bool,
 }
 
+/// A machine that can be returned to the cloud now.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ReturnableMachine {
+    /// Its name.
+    pub name: String,
+    /// Why it is returned.
+    pub reason: LeaveReason,
+}
+
 impl ClusterState {
     /// Marks the machines that are surplus. To be called about once a heartbeat
     /// interval.
@@ -162,7 +171,7 @@
 
     /// Marks machines that have been idle for long as leaving, and returns the names of
     /// all that can be returned now: leaving and empty, or given up.
-    pub fn returns(&mut self, now: f64) -> Vec<(String, LeaveReason)> {
+    pub fn machines_to_return(&mut self, now: f64) -> Vec<ReturnableMachine> {
         let mut returnable = Vec::new();
         let idle_boots = self.config.idle_boots;
         let settle_s = 2.0 * self.config.list_lag_s;
@@ -204,7 +213,10 @@
                 LeaveReason::Faulty | LeaveReason::Slow | LeaveReason::Idle => false,
             };
             if is_given_up || (is_empty && !has_unsaved_ends) {
-                returnable.push((worker.name.clone(), reason));
+                returnable.push(ReturnableMachine {
+                    name: worker.name.clone(),
+                    reason,
+                });
             }
         }
         returnable
@@ -212,7 +224,7 @@
 
     /// Records that a request to return machines is being sent: they may be gone at any
     /// time from now on.
-    pub fn return_sent(&mut self, names: &[String]) {
+    pub fn mark_return_sent(&mut self, names: &[String]) {
         for name in names {
             if let Some(worker) = self.workers.get_mut(name) {
                 worker.return_sent = true;
--- a/crates/tallygauge-scheduler/src/start_deadline/mod.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/mod.rs
@@ -135,7 +135,7 @@
     }
 
     /// Whether a job is one of the large ones of its class.
-    pub(crate) fn is_large(&self, job: &Job) -> bool {
+    pub fn is_large(&self, job: &Job) -> bool {
         let service_counts = &self.minimum_share.service_counts;
         service_counts.is_large(job.group_ids[0], job.size(), LARGE_JOB_FRACTION)
     }
@@ -194,22 +194,24 @@
         total_cpus * MAX_LARGE_JOB_SHARE - used_cpus.sum::<f64>()
     }
 
-    /// The open job that was accepted first of those that have not started, and
-    /// whether it is a large one of its class.
+    /// The open job that was accepted first of those that have not started.
     #[must_use]
-    pub fn oldest_unstarted_job(&self) -> Option<(&Job, bool)> {
+    pub fn oldest_unstarted_job(&self) -> Option<&Job> {
         let unstarted = self.jobs.values().filter(|j| !j.started);
-        let oldest = unstarted.min_by(|a, b| a.accepted_at.total_cmp(&b.accepted_at))?;
-        Some((oldest, self.is_large(oldest)))
+        unstarted.min_by(|a, b| a.accepted_at.total_cmp(&b.accepted_at))
     }
 
-    /// How many jobs are near their start deadline, and the age in seconds of the
-    /// oldest open job that has not started.
+    /// Number of jobs that are near their start deadline.
     #[must_use]
-    pub fn unstarted_summary(&self, now: f64) -> (usize, f64) {
+    pub fn start_claims(&self) -> usize {
+        self.start_deadlines.claims.len()
+    }
+
+    /// Age in seconds of the oldest open job that has not started; 0 if all have.
+    #[must_use]
+    pub fn oldest_unstarted_s(&self, now: f64) -> f64 {
         let unstarted = self.jobs.values().filter(|j| !j.started);
         let ages = unstarted.map(|j| now - j.accepted_at);
-        let max_age_s = ages.fold(0.0, f64::max);
-        (self.start_deadlines.claims.len(), max_age_s)
+        ages.fold(0.0, f64::max)
     }
 }
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -304,7 +304,11 @@
     assert_eq!(placed.len(), 128);
     assert!(placed.iter().all(|p| !spare.contains(&p.2)));
     // They are returned as soon as they are empty; the others stay.
-    let due: Vec<String> = c.returns(now).into_iter().map(|d| d.0).collect();
+    let due: Vec<String> = c
+        .machines_to_return(now)
+        .into_iter()
+        .map(|machine| machine.name)
+        .collect();
     assert_eq!(due, spare);
     // New work uses them again.
     let mut c = cluster(&names, 100.0);
--- a/crates/tallygauge-scheduler/src/tests/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/tests/pending_reasons.rs
@@ -36,15 +36,15 @@
     let reasons = cluster.explain_pending(id, now).unwrap().reasons;
     let code = |r: &PendingReason| match r {
         PendingReason::TeamLimit { .. } => "limit",
-        PendingReason::NoRoom { .. } => "room",
-        PendingReason::NoCapacity { .. } => "capacity",
-        PendingReason::Room { .. } => "soon",
-        PendingReason::Behind { .. } => "behind",
+        PendingReason::InsufficientResources { .. } => "room",
+        PendingReason::NoCloudCapacity { .. } => "capacity",
+        PendingReason::ResourcesAvailable { .. } => "soon",
+        PendingReason::QueuedBehind { .. } => "behind",
         PendingReason::Retry { .. } => "retry",
         PendingReason::Starting { .. } => "starting",
         PendingReason::Fetching { .. } => "fetching",
         PendingReason::Stopping { .. } => "stopping",
-        PendingReason::OutOfReach { .. } => "lost",
+        PendingReason::Unreachable { .. } => "lost",
     };
     reasons.iter().map(code).collect()
 }
--- a/crates/tallygauge-scheduler/src/tests/placement_batches.rs
+++ b/crates/tallygauge-scheduler/src/tests/placement_batches.rs
@@ -33,7 +33,7 @@
     for n in 0..12 {
         c.add_job(spec(n, 10, 1.0), 5, 90.0, &RangeSet::default());
     }
-    assert_eq!(c.run_round(100.0, false).0, 120);
+    assert_eq!(c.run_round(100.0, false).placed, 120);
     let batches = c.take_placement_batches(1500, 4, 1000.0);
     assert!(batches.len() > 3);
     let mut next = cluster(&[], 200.0);
@@ -110,7 +110,11 @@
         &report("sa", 1, 5, TERM, vec![found]),
         HeartbeatSource::Periodic,
     );
-    assert_eq!(c.run_round(101.0, true), (0, 0), "it is not placed again");
+    assert_eq!(
+        c.run_round(101.0, true),
+        RoundOutcome::default(),
+        "it is not placed again"
+    );
     let batch = c.take_placement_batches(4096, 60, 0.0).remove(0);
     assert_eq!((batch.record.first_attempt, batch.jobs.len()), (77, 1));
     assert!(c.take_placement_batches(4096, 60, 0.0).is_empty(), "once");
--- a/crates/tallygauge-scheduler/src/tests/reachability.rs
+++ b/crates/tallygauge-scheduler/src/tests/reachability.rs
@@ -142,7 +142,11 @@
     // Its incarnations ended, and its tasks are pending again.
     assert_eq!(c.jobs["req-1"].unfinished(), 3);
     assert!(c.jobs["req-1"].attempts_by_task.is_empty());
-    assert!(c.returns(400.0).iter().any(|r| r.0 == "sa"));
+    assert!(
+        c.machines_to_return(400.0)
+            .iter()
+            .any(|machine| machine.name == "sa")
+    );
 }
 
 #[test]
@@ -261,7 +265,11 @@
         now += 2.0;
         exchange_heartbeat(&mut c, &mut agent, "sa", true, now);
         send_direct_messages(&mut c, &mut agent, true, now);
-        if agent.tasks.is_empty() || c.returns(now).iter().any(|r| r.0 == "sa") {
+        if agent.tasks.is_empty()
+            || c.machines_to_return(now)
+                .iter()
+                .any(|machine| machine.name == "sa")
+        {
             gone = Some(now);
         }
     }
--- a/crates/tallygauge-scheduler/src/tests/recovery.rs
+++ b/crates/tallygauge-scheduler/src/tests/recovery.rs
@@ -83,8 +83,20 @@
         .map(|(id, job)| (id.as_str(), job.version, job.accepted_at))
         .collect();
     assert_eq!(jobs, [("req-1", 21, 90.0), ("req-2", 22, 91.0)]);
-    assert_eq!(cluster.task_counts("req-1"), Some((2, 3)));
-    assert_eq!(cluster.task_counts("req-2"), Some((0, 1)));
+    assert_eq!(
+        cluster.task_count("req-1"),
+        Some(TaskCount {
+            done: 2,
+            running: 3
+        })
+    );
+    assert_eq!(
+        cluster.task_count("req-2"),
+        Some(TaskCount {
+            done: 0,
+            running: 1
+        })
+    );
     let waiting = |id: &str| cluster.jobs[id].pending.iter().collect::<Vec<u32>>();
     assert_eq!((waiting("req-1"), waiting("req-2")), (vec![5], vec![1]));
 
--- a/crates/tallygauge-sim/src/cloud.rs
+++ b/crates/tallygauge-sim/src/cloud.rs
@@ -62,17 +62,17 @@
         json!({"benches": []})
     }
 
-    /// Rents machines once for each booking; a repeated request gets the same machines.
+    /// Rents machines once for each request id; a repeated request gets the same machines.
     fn rent_machines(&mut self, now: f64, request: &Value) -> Value {
-        let booking = request["booking"].as_str().unwrap().to_string();
-        self.check_booking(now, &booking, request.to_string());
-        if !self.rentals.contains_key(&booking) {
+        let request_id = request["booking"].as_str().unwrap().to_string();
+        self.check_rental_request(now, &request_id, request.to_string());
+        if !self.rentals.contains_key(&request_id) {
             let count = request["howMany"].as_u64().unwrap();
             let zone = request["site"].as_str().unwrap();
             let names = (0..count).map(|_| self.add_machine(now, zone)).collect();
-            self.rentals.insert(booking.clone(), names);
+            self.rentals.insert(request_id.clone(), names);
         }
-        json!({"benches": self.rentals[&booking]})
+        json!({"benches": self.rentals[&request_id]})
     }
 
     /// Adds a machine that begins to boot now. Returns its name.
@@ -86,12 +86,12 @@
         name
     }
 
-    /// Records a violation if a booking is used for another request.
-    fn check_booking(&mut self, now: f64, booking: &str, request: String) {
-        let first = self.rental_requests.entry(booking.to_string());
+    /// Records a violation if a request id is used for another request.
+    fn check_rental_request(&mut self, now: f64, request_id: &str, request: String) {
+        let first = self.rental_requests.entry(request_id.to_string());
         if *first.or_insert_with(|| request.clone()) != request {
             self.violations
-                .push(format!("{now:.1}: booking {booking} repeats"));
+                .push(format!("{now:.1}: rental request {request_id} repeats"));
         }
     }
 }
--- a/crates/tallygauge-sim/src/lib.rs
+++ b/crates/tallygauge-sim/src/lib.rs
@@ -113,7 +113,7 @@
         operator_settings: OperatorSettings,
     ) -> (Arc<Controller>, JoinHandle<()>) {
         let settings = Settings::parse(&controller_settings(name).to_string()).unwrap();
-        let http = HttpClient::over(Arc::new(SimulatedTransport {
+        let http = HttpClient::with_transport(Arc::new(SimulatedTransport {
             simulation: self.clone(),
             controller: name.into(),
         }));
--- a/crates/tallygauge-sim/src/state.rs
+++ b/crates/tallygauge-sim/src/state.rs
@@ -60,9 +60,9 @@
     pub(crate) workers: BTreeMap<String, SimWorker>,
     /// Shapes of jobs by the job's id.
     pub(crate) job_shapes: HashMap<String, JobShape>,
-    /// Names of the machines that each booking rented.
+    /// Names of the machines that each rental request rented.
     pub(crate) rentals: HashMap<String, Vec<String>>,
-    /// The first request made under each booking.
+    /// The first request made under each request id.
     pub(crate) rental_requests: HashMap<String, String>,
     pub(crate) next_machine: u32,
     /// Seconds that a machine takes to boot.
--- a/crates/tallygauge-sim/src/users.rs
+++ b/crates/tallygauge-sim/src/users.rs
@@ -206,7 +206,7 @@
 impl Relay for RelayTo {
     fn relay<'a>(&'a self, method: &'a Method, path: &'a str, body: &'a [u8]) -> RelayFuture<'a> {
         Box::pin(async move {
-            match user_api::local(&self.0, method, path, body).await? {
+            match user_api::handle_locally(&self.0, method, path, body).await? {
                 Reply::RetryLater { .. } => None,
                 reply => Some(RelayedReply {
                     status: reply.status(),
--- a/crates/tallygauge-sim/tests/concurrent_faults.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults.rs
@@ -346,9 +346,9 @@
     });
     let known = eventually(60.0, async || {
         controller_a
-            .with_cluster(|cluster| cluster.task_counts(&id))
+            .with_cluster(|cluster| cluster.task_count(&id))
             .flatten()
-            .map(|counts| counts.0)
+            .map(|count| count.done)
             == Some(2)
     });
     assert!(known.await);
--- a/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
@@ -16,7 +16,9 @@
     // Neither copy of the next round's batch write is executed.
     simulation.set_faults(|faults| faults.hang_writes = Some("p/1-2"));
     let second = submit_job(&simulation, &controller_a, 2, 2, 4.0, 5.0).await;
-    let in_doubt = eventually(LEASE_S, async || controller_a.store.in_doubt_writes().0 > 0);
+    let in_doubt = eventually(LEASE_S, async || {
+        controller_a.store.in_doubt_writes().count > 0
+    });
     assert!(in_doubt.await);
     let third = submit_job(&simulation, &controller_a, 3, 2, 2.0, 5.0).await;
     let before = simulation.now();
@@ -26,8 +28,11 @@
         "it waits for the other"
     );
     assert_eq!(simulation.running_task_count(&second), 0);
-    let (count, since) = controller_a.store.in_doubt_writes();
-    assert!(count == 1 && since.as_secs_f64() > 5.0, "{count} {since:?}");
+    let in_doubt = controller_a.store.in_doubt_writes();
+    assert!(
+        in_doubt.count == 1 && in_doubt.oldest_age.as_secs_f64() > 5.0,
+        "{in_doubt:?}"
+    );
     simulation.set_faults(|faults| faults.hang_writes = None);
     assert!(wait_until_done(&controller_a, &second).await);
     assert_eq!(count_starts(&simulation), 6, "nothing is placed twice");
--- a/crates/tallygauge-sim/tests/user_requests.rs
+++ b/crates/tallygauge-sim/tests/user_requests.rs
@@ -142,7 +142,7 @@
     // Capacity for the other tasks is released, but placing them is conditional on the record.
     sleep_s(6.0).await;
     let done = controller_a
-        .with_cluster(|cluster| cluster.task_counts(&id))
+        .with_cluster(|cluster| cluster.task_count(&id))
         .flatten();
     assert_eq!(
         (count_starts(&simulation), done),
--- a/crates/tallygauge-store/src/client.rs
+++ b/crates/tallygauge-store/src/client.rs
@@ -1,7 +1,7 @@
 //! The client, how it sends a request, and reads and watches.
 
 use crate::{
-    RequestBudget, RequestPriority, StoreError, WatchOutcome,
+    Listing, RequestBudget, RequestPriority, StoreError, WatchOutcome,
     availability::Availability,
     error::{InDoubtReason, NotExecutedReason},
     http::{HttpClient, RequestError},
@@ -178,7 +178,7 @@
         &self,
         priority: RequestPriority,
         prefix: &str,
-    ) -> Result<(Vec<KeyValue>, u64), StoreError> {
+    ) -> Result<Listing, StoreError> {
         let mut entries: Vec<KeyValue> = Vec::new();
         let mut first_revision = None;
         loop {
@@ -188,7 +188,7 @@
             let is_empty = page.entries.is_empty();
             entries.extend(page.entries);
             if !page.has_more || is_empty {
-                return Ok((entries, revision));
+                return Ok(Listing { entries, revision });
             }
         }
     }
--- a/crates/tallygauge-store/src/commit.rs
+++ b/crates/tallygauge-store/src/commit.rs
@@ -11,7 +11,7 @@
 use crate::{
     RequestPriority, StoreClient, StoreError, TransactionOutcome,
     error::{InDoubtReason, NotExecutedReason},
-    in_doubt::InDoubtGuard,
+    in_doubt::{InDoubtGuard, InDoubtSummary},
     transaction::describe_transaction,
 };
 use futures_util::stream::{FuturesUnordered, StreamExt};
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The caller's patience ended with attempts unanswered.
+    /// The caller's timeout elapsed with attempts unanswered.
     fn deadline_exceeded(transaction: &Transaction, first_sent_at: Instant) -> Self {
         Self {
             outcome: Err(StoreError::in_doubt(
@@ -106,7 +106,7 @@
 }
 
 impl StoreClient {
-    /// Sends a transaction until its outcome is known, or until `patience` is over if
+    /// Sends a transaction until its outcome is known, or until `timeout` is over if
     /// one is given. The transaction's conditions must make sure that it can be
     /// executed at most once.
     ///
@@ -117,9 +117,9 @@
         &self,
         priority: RequestPriority,
         transaction: &Transaction,
-        patience: Option<Duration>,
+        timeout: Option<Duration>,
     ) -> CommitResult {
-        let deadline = patience.map(|patience| Instant::now() + patience);
+        let deadline = timeout.map(|timeout| Instant::now() + timeout);
         if !self.acquire_permit(priority, transaction).await {
             return CommitResult::not_sent(transaction);
         }
@@ -187,10 +187,9 @@
             && self.retries.withdraw()
     }
 
-    /// Number of transactions in doubt, and the age of the oldest. For the
-    /// operators' summary.
+    /// The transactions in doubt now, for the operators' summary.
     #[must_use]
-    pub fn in_doubt_writes(&self) -> (usize, Duration) {
-        self.retries.in_doubt.count_and_oldest_age()
+    pub fn in_doubt_writes(&self) -> InDoubtSummary {
+        self.retries.in_doubt.summary()
     }
 }
--- a/crates/tallygauge-store/src/error.rs
+++ b/crates/tallygauge-store/src/error.rs
@@ -91,7 +91,7 @@
     /// No whole answer within the time-out.
     #[error("no response")]
     NoResponse,
-    /// The caller's patience ended before any attempt was answered.
+    /// The caller's timeout elapsed before any attempt was answered.
     #[error("gave up waiting for a response")]
     DeadlineExceeded,
     /// The store answered with a status that the request does not expect.
--- a/crates/tallygauge-store/src/http.rs
+++ b/crates/tallygauge-store/src/http.rs
@@ -69,7 +69,7 @@
 
     /// A client whose requests are carried by `transport` instead of the network.
     #[must_use]
-    pub fn over(transport: Arc<dyn Transport>) -> Self {
+    pub fn with_transport(transport: Arc<dyn Transport>) -> Self {
         Self {
             backend: Backend::Custom(transport),
             max_response_bytes: usize::MAX,
--- a/crates/tallygauge-store/src/in_doubt.rs
+++ b/crates/tallygauge-store/src/in_doubt.rs
@@ -7,6 +7,15 @@
 };
 use tokio::time::Instant;
 
+/// The transactions that are in doubt at one time.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct InDoubtSummary {
+    /// Their number.
+    pub count: usize,
+    /// Time since the oldest was first sent; zero if there is none.
+    pub oldest_age: Duration,
+}
+
 /// The transactions in doubt of one client. Clones share them.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct InDoubtWrites(Arc<Mutex<InDoubtSet>>);
@@ -32,12 +41,14 @@
         }
     }
 
-    /// Number of transactions in doubt, and the age of the oldest.
-    pub(crate) fn count_and_oldest_age(&self) -> (usize, Duration) {
+    /// The transactions in doubt now.
+    pub(crate) fn summary(&self) -> InDoubtSummary {
         let set = self.0.lock().expect("in-doubt lock");
         let oldest = set.first_sent_at.values().min();
-        let oldest_age = oldest.map_or(Duration::ZERO, |sent_at| sent_at.elapsed());
-        (set.first_sent_at.len(), oldest_age)
+        InDoubtSummary {
+            count: set.first_sent_at.len(),
+            oldest_age: oldest.map_or(Duration::ZERO, |sent_at| sent_at.elapsed()),
+        }
     }
 }
 
--- a/crates/tallygauge-store/src/lib.rs
+++ b/crates/tallygauge-store/src/lib.rs
@@ -28,6 +28,7 @@
 pub use commit::CommitResult;
 pub use connection_count::{ConnectionCount, ConnectionGuard};
 pub use error::{InDoubtReason, NotExecutedReason, StoreError};
+pub use in_doubt::InDoubtSummary;
 pub use log_once::is_first_occurrence;
-pub use outcome::{TransactionOutcome, WatchOutcome};
+pub use outcome::{Listing, TransactionOutcome, WatchOutcome};
 pub use priority::RequestPriority;
--- a/crates/tallygauge-store/src/outcome.rs
+++ b/crates/tallygauge-store/src/outcome.rs
@@ -1,6 +1,6 @@
 //! What the key-value store answers to transactions and watches.
 
-use tallygauge_protocol::state::WatchResponse;
+use tallygauge_protocol::state::{KeyValue, WatchResponse};
 
 /// Outcome of a transaction that the store answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -17,6 +17,16 @@
     LeaseExpired,
 }
 
+/// All keys with a prefix.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Listing {
+    /// The keys with their values and versions, in the order of the keys.
+    pub entries: Vec<KeyValue>,
+    /// Revision of the store from which on changes must be watched: that of the first
+    /// page.
+    pub revision: u64,
+}
+
 /// Outcome of a watch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WatchOutcome {
--- a/crates/tallygauge-store/tests/commit_with_retries.rs
+++ b/crates/tallygauge-store/tests/commit_with_retries.rs
@@ -118,7 +118,7 @@
         default_outcome,
         ..FakeStore::default()
     }));
-    let http = HttpClient::over(Arc::new(FakeTransport(store.clone())));
+    let http = HttpClient::with_transport(Arc::new(FakeTransport(store.clone())));
     let budget = Arc::new(RequestBudget::new(100.0, 100.0));
     (
         StoreClient::new(http, "store", budget, MIN_TIMEOUT, MAX_TIMEOUT),
@@ -167,7 +167,7 @@
             "{request_outcomes:?}: {:?}",
             started_at.elapsed()
         );
-        assert_eq!(client.in_doubt_writes().0, 0);
+        assert_eq!(client.in_doubt_writes().count, 0);
     }
 }
 
@@ -248,8 +248,8 @@
             .await
     });
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let (count, longest) = client.in_doubt_writes();
-    assert!(count == 1 && longest >= Duration::from_millis(1900));
+    let in_doubt = client.in_doubt_writes();
+    assert!(in_doubt.count == 1 && in_doubt.oldest_age >= Duration::from_millis(1900));
     let result = commit.await.unwrap();
     assert!(matches!(
         result.outcome,
@@ -260,7 +260,7 @@
     ));
     assert!(result.in_doubt);
     assert!(started_at.elapsed() < Duration::from_millis(3100));
-    assert_eq!(client.in_doubt_writes().0, 0);
+    assert_eq!(client.in_doubt_writes().count, 0);
 }
 
 // Additional attempts are bounded by a share of the transactions.
--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -30,23 +30,23 @@
 /// Removes obsolete records for as long as this controller leads. A removal whose
 /// answer is lost is made again later: removing twice does no harm, and a page is
 /// conditioned on its version. Never returns.
-pub async fn run(controller: &Controller, term_guard: &Condition) {
+pub async fn run(controller: &Controller, term_condition: &Condition) {
     let pause = heartbeat_intervals(controller, CLEANUP_INTERVALS);
     loop {
         tokio::time::sleep(pause).await;
-        remove_obsolete_records(controller, term_guard).await;
+        remove_obsolete_records(controller, term_condition).await;
     }
 }
 
 /// Removes placement batches whose attempts have ended, and empty completion pages.
-async fn remove_obsolete_records(controller: &Controller, term_guard: &Condition) {
+async fn remove_obsolete_records(controller: &Controller, term_condition: &Condition) {
     let Some(obsolete) = find_obsolete_records(controller) else {
         return;
     };
     if obsolete.is_empty() {
         return;
     }
-    let transaction = removal_transaction(term_guard, &obsolete);
+    let transaction = removal_transaction(term_condition, &obsolete);
     let outcome = controller
         .store
         .transact(RequestPriority::Progress, &transaction)
@@ -71,8 +71,8 @@
     })
 }
 
-fn removal_transaction(term_guard: &Condition, obsolete: &ObsoleteRecords) -> Transaction {
-    let mut transaction = new_transaction(term_guard);
+fn removal_transaction(term_condition: &Condition, obsolete: &ObsoleteRecords) -> Transaction {
+    let mut transaction = new_transaction(term_condition);
     for name in &obsolete.batches {
         let key = placement_batch_key(name);
         transaction.writes.push(Write::Remove { key });
--- a/crates/tallygauge/src/cloud/returns.rs
+++ b/crates/tallygauge/src/cloud/returns.rs
@@ -2,9 +2,9 @@
 
 use super::{CloudSession, client};
 use crate::controller::Controller;
-use std::{collections::BTreeMap, time::Duration};
+use std::time::Duration;
 use tallygauge_protocol::cloud::{MAX_MACHINES_PER_RETURN, MachineNames};
-use tallygauge_scheduler::LeaveReason;
+use tallygauge_scheduler::{LeaveReason, ReturnableMachine};
 use warp::http::{Method, StatusCode};
 
 /// Heartbeat intervals between two searches for surplus machines.
@@ -42,9 +42,11 @@
     if machines.is_empty() {
         return false;
     }
-    let reasons: BTreeMap<String, LeaveReason> = machines.iter().cloned().collect();
     let request = MachineNames {
-        names: machines.into_iter().map(|(name, _)| name).collect(),
+        names: machines
+            .iter()
+            .map(|machine| machine.name.clone())
+            .collect(),
     };
     let answer = client::send(controller, Method::POST, "/machines/return", Some(&request)).await;
     let now = controller.now();
@@ -56,8 +58,8 @@
             cluster.deregister_machine(name, now);
         }
     });
-    for (machine, reason) in reasons {
-        tracing::info!(machine, ?reason, "returned machine");
+    for ReturnableMachine { name, reason } in machines {
+        tracing::info!(machine = name, ?reason, "returned machine");
     }
     controller.wake_scheduler.notify_one();
     true
@@ -67,18 +69,18 @@
 /// request may be executed late. While another controller may be the leader, and
 /// use these machines, only those are returned that can't confirm that their
 /// cancelled tasks have stopped.
-fn take_due_returns(controller: &Controller) -> Vec<(String, LeaveReason)> {
+fn take_due_returns(controller: &Controller) -> Vec<ReturnableMachine> {
     if !controller.may_command() {
         return Vec::new();
     }
     let now = controller.now();
     let is_sole_leader = controller.holds_unexpired_lease();
     let due = controller.with_cluster(|cluster| {
-        let mut due = cluster.returns(now);
-        due.retain(|(_, reason)| is_sole_leader || *reason == LeaveReason::Unconfirmed);
+        let mut due = cluster.machines_to_return(now);
+        due.retain(|machine| is_sole_leader || machine.reason == LeaveReason::Unconfirmed);
         due.truncate(MAX_MACHINES_PER_RETURN);
-        let names: Vec<String> = due.iter().map(|(name, _)| name.clone()).collect();
-        cluster.return_sent(&names);
+        let names: Vec<String> = due.iter().map(|machine| machine.name.clone()).collect();
+        cluster.mark_return_sent(&names);
         due
     });
     due.unwrap_or_default()
--- a/crates/tallygauge/src/job_watch_loop.rs
+++ b/crates/tallygauge/src/job_watch_loop.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tallygauge_protocol::state::{KeyValue, WatchEvent, WatchResponse};
 use tallygauge_scheduler::ClusterState;
-use tallygauge_store::{RequestPriority, StoreError, WatchOutcome};
+use tallygauge_store::{Listing, RequestPriority, StoreError, WatchOutcome};
 
 /// Watches without events that are answered within the time after which an
 /// unconfirmed leader is fenced.
@@ -63,12 +63,12 @@
 /// Lists the active jobs when the store no longer has the events since the last
 /// watch. Returns the revision of the list.
 async fn relist(controller: &Controller) -> Result<u64, StoreError> {
-    let (rows, revision) = controller
+    let Listing { entries, revision } = controller
         .store
         .list(RequestPriority::Leadership, ACTIVE_JOB_PREFIX)
         .await?;
     let (now, time_of_day) = (controller.now(), controller.time_of_day());
-    controller.with_cluster(|cluster| replace_jobs(cluster, rows, now, time_of_day));
+    controller.with_cluster(|cluster| replace_jobs(cluster, entries, now, time_of_day));
     if let Some(leadership) = controller.leadership.lock().as_mut() {
         leadership.watched_revision = revision;
     }
--- a/crates/tallygauge/src/leader/election.rs
+++ b/crates/tallygauge/src/leader/election.rs
@@ -9,7 +9,7 @@
 };
 use serde::{Deserialize, Serialize};
 use tallygauge_protocol::state::{Condition, Transaction, Write};
-use tallygauge_store::{RequestPriority, TransactionOutcome, WatchOutcome};
+use tallygauge_store::{Listing, RequestPriority, TransactionOutcome, WatchOutcome};
 
 /// Timeout of a watch of the term, in lease times to live. A watch that is lost
 /// silently must not delay an election for long.
@@ -68,7 +68,7 @@
 /// When the store does not answer, or the term record is malformed. A malformed
 /// leader record is taken as no leader: a campaign fails while its key exists.
 pub(super) async fn read_term(controller: &Controller) -> Result<ObservedTerm, ReadError> {
-    let (rows, revision) = controller
+    let Listing { entries, revision } = controller
         .store
         .list(RequestPriority::Leadership, ELECTION_PREFIX)
         .await?;
@@ -78,7 +78,7 @@
         term_version: 0,
         revision,
     };
-    for row in rows {
+    for row in entries {
         if row.key == LEADER_KEY {
             observed.leader = serde_json::from_value(row.value).ok();
         } else if row.key == TERM_KEY {
@@ -119,10 +119,10 @@
     };
     let started_at = controller.now();
     let transaction = election_transaction(observed, &leader)?;
-    let patience = Some(controller.leader_lease_ttl() / CAMPAIGN_TIMEOUT_DIVISOR);
+    let timeout = Some(controller.leader_lease_ttl() / CAMPAIGN_TIMEOUT_DIVISOR);
     let result = controller
         .store
-        .commit_with_retries(RequestPriority::Leadership, &transaction, patience)
+        .commit_with_retries(RequestPriority::Leadership, &transaction, timeout)
         .await;
     let term_version = match result.outcome {
         Ok(TransactionOutcome::Committed(version)) => version,
--- a/crates/tallygauge/src/leader/recovery.rs
+++ b/crates/tallygauge/src/leader/recovery.rs
@@ -77,23 +77,23 @@
 async fn read_durable_state(controller: &Controller) -> Result<DurableState, ReadError> {
     let store = &controller.store;
     let priority = RequestPriority::Leadership;
-    let (active_jobs, revision) = store.list(priority, ACTIVE_JOB_PREFIX).await?;
+    let active_jobs = store.list(priority, ACTIVE_JOB_PREFIX).await?;
     let versions = active_jobs
+        .entries
         .iter()
         .map(|row| (row.key.as_str(), row.version));
     user_api::cache_active_jobs(controller, versions);
-    let (completion_pages, _) = store.list(priority, COMPLETION_PAGE_PREFIX).await?;
+    let completion_pages = store.list(priority, COMPLETION_PAGE_PREFIX).await?;
     let (placement_batches, records) = tokio::join!(
         store.list(priority, PLACEMENT_BATCH_PREFIX),
         leader_records::load(controller)
     );
-    let (placement_batches, _) = placement_batches?;
     Ok(DurableState {
-        active_jobs,
-        completion_pages,
-        placement_batches,
+        revision: active_jobs.revision,
+        active_jobs: active_jobs.entries,
+        completion_pages: completion_pages.entries,
+        placement_batches: placement_batches?.entries,
         records,
-        revision,
     })
 }
 
@@ -119,7 +119,7 @@
     for shard in records.decode_shards::<ImageLocations>() {
         cluster.restore_image_locations(&shard);
     }
-    if let Some(cutoffs) = &records.calendar {
+    if let Some(cutoffs) = &records.cutoffs {
         cutoffs.apply_to(cluster);
     }
     if let Some(deadline_tracker) = records.decode(None) {
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -13,7 +13,7 @@
 use tallygauge_protocol::state::{Condition, KeyValue, Transaction, Write};
 use tallygauge_records::{Record, WriteBatch, WriteBehind, decode, record_name};
 use tallygauge_scheduler::{PriorityRules, RulesChange};
-use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
+use tallygauge_store::{Listing, RequestPriority, StoreError, TransactionOutcome};
 
 /// Prefix of the keys of the leader's records.
 const KEY_PREFIX: &str = "s/";
@@ -45,7 +45,7 @@
 pub struct StoredRecords {
     entries: BTreeMap<String, StoredEntry>,
     /// The cutoffs in force.
-    pub calendar: Option<CutoffSettings>,
+    pub cutoffs: Option<CutoffSettings>,
 }
 
 impl StoredRecords {
@@ -77,7 +77,7 @@
 /// a controller from leading.
 pub async fn load(controller: &Controller) -> StoredRecords {
     let mut stored = StoredRecords::default();
-    if let Ok((entries, _)) = controller
+    if let Ok(Listing { entries, .. }) = controller
         .store
         .list(RequestPriority::Leadership, KEY_PREFIX)
         .await
@@ -94,17 +94,17 @@
             }
         }
     }
-    stored.calendar = stored.decode(None);
+    stored.cutoffs = stored.decode(None);
     stored
 }
 
 /// Writes the leader's records for as long as this controller leads: declared settings
 /// ahead, the others behind. What is not written for want of request budget is written
 /// later. Never returns.
-pub async fn run(controller: &Arc<Controller>, term_guard: &Condition, stored: StoredRecords) {
+pub async fn run(controller: &Arc<Controller>, term_condition: &Condition, stored: StoredRecords) {
     let pause = heartbeat_intervals(controller, STAGE_INTERVALS);
-    let mut writer = RecordWriter::new(controller, term_guard, &stored);
-    writer.stage_declared_settings(stored.calendar.as_ref());
+    let mut writer = RecordWriter::new(controller, term_condition, &stored);
+    writer.stage_declared_settings(stored.cutoffs.as_ref());
     writer.commit_write_ahead().await;
     writer.apply_declared_settings();
     loop {
@@ -118,7 +118,7 @@
 /// The records of one term, and the versions of their keys.
 struct RecordWriter<'a> {
     controller: &'a Arc<Controller>,
-    term_guard: &'a Condition,
+    term_condition: &'a Condition,
     records: WriteBehind,
     versions: BTreeMap<String, u64>,
     max_record_bytes: usize,
@@ -128,7 +128,7 @@
 impl<'a> RecordWriter<'a> {
     fn new(
         controller: &'a Arc<Controller>,
-        term_guard: &'a Condition,
+        term_condition: &'a Condition,
         stored: &StoredRecords,
     ) -> Self {
         let max_record_bytes = record_bytes(controller);
@@ -139,7 +139,7 @@
             .collect();
         Self {
             controller,
-            term_guard,
+            term_condition,
             records: WriteBehind::new(max_record_bytes),
             versions,
             max_record_bytes,
@@ -290,7 +290,7 @@
     /// The transaction of a batch, conditioned on the term and on each record being as
     /// it was last written: a late write must not replace a newer one.
     fn batch_transaction(&self, batch: &WriteBatch) -> Transaction {
-        let mut transaction = new_transaction(self.term_guard);
+        let mut transaction = new_transaction(self.term_condition);
         for entry in &batch.entries {
             let key = format!("{KEY_PREFIX}{}", entry.name);
             transaction.conditions.push(Condition {
@@ -312,7 +312,7 @@
             .store
             .list(RequestPriority::Maintenance, KEY_PREFIX)
             .await;
-        if let Ok((entries, _)) = listing {
+        if let Ok(Listing { entries, .. }) = listing {
             self.versions = entries
                 .into_iter()
                 .filter_map(|entry| {
--- a/crates/tallygauge/src/leader_transaction.rs
+++ b/crates/tallygauge/src/leader_transaction.rs
@@ -6,9 +6,9 @@
 use tallygauge_protocol::state::{Condition, Transaction, Write};
 
 /// A transaction without writes, conditioned on the term.
-pub(crate) fn new_transaction(term_guard: &Condition) -> Transaction {
+pub(crate) fn new_transaction(term_condition: &Condition) -> Transaction {
     Transaction {
-        conditions: vec![term_guard.clone()],
+        conditions: vec![term_condition.clone()],
         writes: Vec::new(),
     }
 }
--- a/crates/tallygauge/src/peers.rs
+++ b/crates/tallygauge/src/peers.rs
@@ -7,13 +7,13 @@
 pub use service::serve;
 
 use crate::{
-    controller::Controller, leader, leadership::LeaderView, settings::Settings,
-    task_counts::TaskCount, worker_api,
+    controller::Controller, leader, leadership::LeaderView, settings::Settings, worker_api,
 };
 use futures_util::future::join_all;
 use relay::GrpcRelay;
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 use tallygauge_protocol::peer::{Announcement, ProgressRequest, peer_client::PeerClient};
+use tallygauge_scheduler::TaskCount;
 use tonic::transport::{Channel, Endpoint};
 
 /// Longest time between two looks at what peers should be told or asked.
--- a/crates/tallygauge/src/peers/service.rs
+++ b/crates/tallygauge/src/peers/service.rs
@@ -10,6 +10,7 @@
     Announcement, JobProgress, ProgressReply, ProgressRequest, RelayReply, RelayRequest,
     peer_server::{Peer, PeerServer},
 };
+use tallygauge_scheduler::TaskCount;
 use tonic::{Request, Response, Status, transport::Server};
 use warp::http::Method;
 
@@ -24,7 +25,7 @@
         let relayed = request.into_inner();
         let method = Method::from_bytes(relayed.method.as_bytes())
             .map_err(|_| Status::invalid_argument("no such method"))?;
-        match user_api::local(&self.0, &method, &relayed.path, &relayed.body).await {
+        match user_api::handle_locally(&self.0, &method, &relayed.path, &relayed.body).await {
             None => Err(Status::invalid_argument("no request of users")),
             Some(Reply::RetryLater { reason, .. }) => Err(Status::unavailable(reason)),
             Some(reply) => Ok(Response::new(RelayReply {
@@ -57,7 +58,7 @@
         let jobs = self.0.with_cluster(|cluster| {
             ids.into_iter()
                 .filter_map(|id| {
-                    let (done, running) = cluster.task_counts(&id)?;
+                    let TaskCount { done, running } = cluster.task_count(&id)?;
                     Some(JobProgress { id, done, running })
                 })
                 .collect()
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -27,7 +27,7 @@
 /// capacity and quota, and nothing else: scheduling rounds go on over the rest.
 pub struct PlacementWriter<'a> {
     controller: &'a Arc<Controller>,
-    term_guard: &'a Condition,
+    term_condition: &'a Condition,
     /// Planned, and not sent yet because enough others are in flight.
     queued: VecDeque<PlacementBatch>,
     in_flight: FuturesUnordered<BoxFuture<'a, ()>>,
@@ -35,14 +35,14 @@
 }
 
 impl<'a> PlacementWriter<'a> {
-    /// A writer with nothing in flight, for the term of `term_guard`.
+    /// A writer with nothing in flight, for the term of `term_condition`.
     #[must_use]
-    pub fn new(controller: &'a Arc<Controller>, term_guard: &'a Condition) -> Self {
+    pub fn new(controller: &'a Arc<Controller>, term_condition: &'a Condition) -> Self {
         let writes_per_s = controller.settings.deployment.store.writes_per_s;
         let max_in_flight = (writes_per_s * IN_FLIGHT_WRITE_SHARE) as usize;
         Self {
             controller,
-            term_guard,
+            term_condition,
             queued: VecDeque::new(),
             in_flight: FuturesUnordered::new(),
             max_in_flight: max_in_flight.max(MIN_IN_FLIGHT),
@@ -65,7 +65,7 @@
         while self.in_flight.len() < self.max_in_flight
             && let Some(batch) = self.queued.pop_front()
         {
-            let commit = commit_batch(self.controller, self.term_guard, batch);
+            let commit = commit_batch(self.controller, self.term_condition, batch);
             self.in_flight.push(Box::pin(commit));
         }
     }
@@ -94,9 +94,9 @@
 /// The transaction that makes a batch durable. It is conditioned on the term, on the
 /// batch's name being new, and on the records of the jobs, so that nothing starts after
 /// a cancellation.
-fn batch_transaction(term_guard: &Condition, batch: &PlacementBatch) -> Transaction {
+fn batch_transaction(term_condition: &Condition, batch: &PlacementBatch) -> Transaction {
     let key = placement_batch_key(&batch.name);
-    let mut transaction = new_transaction(term_guard);
+    let mut transaction = new_transaction(term_condition);
     transaction.conditions.push(Condition {
         key: key.clone(),
         version: 0,
@@ -115,8 +115,12 @@
 /// Unanswered, the same transaction is sent until it is answered: it can be executed at
 /// most once, and a conflict is final, since neither a removed job nor a past term comes
 /// back.
-async fn commit_batch(controller: &Arc<Controller>, term_guard: &Condition, batch: PlacementBatch) {
-    let transaction = batch_transaction(term_guard, &batch);
+async fn commit_batch(
+    controller: &Arc<Controller>,
+    term_condition: &Condition,
+    batch: PlacementBatch,
+) {
+    let transaction = batch_transaction(term_condition, &batch);
     let result = controller
         .store
         .commit_with_retries(RequestPriority::Placement, &transaction, None)
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -32,7 +32,7 @@
 
 /// Makes completions of jobs durable for as long as this controller leads. A
 /// transaction in doubt keeps only its own jobs waiting. Never returns.
-pub async fn complete_jobs(controller: &Controller, term_guard: &Condition) {
+pub async fn complete_jobs(controller: &Controller, term_condition: &Condition) {
     let min_pause = heartbeat_intervals(controller, MIN_FLUSH_INTERVALS);
     let max_wait = heartbeat_intervals(controller, MAX_FLUSH_INTERVALS);
     let max_jobs = max_writes(controller) / WRITES_PER_COMPLETION;
@@ -66,14 +66,14 @@
                 break;
             }
             in_flight_jobs.extend(due.iter().map(|completion| completion.job.clone()));
-            in_flight.push(commit_completions(controller, term_guard, due));
+            in_flight.push(commit_completions(controller, term_condition, due));
         }
     }
 }
 
 /// Makes finished tasks of unfinished jobs durable for as long as this controller
 /// leads. One flush at a time: a page is conditioned on its version. Never returns.
-pub async fn flush_pages(controller: &Arc<Controller>, term_guard: &Condition) {
+pub async fn flush_pages(controller: &Arc<Controller>, term_condition: &Condition) {
     let pause = heartbeat_intervals(controller, MAX_FLUSH_INTERVALS);
     let max_writes = max_writes(controller);
     loop {
@@ -83,7 +83,7 @@
             .with_cluster(|cluster| cluster.next_flush(max_writes, VALUE_BYTES))
             .flatten();
         if let Some(flush) = flush {
-            commit_pages(controller, term_guard, &flush).await;
+            commit_pages(controller, term_condition, &flush).await;
         }
     }
 }
@@ -91,10 +91,10 @@
 /// Commits completions of jobs and returns them, whatever the outcome.
 async fn commit_completions(
     controller: &Controller,
-    term_guard: &Condition,
+    term_condition: &Condition,
     completions: Vec<Completion>,
 ) -> Vec<Completion> {
-    let transaction = completion_transaction(term_guard, &completions);
+    let transaction = completion_transaction(term_condition, &completions);
     let result = controller
         .store
         .commit_with_retries(RequestPriority::Users, &transaction, None)
@@ -114,8 +114,8 @@
 /// The transaction that replaces the active records of jobs by terminal ones. It is
 /// conditioned on the active records, as a cancellation is, so that only one of the two
 /// is committed; for the same reason it may be sent several times.
-fn completion_transaction(term_guard: &Condition, completions: &[Completion]) -> Transaction {
-    let mut transaction = new_transaction(term_guard);
+fn completion_transaction(term_condition: &Condition, completions: &[Completion]) -> Transaction {
+    let mut transaction = new_transaction(term_condition);
     for completion in completions {
         let record = TerminalJobRecord {
             status: JobStatus::Done,
@@ -183,11 +183,11 @@
 }
 
 /// Commits a flush of completion pages and records its outcome.
-async fn commit_pages(controller: &Controller, term_guard: &Condition, flush: &Flush) {
+async fn commit_pages(controller: &Controller, term_condition: &Condition, flush: &Flush) {
     if flush.pages.writes.is_empty() {
         return;
     }
-    let mut transaction = new_transaction(term_guard);
+    let mut transaction = new_transaction(term_condition);
     add_page_writes(&mut transaction, &flush.pages.writes);
     let result = controller
         .store
--- a/crates/tallygauge/src/reconciliation.rs
+++ b/crates/tallygauge/src/reconciliation.rs
@@ -65,14 +65,14 @@
     let Some(snapshot) = take_snapshot(controller) else {
         return RepairedJobs::default();
     };
-    let Ok((stored, _)) = controller
+    let Ok(stored) = controller
         .store
         .list(RequestPriority::Maintenance, ACTIVE_JOB_PREFIX)
         .await
     else {
         return RepairedJobs::default();
     };
-    let differences = compare_jobs(&snapshot.job_ids, stored, snapshot.watched_revision);
+    let differences = compare_jobs(&snapshot.job_ids, stored.entries, snapshot.watched_revision);
     let repaired = repair_in_term(controller, snapshot.term, differences);
     if repaired != RepairedJobs::default() {
         controller.wake_scheduler.notify_one();
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -6,7 +6,7 @@
 };
 use std::{sync::Arc, time::Duration};
 use tallygauge_protocol::{BODY_LIMIT, state::Condition};
-use tallygauge_scheduler::PlacementBatch;
+use tallygauge_scheduler::{PlacementBatch, RoundOutcome};
 
 /// Heartbeat intervals between two checks for what is overdue.
 const TICK_INTERVALS: f64 = 0.25;
@@ -39,7 +39,7 @@
 /// does. The gap grows with the duration of a round, so that rounds never starve
 /// heartbeats and users. Nothing here waits for the store: placements in flight are
 /// driven alongside.
-pub async fn run(controller: &Arc<Controller>, term_guard: &Condition) {
+pub async fn run(controller: &Arc<Controller>, term_condition: &Condition) {
     let heartbeat_interval_s = controller.settings.deployment.workers.heartbeat_interval_s;
     let min_gap_s = heartbeat_interval_s * controller.operator_settings.min_round_interval;
     let round_interval_s = controller
@@ -47,7 +47,7 @@
         .round_interval
         .min(heartbeat_interval_s);
     let mut ticked_at = f64::NEG_INFINITY;
-    let mut placements = PlacementWriter::new(controller, term_guard);
+    let mut placements = PlacementWriter::new(controller, term_condition);
     loop {
         let max_wait = time_to_next_wake(controller, round_interval_s);
         let event = async {
@@ -108,7 +108,7 @@
     }
     let max_jobs = max_jobs_per_batch(controller);
     let batches = controller.with_cluster(|cluster| {
-        let (placed, preempted) = cluster.run_round(now, true);
+        let RoundOutcome { placed, preempted } = cluster.run_round(now, true);
         if placed + preempted > 0 {
             tracing::debug!(placed, preempted, "scheduling round");
         }
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -41,7 +41,7 @@
 
 fn measure_process(controller: &Controller) -> ProcessMeasurements {
     let (now, memory_s) = (controller.now(), controller.caller_expiry_s());
-    let (writes_in_doubt, oldest_in_doubt) = controller.store.in_doubt_writes();
+    let in_doubt = controller.store.in_doubt_writes();
     let oldest_unanswered_s = controller
         .pending_callers
         .longest_wait_s(now, memory_s)
@@ -50,8 +50,8 @@
         longest_round_s: controller.load.take_longest_round_s(),
         scheduling_delay_s: controller.load.scheduling_delay_s(),
         requests_waiting: controller.store.budget().waiting(),
-        writes_in_doubt,
-        oldest_in_doubt,
+        writes_in_doubt: in_doubt.count,
+        oldest_in_doubt: in_doubt.oldest_age,
         oldest_unanswered_s,
         connections: controller.connection_limits.used(),
         connections_free: controller.connection_limits.free(),
@@ -59,20 +59,19 @@
 }
 
 fn log_totals(cluster: &ClusterState, process: &ProcessMeasurements, now: f64) {
-    let [cpus_starting, cpus_fetching, cpus_running, cpus_free] = cluster.cpu_usage();
-    let (start_claims, oldest_unstarted_s) = cluster.unstarted_summary(now);
+    let cpus = cluster.cpu_usage();
     tracing::info!(
         jobs = cluster.jobs.len(),
         tasks_running = running_tasks(cluster),
         tasks_pending = pending_tasks(cluster),
         machines = cluster.workers.len(),
         machines_up = cluster.workers.values().filter(|w| w.is_up()).count(),
-        cpus_starting,
-        cpus_fetching,
-        cpus_running,
-        cpus_free,
-        start_claims,
-        oldest_unstarted_s = oldest_unstarted_s as u64,
+        cpus_starting = cpus.starting,
+        cpus_fetching = cpus.fetching,
+        cpus_running = cpus.running,
+        cpus_free = cpus.free,
+        start_claims = cluster.start_claims(),
+        oldest_unstarted_s = cluster.oldest_unstarted_s(now) as u64,
         longest_round_ms = (process.longest_round_s * 1000.0) as u64,
         scheduling_delay_ms = (process.scheduling_delay_s * 1000.0) as u64,
         requests_waiting = process.requests_waiting,
@@ -103,7 +102,7 @@
 
 /// Logs why the job that has waited longest has not started.
 fn log_oldest_pending_job(cluster: &ClusterState, now: f64) {
-    let Some((job, is_large)) = cluster.oldest_unstarted_job() else {
+    let Some(job) = cluster.oldest_unstarted_job() else {
         return;
     };
     let Some(explanation) = cluster.explain_pending(&job.spec.id, now) else {
@@ -115,7 +114,7 @@
         team = job.spec.team,
         tasks = job.spec.tasks,
         cpus = job.spec.cpus,
-        large = is_large,
+        large = cluster.is_large(job),
         waited_s = (now - job.accepted_at) as u64,
         within_guarantee = explanation.within_guarantee,
         reasons = ?explanation.reasons,
--- a/crates/tallygauge/src/task_counts.rs
+++ b/crates/tallygauge/src/task_counts.rs
@@ -4,19 +4,11 @@
     collections::{BTreeSet, HashMap},
     sync::{Mutex, MutexGuard},
 };
+use tallygauge_scheduler::TaskCount;
 
 /// Seconds after which counts that were not read again are dropped.
 const EXPIRY_S: f64 = 60.0;
 
-/// Numbers of a job's tasks.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct TaskCount {
-    /// Tasks done.
-    pub done: u32,
-    /// Tasks running.
-    pub running: u32,
-}
-
 /// Task counts on a controller that is not the leader. Users' requests ask for
 /// counts and get the last ones read; the peer client reads from the leader those
 /// that were asked for.
--- a/crates/tallygauge/src/user_api/job_refresh.rs
+++ b/crates/tallygauge/src/user_api/job_refresh.rs
@@ -57,8 +57,11 @@
             .store
             .list(RequestPriority::Maintenance, ACTIVE_JOB_PREFIX)
             .await;
-        if let Ok((rows, _)) = listed {
-            let versions = rows.iter().map(|row| (row.key.as_str(), row.version));
+        if let Ok(listing) = listed {
+            let versions = listing
+                .entries
+                .iter()
+                .map(|entry| (entry.key.as_str(), entry.version));
             cache_active_jobs(&controller, versions);
             controller.job_refresh.record_refresh();
             tokio::time::sleep(pause).await;
--- a/crates/tallygauge/src/user_api/lookup.rs
+++ b/crates/tallygauge/src/user_api/lookup.rs
@@ -5,13 +5,13 @@
     controller::Controller,
     job_cache::CachedJob,
     store_keys::{active_job_key, terminal_job_key},
-    task_counts::TaskCount,
     version_checks::{Urgency, VersionCheckResult},
 };
 use tallygauge_protocol::{
     state::Condition,
     users::{JobResponse, JobStatus},
 };
+use tallygauge_scheduler::TaskCount;
 use tallygauge_store::RequestPriority;
 
 /// Version of a key that does not exist.
@@ -219,9 +219,8 @@
 /// A job's task counts in this controller's cluster state, if it is the leader.
 pub(super) fn own_task_count(controller: &Controller, id: &str) -> Option<TaskCount> {
     controller
-        .with_cluster(|cluster| cluster.task_counts(id))
+        .with_cluster(|cluster| cluster.task_count(id))
         .flatten()
-        .map(|(done, running)| TaskCount { done, running })
 }
 
 /// The condition that a key does not exist.
--- a/crates/tallygauge/src/user_api/mod.rs
+++ b/crates/tallygauge/src/user_api/mod.rs
@@ -48,7 +48,7 @@
     if relay_first && let Some(reply) = relay_to_peers(controller, method, path, body).await {
         return Some(reply);
     }
-    let reply = local(controller, method, path, body).await?;
+    let reply = handle_locally(controller, method, path, body).await?;
     let relay_instead = !relay_first
         && matches!(reply, Reply::RetryLater { .. })
         && controller.store.failing_since().is_some();
@@ -60,7 +60,7 @@
 
 /// Serves a user's request by this controller alone; `None` if there is no such
 /// request. Called for requests that other controllers relay, too.
-pub async fn local(
+pub async fn handle_locally(
     controller: &Controller,
     method: &Method,
     path: &str,
--- a/crates/tallygauge/tests/user_state.rs
+++ b/crates/tallygauge/tests/user_state.rs
@@ -3,10 +3,11 @@
 use tallygauge::{
     job_cache::{CachedJob, JobCache},
     pending_callers::PendingCallers,
-    task_counts::{TaskCount, TaskCounts},
+    task_counts::TaskCounts,
     user_api::TerminalJobRecord,
 };
 use tallygauge_protocol::users::JobStatus;
+use tallygauge_scheduler::TaskCount;
 
 const DONE: TerminalJobRecord = TerminalJobRecord {
     status: JobStatus::Done,
