--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -5,7 +5,7 @@
     controller::Controller,
     deadline_settings::CutoffSettings,
     leader_transaction::{max_writes, new_transaction},
-    pacing::{heartbeat_intervals, retry_pause},
+    pacing::heartbeat_intervals,
     scheduling_loop::record_bytes,
 };
 use serde_json::Value;
@@ -207,7 +207,7 @@
             self.commit(&batch).await;
             let is_durable = |name: &str| self.records.is_durable(name);
             if !batch.entries.iter().all(|entry| is_durable(&entry.name)) {
-                tokio::time::sleep(retry_pause(self.controller)).await;
+                tokio::time::sleep(self.controller.store_retry_pause()).await;
             }
         }
     }
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -4,7 +4,6 @@
     controller::Controller,
     direct_messages,
     leader_transaction::{new_transaction, set_record, step_down_if_deposed},
-    pacing::retry_pause,
     store_keys::{active_job_key, placement_batch_key},
 };
 use futures_util::{
@@ -190,7 +189,7 @@
 /// Whether a batch is in the store, asked until the store answers.
 async fn is_stored(controller: &Controller, batch: &PlacementBatch) -> bool {
     let key = placement_batch_key(&batch.name);
-    let pause = retry_pause(controller);
+    let pause = controller.store_retry_pause();
     loop {
         if let Ok(stored) = controller.store.get(RequestPriority::Placement, &key).await {
             return stored.is_some();
