--- a/crates/tallygauge/src/job_watch.rs
+++ b/crates/tallygauge/src/job_watch.rs
@@ -1,17 +1,9 @@
 //! Applies records of active jobs, and their changes, to the cluster state.
 
-use crate::user_api::ActiveJobRecord;
+use crate::{store_keys::active_job_id, user_api::ActiveJobRecord};
 use tallygauge_protocol::state::WatchEvent;
 use tallygauge_scheduler::{ClusterState, RangeSet};
 
-/// Prefix of the keys of active jobs' records.
-pub(crate) const ACTIVE_JOB_PREFIX: &str = "o/";
-
-/// The id of the active job whose record has this key.
-pub(crate) fn active_job_id(key: &str) -> Option<&str> {
-    key.strip_prefix(ACTIVE_JOB_PREFIX)
-}
-
 /// Adds an active job to the cluster state. `now` and `time_of_day` are the same
 /// instant on the controller's clock and since the epoch, in seconds; `finished` are the
 /// tasks known to be done.
--- a/crates/tallygauge/src/reconciliation.rs
+++ b/crates/tallygauge/src/reconciliation.rs
@@ -3,8 +3,9 @@
 
 use crate::{
     controller::Controller,
-    job_watch::{self, ACTIVE_JOB_PREFIX, active_job_id},
+    job_watch,
     pacing::heartbeat_intervals,
+    store_keys::{ACTIVE_JOB_PREFIX, active_job_id},
 };
 use std::collections::BTreeSet;
 use tallygauge_protocol::state::{KeyValue, WatchEvent};
--- a/crates/tallygauge/src/store_keys.rs
+++ b/crates/tallygauge/src/store_keys.rs
@@ -22,6 +22,12 @@
     format!("{ACTIVE_JOB_PREFIX}{id}")
 }
 
+/// The id of the active job whose record has this key; `None` for other keys.
+#[must_use]
+pub fn active_job_id(key: &str) -> Option<&str> {
+    key.strip_prefix(ACTIVE_JOB_PREFIX)
+}
+
 /// Key of a job in a terminal state.
 #[must_use]
 pub fn terminal_job_key(id: &str) -> String {
--- a/crates/tallygauge/src/user_api/job_refresh.rs
+++ b/crates/tallygauge/src/user_api/job_refresh.rs
@@ -1,6 +1,9 @@
 //! Filling the job cache with all active jobs at once.
 
-use crate::controller::Controller;
+use crate::{
+    controller::Controller,
+    store_keys::{ACTIVE_JOB_PREFIX, active_job_id},
+};
 use std::{
     sync::{Arc, Mutex},
     time::Duration,
@@ -8,9 +11,6 @@
 use tallygauge_store::RequestPriority;
 use tokio::sync::Notify;
 
-/// Prefix of the keys of active jobs' records.
-const ACTIVE_JOB_PREFIX: &str = "o/";
-
 /// Requests about jobs that are not cached, from which on all active jobs are read.
 const UNKNOWN_JOBS_BEFORE_REFRESH: usize = 8;
 
@@ -82,7 +82,7 @@
     controller
         .job_cache
         .insert_missing_active(versions.filter_map(|(key, version)| {
-            let id = key.strip_prefix(ACTIVE_JOB_PREFIX)?;
+            let id = active_job_id(key)?;
             Some((id, version))
         }));
 }
