--- a/crates/tallygauge-deadlines/src/lib.rs
+++ b/crates/tallygauge-deadlines/src/lib.rs
@@ -7,10 +7,10 @@
 //! what is done of each and how the last ones ended; [`verdicts`] says what can
 //! still be met. `docs/calendar.md` says why it is so.
 
-mod book;
-mod plan;
+mod deadline_tracker;
+mod forecast;
 mod rule;
 
-pub use book::{Book, Event, Line};
-pub use plan::{Load, Verdict, verdicts};
+pub use deadline_tracker::{Book, Event, Line};
+pub use forecast::{Load, Verdict, verdicts};
 pub use rule::{Days, Due, Rule, drawn};
--- a/crates/tallygauge-fairness/src/lib.rs
+++ b/crates/tallygauge-fairness/src/lib.rs
@@ -5,12 +5,12 @@
 //! that should come first where a class or a team has fallen behind. Below
 //! overload it names none. `docs/floor.md` says why it is so.
 
-mod book;
-mod elect;
-mod ring;
-mod sizes;
+mod selection;
+mod service_counts;
+mod size_histogram;
+mod sliding_window;
 
-pub use book::{Book, End, Key, Kind, Places, Record, Tally};
-pub use elect::{Candidate, Demand, Election, Level, Seat, elect};
-pub use ring::{BUCKETS, Ring};
-pub use sizes::{LARGEST, Limits, Size, Sizes};
+pub use selection::{Candidate, Demand, Election, Level, Seat, elect};
+pub use service_counts::{Book, End, Key, Kind, Places, Record, Tally};
+pub use size_histogram::{LARGEST, Limits, Size, Sizes};
+pub use sliding_window::{BUCKETS, Ring};
--- a/crates/tallygauge-fairness/src/elect.rs
+++ b/crates/tallygauge-fairness/src/selection.rs
@@ -1,6 +1,6 @@
 //! Who has fallen behind, and whose jobs come first for it.
 
-use crate::book::{Book, Places};
+use crate::service_counts::{Book, Places};
 
 /// An open job, as far as the floor looks at it.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/tallygauge-fairness/src/book.rs
+++ b/crates/tallygauge-fairness/src/service_counts.rs
@@ -1,8 +1,8 @@
 //! What is over, by class of jobs and by team.
 
 use crate::{
-    ring::{BUCKETS, Ring},
-    sizes::{LARGEST, Limits, Size, Sizes},
+    size_histogram::{LARGEST, Limits, Size, Sizes},
+    sliding_window::{BUCKETS, Ring},
 };
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, sync::Arc};
--- a/crates/tallygauge-health/src/lib.rs
+++ b/crates/tallygauge-health/src/lib.rs
@@ -7,10 +7,10 @@
 //! bring them back. None of it frees a room or a task by itself: that rests on
 //! the proofs of `docs/design.md`, "Holding".
 
-mod departed;
-mod hearing;
-mod order;
+mod message_order;
+mod reachability;
+mod tombstones;
 
-pub use departed::Departed;
-pub use hearing::{Hearing, Limits, Sign};
-pub use order::{Mark, Order, Place};
+pub use message_order::{Mark, Order, Place};
+pub use reachability::{Hearing, Limits, Sign};
+pub use tombstones::Departed;
--- a/crates/tallygauge-locality/src/lib.rs
+++ b/crates/tallygauge-locality/src/lib.rs
@@ -7,8 +7,8 @@
 //! [`Spread`] weighs seconds of fetch against replicas that one failure would
 //! take. `docs/weights.md` says why it is so.
 
-mod atlas;
-mod spread;
+mod image_index;
+mod replica_spread;
 
-pub use atlas::{Atlas, Holding, Part};
-pub use spread::{Apart, Spread};
+pub use image_index::{Atlas, Holding, Part};
+pub use replica_spread::{Apart, Spread};
--- a/crates/tallygauge-priority/src/lib.rs
+++ b/crates/tallygauge-priority/src/lib.rs
@@ -8,8 +8,8 @@
 //! declarations the later version wins; an older file never sets it back, and
 //! one that lacks a class takes nothing away. `docs/ledger.md` says why.
 
-mod ledger;
+mod priority_rules;
 mod rank;
 
-pub use ledger::{Change, Epoch, Ledger};
+pub use priority_rules::{Change, Epoch, Ledger};
 pub use rank::{Declared, HIGHEST, Rank, Rule};
--- a/crates/tallygauge-records/src/lib.rs
+++ b/crates/tallygauge-records/src/lib.rs
@@ -10,7 +10,7 @@
 //! `docs/trade.md` says what is kept where.
 
 mod record;
-mod shelf;
+mod write_behind;
 
 pub use record::{Found, Record, Timing, name_of, read, value_of};
-pub use shelf::{Item, Parcel, Shelf, Shown};
+pub use write_behind::{Item, Parcel, Shelf, Shown};
--- a/crates/tallygauge-scheduler/src/ledgers.rs
+++ b/crates/tallygauge-scheduler/src/attempt_accounting.rs
@@ -1,7 +1,7 @@
 //! What is held where: attempts on workers, rooms, team ledgers, and the tasks
 //! that wait again.
 
-use crate::{cluster::Cluster, model::*};
+use crate::{cluster_state::Cluster, model::*};
 use std::collections::BTreeMap;
 use tallygauge_protocol::users::START_COUNTS_S;
 
--- a/crates/tallygauge-scheduler/src/trade.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines.rs
@@ -4,7 +4,7 @@
 //! Users' urgency and teams' guarantees alone decide what may be stopped; this
 //! decides the order among what waits.
 
-use crate::{cluster::Cluster, model::*};
+use crate::{cluster_state::Cluster, model::*};
 use std::collections::BTreeMap;
 use tallygauge_deadlines::{Book, Due, Event, Load, Rule, Verdict, drawn, verdicts};
 use tallygauge_priority::{HIGHEST, Ledger};
--- a/crates/tallygauge-scheduler/src/cluster.rs
+++ b/crates/tallygauge-scheduler/src/cluster_state.rs
@@ -1,10 +1,10 @@
 //! The leader's picture of jobs, workers and teams.
 
 use crate::{
+    completion_pages::Pages,
     model::*,
-    pages::Pages,
     parts::{Begins, Floor, Rises, Sweep, Trade},
-    ranges::RangeSet,
+    range_set::RangeSet,
 };
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
--- a/crates/tallygauge-scheduler/src/commands.rs
+++ b/crates/tallygauge-scheduler/src/commands.rs
@@ -1,6 +1,6 @@
 //! Commands: what a worker should do now, in answers and direct messages.
 
-use crate::{cluster::Cluster, model::*};
+use crate::{cluster_state::Cluster, model::*};
 use tallygauge_health::{Mark, Sign};
 use tallygauge_protocol::workers::{Command, TaskState};
 
--- a/crates/tallygauge-scheduler/src/pages.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages.rs
@@ -1,7 +1,7 @@
 //! How finished tasks are kept: many jobs' ranges share a few records, so that
 //! the progress of a hundred jobs costs a handful of writes.
 
-use crate::ranges::RangeSet;
+use crate::range_set::RangeSet;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A part of a job's finished tasks: job, and number of the chunk.
--- a/crates/tallygauge-scheduler/src/reports.rs
+++ b/crates/tallygauge-scheduler/src/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Reports: what a worker says of its tasks, and what follows from it.
 
-use crate::{cluster::Cluster, commands::DirectMessage, model::*};
+use crate::{cluster_state::Cluster, commands::DirectMessage, model::*};
 use std::collections::HashMap;
 use tallygauge_health::{Mark, Place, Sign};
 use tallygauge_protocol::{
--- a/crates/tallygauge-scheduler/src/weights.rs
+++ b/crates/tallygauge-scheduler/src/image_locality.rs
@@ -1,7 +1,7 @@
 //! Where images lie, left to the next leader and taken up from the one before,
 //! and where replicas of a service go.
 
-use crate::{cluster::Cluster, model::*};
+use crate::{cluster_state::Cluster, model::*};
 use tallygauge_locality::{Apart, Atlas, Holding, Part};
 use tallygauge_protocol::users::Shape;
 
--- a/crates/tallygauge-scheduler/src/lib.rs
+++ b/crates/tallygauge-scheduler/src/lib.rs
@@ -4,39 +4,41 @@
 //! time is an argument, and what should happen comes out as values: placements
 //! to make durable, commands, machines to rent or return.
 
-mod begins;
-mod cluster;
+mod attempt_accounting;
+mod batch_deadlines;
+mod cluster_state;
 mod commands;
-mod demand;
-mod floor;
-mod ledgers;
+mod completion_pages;
+mod heartbeats;
+mod image_locality;
 mod machines;
 mod mapping;
+mod minimum_share;
 mod model;
-mod pages;
 mod parts;
+mod pending_reasons;
 mod placements;
 mod progress;
-mod ranges;
-mod reports;
-mod surplus;
-mod sweep;
+mod range_set;
+mod reconciliation;
+mod scale_in;
+mod scale_out;
+mod start_deadline;
 #[cfg(test)]
 mod tests;
-mod trade;
-mod weights;
-mod why;
 
-pub use cluster::Cluster;
+pub use batch_deadlines::Cutoff;
+pub use cluster_state::Cluster;
 pub use commands::DirectMessage;
-pub use demand::{Rental, SpotKind};
-pub use floor::Standing;
+pub use completion_pages::{PageFlush, PageRecord, PageWrite, Pages, Part};
+pub use heartbeats::{Source, Verdict};
+pub use minimum_share::Standing;
 pub use model::*;
-pub use pages::{PageFlush, PageRecord, PageWrite, Pages, Part};
+pub use pending_reasons::{Reason, Why};
 pub use placements::Batch;
 pub use progress::{Completion, Flush};
-pub use ranges::RangeSet;
-pub use reports::{Source, Verdict};
+pub use range_set::RangeSet;
+pub use scale_out::{Rental, SpotKind};
 pub use tallygauge_deadlines::{Book as CalendarBook, Days, Rule as CutoffRule};
 pub use tallygauge_fairness::{Kind, Record as FloorRecord};
 pub use tallygauge_health::{Hearing, Mark};
@@ -44,5 +46,3 @@
 pub use tallygauge_priority::{
     Change as LedgerChange, Declared, HIGHEST, Ledger, Rule as RankRule,
 };
-pub use trade::Cutoff;
-pub use why::{Reason, Why};
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -1,7 +1,7 @@
 //! Machines: which there are, how long their sessions last, and what must leave
 //! them.
 
-use crate::{cluster::Cluster, model::*};
+use crate::{cluster_state::Cluster, model::*};
 use std::collections::{BTreeSet, HashMap};
 use tallygauge_health::{Hearing, Order};
 use tallygauge_protocol::{
--- a/crates/tallygauge-scheduler/src/mapping/rooms.rs
+++ b/crates/tallygauge-scheduler/src/mapping/candidates.rs
@@ -6,13 +6,13 @@
 
 use super::{
     Group,
-    rank::Entry,
+    ordering::Entry,
     round::{Round, Waiting},
 };
 use crate::{
+    image_locality::{apart_in, is_replicated},
     model::*,
     parts::Aside,
-    weights::{apart_in, is_replicated},
 };
 use std::collections::BinaryHeap;
 
--- a/crates/tallygauge-scheduler/src/mapping/mod.rs
+++ b/crates/tallygauge-scheduler/src/mapping/mod.rs
@@ -4,12 +4,12 @@
 //! A round is worked out on the picture as it stands, with what it changes kept
 //! beside it, and taken up at its end.
 
-mod rank;
-mod rooms;
+mod candidates;
+mod ordering;
+mod preemption;
 mod round;
-mod victims;
 
-use crate::{cluster::Cluster, model::*};
+use crate::{cluster_state::Cluster, model::*};
 use round::Round;
 use std::collections::HashSet;
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
--- a/crates/tallygauge-scheduler/src/mapping/victims.rs
+++ b/crates/tallygauge-scheduler/src/mapping/preemption.rs
@@ -1,7 +1,7 @@
 //! Room that is made: which running tasks are stopped for one that waits.
 
 use super::{
-    rank::Entry,
+    ordering::Entry,
     round::{Round, Waiting},
 };
 use crate::model::*;
--- a/crates/tallygauge-scheduler/src/mapping/round.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round.rs
@@ -2,15 +2,15 @@
 
 use super::{
     Group,
-    rank::Rank,
-    rooms::{Finder, Full},
-    victims::Victim,
+    candidates::{Finder, Full},
+    ordering::Rank,
+    preemption::Victim,
 };
 use crate::{
-    cluster::{Cluster, Ledger},
+    cluster_state::{Cluster, Ledger},
+    image_locality::is_replicated,
     model::*,
     parts::{Aside, Seat},
-    weights::is_replicated,
 };
 use std::{
     borrow::Cow,
--- a/crates/tallygauge-scheduler/src/floor.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share.rs
@@ -3,7 +3,7 @@
 //! that their tasks find a room of the right size.
 
 use crate::{
-    cluster::Cluster,
+    cluster_state::Cluster,
     model::*,
     parts::{Aside, Seat},
 };
--- a/crates/tallygauge-scheduler/src/model/job.rs
+++ b/crates/tallygauge-scheduler/src/model/job.rs
@@ -1,6 +1,6 @@
 //! An open job and what is known of its tasks.
 
-use crate::ranges::RangeSet;
+use crate::range_set::RangeSet;
 use std::{
     collections::{BTreeMap, BTreeSet},
     sync::Arc,
--- a/crates/tallygauge-scheduler/src/why.rs
+++ b/crates/tallygauge-scheduler/src/pending_reasons.rs
@@ -1,6 +1,6 @@
 //! Why tasks of a job wait, and where the others stand, for people who ask.
 
-use crate::{cluster::Cluster, mapping::Group, model::*};
+use crate::{cluster_state::Cluster, mapping::Group, model::*};
 use std::collections::{BTreeSet, HashSet};
 use tallygauge_protocol::workers::TaskState;
 
--- a/crates/tallygauge-scheduler/src/placements.rs
+++ b/crates/tallygauge-scheduler/src/placements.rs
@@ -1,7 +1,7 @@
 //! Durable placements. Those of a round go into few records, each written once
 //! and removed when its attempts are over: a hundred starts cost one write.
 
-use crate::{cluster::Cluster, model::*};
+use crate::{cluster_state::Cluster, model::*};
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
     sync::Arc,
--- a/crates/tallygauge-scheduler/src/progress.rs
+++ b/crates/tallygauge-scheduler/src/progress.rs
@@ -1,9 +1,9 @@
 //! Progress of jobs that is to be made durable.
 
 use crate::{
-    cluster::Cluster,
-    pages::{PageFlush, Part},
-    ranges::RangeSet,
+    cluster_state::Cluster,
+    completion_pages::{PageFlush, Part},
+    range_set::RangeSet,
 };
 use std::collections::BTreeSet;
 
--- a/crates/tallygauge-scheduler/src/sweep.rs
+++ b/crates/tallygauge-scheduler/src/reconciliation.rs
@@ -2,7 +2,7 @@
 //! the end every open job, task and machine is looked at. What differs is said
 //! and mended; nothing here is needed as long as all else is right.
 
-use crate::{cluster::Cluster, model::*, ranges::RangeSet};
+use crate::{cluster_state::Cluster, model::*, range_set::RangeSet};
 use std::{
     collections::{BTreeMap, BTreeSet},
     ops::Bound,
--- a/crates/tallygauge-scheduler/src/surplus.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -5,7 +5,7 @@
 //! Surplus ones, dear and little used first, are the last choice for new tasks,
 //! and go as soon as they are empty.
 
-use crate::{cluster::Cluster, model::*, parts::Rises};
+use crate::{cluster_state::Cluster, model::*, parts::Rises};
 
 /// A machine that is returned earlier is charged for this long all the same.
 const LEAST_CHARGE_S: f64 = 60.0;
--- a/crates/tallygauge-scheduler/src/demand.rs
+++ b/crates/tallygauge-scheduler/src/scale_out.rs
@@ -1,6 +1,6 @@
 //! How many machines are wanted, and which are not.
 
-use crate::{cluster::Cluster, mapping::Group, model::*};
+use crate::{cluster_state::Cluster, mapping::Group, model::*};
 use std::collections::BTreeMap;
 use tallygauge_protocol::{
     cloud::{MAX_RENT, MachineType},
--- a/crates/tallygauge-scheduler/src/begins.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline.rs
@@ -10,7 +10,7 @@
 //! the floor binds: a task of each of many would keep all from being done. Until
 //! they have run for long enough to count, they are stopped for nobody.
 
-use crate::{cluster::Cluster, model::*, parts::Turn};
+use crate::{cluster_state::Cluster, model::*, parts::Turn};
 use std::collections::BTreeMap;
 use tallygauge_protocol::{users::START_COUNTS_S, workers::TaskState};
 
--- a/crates/tallygauge-sim/src/drawn_days.rs
+++ b/crates/tallygauge-sim/src/drawn_days.rs
@@ -12,7 +12,7 @@
     },
     time::Duration,
 };
-use tallygauge::{node::Node, users::Reply};
+use tallygauge::{controller::Node, user_api::Reply};
 use tallygauge_protocol::users::{JobStatus, POLL_WAIT_S};
 use tokio::task::JoinHandle;
 
--- a/crates/tallygauge-sim/src/troubles.rs
+++ b/crates/tallygauge-sim/src/faults.rs
@@ -7,7 +7,7 @@
     sync::Arc,
     task::{Poll, Waker},
 };
-use tallygauge::node::Node;
+use tallygauge::controller::Node;
 use tallygauge_protocol::workers::Command;
 
 /// A step of a node at which something befalls it: a request of its own.
--- a/crates/tallygauge-sim/src/history.rs
+++ b/crates/tallygauge-sim/src/history.rs
@@ -6,7 +6,7 @@
 //! requests overlap may come in either order.
 
 use std::collections::BTreeMap;
-use tallygauge::users::Reply;
+use tallygauge::user_api::Reply;
 use tallygauge_protocol::users::{JobAnswer, JobStatus};
 
 /// A job's state as an answer shows it, in the order in which it is passed through.
--- a/crates/tallygauge-sim/src/lib.rs
+++ b/crates/tallygauge-sim/src/lib.rs
@@ -14,14 +14,14 @@
 mod cloud;
 pub mod drawn_days;
 mod exchanges;
+mod faults;
 mod history;
 mod machines;
-mod state;
-mod troubles;
+mod store;
 mod users;
 
+pub use faults::StepAt;
 pub use history::History;
-pub use troubles::StepAt;
 pub use users::{JobShape, To, accepted, ask, cancel, done, leads, led, started, status_of, until};
 
 use clock::SimulatedClock;
@@ -29,7 +29,6 @@
 use machines::SimWorker;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
-use state::Store;
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
     pin::Pin,
@@ -37,7 +36,8 @@
     task::Waker,
     time::Duration,
 };
-use tallygauge::{node::Node, settings::Settings, tuning::Tuning};
+use store::Store;
+use tallygauge::{controller::Node, operator_settings::Tuning, settings::Settings};
 use tallygauge_store::http::{Answer, Http, Transport};
 use tokio::{sync::Notify, task::JoinHandle, time::Instant};
 use tracing_subscriber::fmt::{format::Writer, time::FormatTime};
--- a/crates/tallygauge-sim/src/machines.rs
+++ b/crates/tallygauge-sim/src/machines.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::{collections::HashMap, sync::Arc, time::Duration};
-use tallygauge::{node::Node, workers::CheckIn};
+use tallygauge::{controller::Node, worker_api::CheckIn};
 use tallygauge_protocol::workers::{Command, DirectCommands, ReportAnswer};
 use tallygauge_store::http::{Answer, NoAnswer};
 use warp::http::StatusCode;
--- a/crates/tallygauge-sim/src/users.rs
+++ b/crates/tallygauge-sim/src/users.rs
@@ -4,8 +4,8 @@
 use serde_json::json;
 use std::{sync::Arc, time::Duration};
 use tallygauge::{
-    node::Node,
-    users::{self, Passing, Relay, Reply},
+    controller::Node,
+    user_api::{self, Passing, Relay, Reply},
 };
 use tallygauge_protocol::users::JobStatus;
 use tokio::{task::JoinHandle, time::Instant};
@@ -93,13 +93,13 @@
 
 /// Asks a node about a job.
 pub async fn ask(node: &Node, id: &str) -> Option<JobStatus> {
-    status_of(&users::status(node, id).await)
+    status_of(&user_api::status(node, id).await)
 }
 
 /// Submits a job until it is accepted.
 pub async fn accepted(node: &Arc<Node>, body: &[u8]) {
     let kept = until(30.0, async || {
-        matches!(users::submit(node, body).await.status(), 200 | 201)
+        matches!(user_api::submit(node, body).await.status(), 200 | 201)
     })
     .await;
     assert!(kept, "not accepted");
@@ -108,7 +108,7 @@
 /// Cancels a job through a node, whose user must be told so within so many seconds.
 pub async fn cancel(world: &World, node: &Arc<Node>, id: &str, within_s: f64) {
     let told = until(within_s, async || {
-        status_of(&users::cancel(node, id).await) == Some(JobStatus::Cancelled)
+        status_of(&user_api::cancel(node, id).await) == Some(JobStatus::Cancelled)
     });
     assert!(told.await, "{id} can't be cancelled");
     world.told_cancelled(id);
@@ -149,7 +149,7 @@
 impl Relay for To {
     fn pass<'a>(&'a self, method: &'a Method, path: &'a str, body: &'a [u8]) -> Passing<'a> {
         Box::pin(async move {
-            match users::local(&self.0, method, path, body).await? {
+            match user_api::local(&self.0, method, path, body).await? {
                 Reply::Later(..) => None,
                 reply => Some((reply.status(), reply.body())),
             }
--- a/crates/tallygauge-sim/tests/trade.rs
+++ b/crates/tallygauge-sim/tests/trade.rs
@@ -1,7 +1,7 @@
 //! Calendar, ranks and weights through controllers that fail.
 
 use std::{sync::Arc, time::Duration};
-use tallygauge::{node::Node, tuning::Tuning};
+use tallygauge::{controller::Node, operator_settings::Tuning};
 use tallygauge_protocol::{
     state::{Transaction, Write},
     users::JobStatus,
--- a/crates/tallygauge-store/src/http.rs
+++ b/crates/tallygauge-store/src/http.rs
@@ -1,6 +1,6 @@
 //! A small JSON-over-HTTP client with bounded time and size.
 
-use crate::open::{OneOpen, Open};
+use crate::connection_count::{OneOpen, Open};
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use http_body_util::{BodyExt, Full, Limited};
--- a/crates/tallygauge-store/src/lib.rs
+++ b/crates/tallygauge-store/src/lib.rs
@@ -6,16 +6,16 @@
 //! transaction fails.
 
 mod budget;
-mod causes;
+mod commit;
+mod connection_count;
 pub mod http;
-mod open;
+mod log_once;
 pub mod round_trip;
-mod settle;
 
 pub use budget::{Budget, Class};
-pub use causes::first_time;
-pub use open::{OneOpen, Open};
-pub use settle::Settled;
+pub use commit::Settled;
+pub use connection_count::{OneOpen, Open};
+pub use log_once::first_time;
 
 use http::{Answer, Http, NoAnswer};
 use hyper::{Method, StatusCode};
@@ -87,7 +87,7 @@
     budget: Arc<Budget>,
     timeout: Duration,
     service: Arc<Mutex<Service>>,
-    retries: Arc<settle::Retries>,
+    retries: Arc<commit::Retries>,
 }
 
 impl Client {
@@ -108,7 +108,7 @@
             budget,
             timeout,
             service: Arc::default(),
-            retries: Arc::new(settle::Retries::new(floor, timeout)),
+            retries: Arc::new(commit::Retries::new(floor, timeout)),
         }
     }
 
--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -1,7 +1,7 @@
 //! Removal of records that nobody needs any more.
 
 use crate::{
-    node::{Node, batch_key},
+    controller::{Node, batch_key},
     progress::page_writes,
 };
 use std::{sync::Arc, time::Duration};
--- a/crates/tallygauge/src/cloud.rs
+++ b/crates/tallygauge/src/cloud.rs
@@ -1,6 +1,6 @@
 //! Dealings with the cloud: catalogue, machine list, rentals and returns.
 
-use crate::node::Node;
+use crate::controller::Node;
 use serde::{Serialize, de::DeserializeOwned};
 use std::{
     collections::BTreeMap,
--- a/crates/tallygauge/src/node.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -1,7 +1,8 @@
 //! What the parts of a controller share.
 
 use crate::{
-    relay::Relay, settings::Settings, sockets::Sockets, tuning::Tuning, wall_clock::WallClock,
+    connection_limits::Sockets, operator_settings::Tuning, relay::Relay, settings::Settings,
+    wall_clock::WallClock,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::{
--- a/crates/tallygauge/src/trade.rs
+++ b/crates/tallygauge/src/deadline_settings.rs
@@ -200,7 +200,7 @@
 
 #[cfg(test)]
 mod tests {
-    use crate::tuning::Tuning;
+    use crate::operator_settings::Tuning;
 
     const SCHOOL: &str = r#"<tallygauge>
       <calendar version="4">
--- a/crates/tallygauge/src/follow.rs
+++ b/crates/tallygauge/src/job_watch.rs
@@ -1,6 +1,6 @@
 //! What becomes of open jobs' records, taken up into the picture.
 
-use crate::users::OpenRecord;
+use crate::user_api::OpenRecord;
 use tallygauge_protocol::state::Change;
 use tallygauge_scheduler::{Cluster, RangeSet};
 
--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -1,11 +1,11 @@
 //! Leadership: winning a term, keeping it, and loading the picture.
 
 use crate::{
-    cleanup, cloud, control, follow, kept,
-    node::{LEADER_KEY, Lead, Node, TERM_KEY},
-    progress, summary, sweep,
-    users::{self, OpenRecord},
-    workers,
+    cleanup, cloud,
+    controller::{LEADER_KEY, Lead, Node, TERM_KEY},
+    job_watch, leader_records, progress, reconciliation, scheduling_loop, summary,
+    user_api::{self, OpenRecord},
+    worker_api,
 };
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::{collections::HashMap, sync::Arc, time::Duration};
@@ -260,17 +260,17 @@
             }
         }
     };
-    workers::dispatch(node);
+    worker_api::dispatch(node);
     node.wake.notify_one();
     tokio::join!(
         watch_jobs(node, revision),
-        control::run(node, &guard),
+        scheduling_loop::run(node, &guard),
         progress::complete_jobs(node, &guard),
         progress::flush_pages(node, &guard),
         cleanup::run(node, &guard),
         summary::run(node),
-        kept::run(node, &guard, kept),
-        sweep::run(node),
+        leader_records::run(node, &guard, kept),
+        reconciliation::run(node),
         cloud::run(node, term),
     );
 }
@@ -285,17 +285,17 @@
 
 /// Reads jobs, finished tasks and placements into a picture. Returns the
 /// revision from which jobs must be watched, and the kept records as found.
-async fn load(node: &Node, term: u64) -> Result<(u64, kept::Kept), Error> {
+async fn load(node: &Node, term: u64) -> Result<(u64, leader_records::Kept), Error> {
     let class = Class::Leadership;
     let (open, revision) = node.state.list(class, "o/").await?;
-    users::learn_open(node, open.iter().map(|r| (r.key.as_str(), r.version)));
+    user_api::learn_open(node, open.iter().map(|r| (r.key.as_str(), r.version)));
     let (pages, _) = node.state.list(class, "f/").await?;
     let batches = node.state.list(class, "p/");
-    let (batches, kept) = tokio::join!(batches, kept::load(node));
+    let (batches, kept) = tokio::join!(batches, leader_records::load(node));
     let (batches, _) = batches?;
     let now = node.now();
     let time_of_day = node.time_of_day();
-    let page_bytes = control::record_bytes(node);
+    let page_bytes = scheduling_loop::record_bytes(node);
     let mut cluster = Cluster::new(node.sched_config(term), now, node.chunk(), page_bytes);
     if let Some(types) = node.lock(&node.catalogue).clone() {
         cluster.set_types(&types);
@@ -330,7 +330,7 @@
         let record: OpenRecord = read(&row.key, row.value)?;
         let none = RangeSet::default();
         let finished = done.get(&record.spec.id).unwrap_or(&none);
-        follow::add(
+        job_watch::add(
             &mut cluster,
             record,
             row.version,
@@ -376,7 +376,7 @@
                     lead.followed = revision;
                     if let Some(cluster) = lead.cluster.as_mut() {
                         for change in changes.news {
-                            follow::apply(cluster, change, now, time_of_day);
+                            job_watch::apply(cluster, change, now, time_of_day);
                         }
                     }
                 }
@@ -404,7 +404,7 @@
                                 value: row.value,
                                 version: row.version,
                             };
-                            follow::apply(cluster, change, now, time_of_day);
+                            job_watch::apply(cluster, change, now, time_of_day);
                         }
                     });
                     revision = at;
--- a/crates/tallygauge/src/kept.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -1,7 +1,7 @@
 //! Records that a leader keeps beside the jobs, at the state service: read once
 //! when a term begins, written now and then, many in one change.
 
-use crate::{control::record_bytes, node::Node, trade::Calendar};
+use crate::{controller::Node, deadline_settings::Calendar, scheduling_loop::record_bytes};
 use serde_json::Value;
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use tallygauge_protocol::state::{Guard, Transaction, Write};
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -5,35 +5,35 @@
 
 pub mod cleanup;
 pub mod cloud;
-pub mod control;
-pub mod floor;
-pub mod follow;
-pub mod kept;
+pub mod connection_limits;
+pub mod controller;
+pub mod deadline_settings;
+pub mod fairness_summary;
+pub mod job_watch;
 pub mod leader;
-pub mod node;
+pub mod leader_records;
+pub mod operator_settings;
 pub mod peers;
-pub mod placement;
+pub mod placements;
 pub mod progress;
+pub mod reconciliation;
 pub mod relay;
+pub mod scheduling_loop;
 pub mod server;
 pub mod settings;
-pub mod sockets;
 pub mod summary;
-pub mod sweep;
-pub mod trade;
-pub mod tuning;
-pub mod users;
+pub mod user_api;
 pub mod wall_clock;
-pub mod workers;
+pub mod worker_api;
 
-use node::Node;
+use controller::Node;
 use std::{sync::Arc, time::Duration};
 use tallygauge_store::http::Http;
 use tokio::sync::mpsc;
 use wall_clock::SystemClock;
 
 /// The parts that run without being asked: leadership, questions, catalogue.
-pub async fn background(node: Arc<Node>, questions: mpsc::Receiver<node::Query>) {
+pub async fn background(node: Arc<Node>, questions: mpsc::Receiver<controller::Query>) {
     let pause = Duration::from_secs_f64(2.0 / node.settings.deployment.cloud.rps);
     let catalogue = async {
         while !cloud::read_catalogue(&node).await {
@@ -43,8 +43,8 @@
     tokio::join!(
         catalogue,
         leader::run(node.clone()),
-        users::answer_queries(node.clone(), questions),
-        users::prime(node.clone()),
+        user_api::answer_queries(node.clone(), questions),
+        user_api::prime(node.clone()),
     );
 }
 
@@ -54,7 +54,7 @@
 /// When an address can't be taken.
 pub async fn run(
     settings: settings::Settings,
-    tuning: tuning::Tuning,
+    tuning: operator_settings::Tuning,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let connect = Duration::from_secs(1);
     let limit = (settings.deployment.quota.memory_mb * 1024.0 * 1024.0 / 8.0) as usize;
--- a/crates/tallygauge/src/main.rs
+++ b/crates/tallygauge/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::Parser;
 use std::{path::PathBuf, process::ExitCode};
-use tallygauge::{settings::Settings, tuning::Tuning};
+use tallygauge::{operator_settings::Tuning, settings::Settings};
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::{Layer, filter::Targets, layer::SubscriberExt, util::SubscriberInitExt};
 
--- a/crates/tallygauge/src/tuning.rs
+++ b/crates/tallygauge/src/operator_settings.rs
@@ -1,6 +1,6 @@
 //! The operators' own settings (XML): the open values of the design.
 
-use crate::trade::{Calendar, Ranks};
+use crate::deadline_settings::{Calendar, Ranks};
 use serde::Deserialize;
 use std::path::Path;
 
--- a/crates/tallygauge/src/peers.rs
+++ b/crates/tallygauge/src/peers.rs
@@ -1,10 +1,10 @@
 //! Controller to controller: gRPC on `back`. Hints and display only.
 
 use crate::{
+    controller::Node,
     leader,
-    node::Node,
-    users::{self, Passing, Relay, Reply},
-    workers,
+    user_api::{self, Passing, Relay, Reply},
+    worker_api,
 };
 use futures_util::future::join_all;
 use std::{
@@ -70,7 +70,7 @@
         let asked = request.into_inner();
         let method = Method::from_bytes(asked.method.as_bytes())
             .map_err(|_| Status::invalid_argument("no such method"))?;
-        match users::local(&self.0, &method, &asked.path, &asked.body).await {
+        match user_api::local(&self.0, &method, &asked.path, &asked.body).await {
             None => Err(Status::invalid_argument("no request of users")),
             Some(Reply::Later(why, _)) => Err(Status::unavailable(why)),
             Some(reply) => Ok(Response::new(RelayReply {
@@ -91,7 +91,7 @@
         Ok(Response::new(Announcement {
             term: role.term,
             leader: role.leader.unwrap_or_default(),
-            workers_call: workers::called_of_late(&self.0),
+            workers_call: worker_api::called_of_late(&self.0),
         }))
     }
 
@@ -177,7 +177,7 @@
                 });
             }
         }
-        if mine && workers::none_call(&node) {
+        if mine && worker_api::none_call(&node) {
             for (_, client) in &clients {
                 let answer = client.clone().announce(announcement.clone()).await;
                 if answer.is_ok_and(|a| a.into_inner().workers_call) {
--- a/crates/tallygauge/src/placement.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -1,8 +1,8 @@
 //! Durable placements: batches whose transactions are under way at the same time.
 
 use crate::{
-    node::{Node, TERM_KEY, batch_key, open_key},
-    workers,
+    controller::{Node, TERM_KEY, batch_key, open_key},
+    worker_api,
 };
 use futures_util::{
     future::BoxFuture,
@@ -160,7 +160,7 @@
     if !made {
         node.wake.notify_one();
     }
-    workers::dispatch(node);
+    worker_api::dispatch(node);
 }
 
 /// Whether a batch is on record.
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -1,9 +1,9 @@
 //! Durable progress: the ends of whole jobs, and pages of finished tasks.
 
 use crate::{
-    control::VALUE_BYTES,
-    node::{Known, Node, TERM_KEY, open_key, over_key, page_key},
-    users::OverRecord,
+    controller::{Known, Node, TERM_KEY, open_key, over_key, page_key},
+    scheduling_loop::VALUE_BYTES,
+    user_api::OverRecord,
 };
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
--- a/crates/tallygauge/src/sweep.rs
+++ b/crates/tallygauge/src/reconciliation.rs
@@ -1,7 +1,7 @@
 //! The slow sweep of the daemon: open jobs on record against the picture, and
 //! the picture against itself. What is found is said and mended.
 
-use crate::{follow, node::Node};
+use crate::{controller::Node, job_watch};
 use std::{collections::BTreeSet, time::Duration};
 use tallygauge_protocol::state::{Change, Row};
 use tallygauge_store::Class;
@@ -72,7 +72,7 @@
                 version: row.version,
             };
             let jobs = cluster.jobs.len();
-            follow::apply(cluster, change, now, time_of_day);
+            job_watch::apply(cluster, change, now, time_of_day);
             if cluster.jobs.len() > jobs {
                 counts.0 += 1;
                 tracing::warn!(key, "the sweep mends: an open job was not in the picture");
--- a/crates/tallygauge/src/control.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -1,6 +1,6 @@
 //! The control loop: rounds, one after the other.
 
-use crate::{node::Node, placement::Placements, workers};
+use crate::{controller::Node, placements::Placements, worker_api};
 use std::{sync::Arc, time::Duration};
 use tallygauge_protocol::{BODY_LIMIT, state::Guard};
 use tallygauge_scheduler::Batch;
@@ -68,7 +68,7 @@
         }
         log_events(node);
         // Stops need nothing durable and go out first.
-        workers::dispatch(node);
+        worker_api::dispatch(node);
         placements.push(batches);
         node.wake_cloud.notify_one();
         let pause = Duration::from_secs_f64(gap.max(took * (1.0 / ROUND_SHARE - 1.0)));
--- a/crates/tallygauge/src/server.rs
+++ b/crates/tallygauge/src/server.rs
@@ -1,9 +1,9 @@
 //! HTTP: users, workers and health checks on one address.
 
 use crate::{
-    node::Node,
-    users::{self, Reply},
-    workers::{self, CheckIn},
+    controller::Node,
+    user_api::{self, Reply},
+    worker_api::{self, CheckIn},
 };
 use hyper_util::service::TowerToHyperService;
 use std::{sync::Arc, time::Duration};
@@ -60,11 +60,11 @@
     let get = method == Method::GET;
     let post = method == Method::POST;
     match parts.as_slice() {
-        ["work", ..] => match users::serve(&node, &method, &path, &body).await {
+        ["work", ..] => match user_api::serve(&node, &method, &path, &body).await {
             Some(reply) => user(&node, &reply),
             None => error(405, "no such request about jobs"),
         },
-        ["checkin"] if post => worker(&workers::check_in(&node, &body)),
+        ["checkin"] if post => worker(&worker_api::check_in(&node, &body)),
         ["ready"] if get => {
             if ready(&node) {
                 respond(200, b"{}".to_vec(), None)
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -1,6 +1,6 @@
 //! What a leader logs now and then: how much there is of everything.
 
-use crate::{floor, node::Node};
+use crate::{controller::Node, fairness_summary};
 use std::time::Duration;
 use tallygauge_scheduler::Cluster;
 
@@ -67,7 +67,7 @@
         if !cutoffs.is_empty() {
             tracing::info!(cutoffs, "calendar");
         }
-        let (classes, teams) = floor::shown(c);
+        let (classes, teams) = fairness_summary::shown(c);
         tracing::info!(classes, teams, "served");
     });
 }
--- a/crates/tallygauge/src/users.rs
+++ b/crates/tallygauge/src/user_api.rs
@@ -2,7 +2,7 @@
 
 pub use crate::relay::{Passing, Relay};
 
-use crate::node::{Known, Node, Query, Verdict, open_key, over_key};
+use crate::controller::{Known, Node, Query, Verdict, open_key, over_key};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::{sync::Arc, time::Duration};
--- a/crates/tallygauge/src/workers.rs
+++ b/crates/tallygauge/src/worker_api.rs
@@ -1,6 +1,6 @@
 //! Dealings with workers: check-ins and direct commands.
 
-use crate::node::Node;
+use crate::controller::Node;
 use std::{sync::Arc, time::Duration};
 use tallygauge_protocol::workers::{DirectCommands, Redirect, Report, ReportAnswer};
 use tallygauge_scheduler::{DirectMessage, Source, Verdict};
