--- a/crates/tallygauge-capacity/src/demand.rs
+++ b/crates/tallygauge-capacity/src/demand.rs
@@ -6,7 +6,7 @@
     target::Target,
 };
 use std::fmt::Write as _;
-use tallygauge_protocol::workers::{Report, TaskReport, TaskState};
+use tallygauge_protocol::workers::{Heartbeat, TaskState, TaskStatus};
 
 /// Bytes of the head of a check-in's request and of its answer with no command.
 const HEAD_BYTES: f64 = 160.0 + 190.0;
@@ -88,23 +88,23 @@
 /// Bytes of a check-in with so many tasks, its body alone, as the wire format has it.
 #[must_use]
 pub fn check_in_bytes(tasks: usize) -> usize {
-    let task = |n| TaskReport {
+    let task = |n| TaskStatus {
         task: format!("req-{:06}/{n}", 412_000 + n),
         attempt: 41_u64 << 28,
         state: TaskState::Running,
         cause: None,
-        kept: None,
+        checkpointed: None,
     };
-    let report = Report {
+    let report = Heartbeat {
         machine: "host-007100".into(),
         endpoint: "10.1.27.188:9000".into(),
         machine_type: "bureau-node".into(),
         zone: "region-1-zone-4".into(),
         spot: false,
-        session: 1,
-        seq: 17_280,
+        incarnation: 1,
+        sequence: 17_280,
         token: 41,
-        notice_s: None,
+        spot_notice_s: None,
         tasks: (0..tasks).map(task).collect(),
     };
     serde_json::to_string(&report).map_or(0, |text| text.len())
--- a/crates/tallygauge-deadlines/src/lib.rs
+++ b/crates/tallygauge-deadlines/src/lib.rs
@@ -11,6 +11,6 @@
 mod forecast;
 mod rule;
 
-pub use deadline_tracker::{Book, Event, Line};
-pub use forecast::{Load, Verdict, verdicts};
-pub use rule::{Days, Due, Rule, drawn};
+pub use deadline_tracker::{CutoffEvent, CutoffProgress, DeadlineTracker};
+pub use forecast::{CutoffLoad, Forecast, forecasts};
+pub use rule::{CutoffDays, CutoffRule, CutoffWindow, inferred};
--- a/crates/tallygauge-fairness/src/lib.rs
+++ b/crates/tallygauge-fairness/src/lib.rs
@@ -10,7 +10,11 @@
 mod size_histogram;
 mod sliding_window;
 
-pub use selection::{Candidate, Demand, Election, Level, Seat, elect};
-pub use service_counts::{Book, End, Key, Kind, Places, Record, Tally};
-pub use size_histogram::{LARGEST, Limits, Size, Sizes};
-pub use sliding_window::{BUCKETS, Ring};
+pub use selection::{
+    Candidate, SelectedJob, Selection, ShareTarget, Shortfall, select_underserved,
+};
+pub use service_counts::{
+    Counts, GroupIds, GroupKey, GroupKind, JobEnd, ServiceCounts, ServiceCountsRecord,
+};
+pub use size_histogram::{JobSize, LARGEST_FRACTION, SizeHistogram, SizeThresholds};
+pub use sliding_window::{BUCKETS, SlidingWindow};
--- a/crates/tallygauge-health/src/lib.rs
+++ b/crates/tallygauge-health/src/lib.rs
@@ -11,6 +11,6 @@
 mod reachability;
 mod tombstones;
 
-pub use message_order::{Mark, Order, Place};
-pub use reachability::{Hearing, Limits, Sign};
-pub use tombstones::Departed;
+pub use message_order::{Arrival, MessageOrder, SequenceMark};
+pub use reachability::{Evidence, Reachability, ReachabilityThresholds};
+pub use tombstones::Tombstones;
--- a/crates/tallygauge-locality/examples/curve.rs
+++ b/crates/tallygauge-locality/examples/curve.rs
@@ -7,7 +7,7 @@
 //! zones, a quarter of which, all in the first zone, hold the weights; twice as
 //! many machines as replicas, room for eight on each.
 
-use tallygauge_locality::{Apart, Spread};
+use tallygauge_locality::{ReplicaCounts, ReplicaSpread};
 
 const FETCH_S: f64 = 120.0;
 const ROOM: u32 = 8;
@@ -19,7 +19,7 @@
 }
 
 fn place(risk_s: f64, replicas: u32, zones: u32) -> Outcome {
-    let spread = Spread { risk_s };
+    let spread = ReplicaSpread { risk_s };
     let machines = replicas as usize * 2;
     let zone = |m: usize| m as u32 % zones;
     let first = (0..machines).filter(|m| zone(*m) == 0);
@@ -29,7 +29,7 @@
     let mut fetched = 0;
     for running in 0..replicas {
         let cost = |m: usize| {
-            let place = Apart {
+            let place = ReplicaCounts {
                 on_machine: on[m],
                 in_zone: in_zone[zone(m) as usize],
                 running,
--- a/crates/tallygauge-locality/src/lib.rs
+++ b/crates/tallygauge-locality/src/lib.rs
@@ -10,5 +10,5 @@
 mod image_index;
 mod replica_spread;
 
-pub use image_index::{Atlas, Holding, Part};
-pub use replica_spread::{Apart, Spread};
+pub use image_index::{CachedImage, ImageIndex, ImageLocations};
+pub use replica_spread::{ReplicaCounts, ReplicaSpread};
--- a/crates/tallygauge-locality/src/replica_spread.rs
+++ b/crates/tallygauge-locality/src/replica_spread.rs
@@ -2,7 +2,7 @@
 
 /// What a replica placed somewhere shares with those of its job that run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Apart {
+pub struct ReplicaCounts {
     /// Replicas of the job on that machine.
     pub on_machine: u32,
     /// Replicas of the job in that zone.
@@ -16,25 +16,25 @@
 /// How much a replica that one failure takes along with others is worth, in
 /// seconds of fetch: the operators' one weight.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Spread {
+pub struct ReplicaSpread {
     /// Seconds of fetch for a replica at risk.
     pub risk_s: f64,
 }
 
-impl Spread {
+impl ReplicaSpread {
     /// Seconds that a place costs besides the fetch: each replica that is on the
     /// machine already counts whole, and in a zone each beyond an even part,
     /// which is the first in a zone always, so that the first replicas go apart
     /// and later ones may go together.
     #[must_use]
-    pub fn cost_s(&self, place: Apart) -> f64 {
+    pub fn cost_s(&self, place: ReplicaCounts) -> f64 {
         let machine = f64::from(place.on_machine);
         self.risk_s * machine + self.zone_cost_s(place)
     }
 
     /// The part of that cost that is the same on all machines of a zone.
     #[must_use]
-    pub fn zone_cost_s(&self, place: Apart) -> f64 {
+    pub fn zone_cost_s(&self, place: ReplicaCounts) -> f64 {
         let even = (place.running + 1).div_ceil(place.zones.max(1));
         let beyond = (place.in_zone + 1).saturating_sub(even);
         self.risk_s * f64::from(beyond)
@@ -49,14 +49,14 @@
     /// Places replicas one after the other where fetch and risk cost least.
     /// Returns the replicas by machine, and the seconds of fetch of all.
     fn placed(risk_s: f64, replicas: u32, room: u32, warm: &[bool], zones: u32) -> (Vec<u32>, f64) {
-        let spread = Spread { risk_s };
+        let spread = ReplicaSpread { risk_s };
         let (mut on, mut fetched) = (vec![0u32; warm.len()], 0.0);
         let mut there: Vec<bool> = warm.to_vec();
         for running in 0..replicas {
             let zone = |m: usize| m as u32 % zones;
             let cost = |m: usize| {
                 let in_zone = (0..on.len()).filter(|n| zone(*n) == zone(m)).map(|n| on[n]);
-                let place = Apart {
+                let place = ReplicaCounts {
                     on_machine: on[m],
                     in_zone: in_zone.sum(),
                     running,
--- a/crates/tallygauge-priority/src/lib.rs
+++ b/crates/tallygauge-priority/src/lib.rs
@@ -11,5 +11,5 @@
 mod priority_rules;
 mod rank;
 
-pub use priority_rules::{Change, Epoch, Ledger};
-pub use rank::{Declared, HIGHEST, Rank, Rule};
+pub use priority_rules::{PriorityRules, RulesChange, RulesRevision};
+pub use rank::{DeclaredRules, MAX_RANK, Rank, RankRule};
--- a/crates/tallygauge-priority/src/rank.rs
+++ b/crates/tallygauge-priority/src/rank.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The highest rank. 0 is what all work has that nothing is declared for.
-pub const HIGHEST: u8 = 100;
+pub const MAX_RANK: u8 = 100;
 
 /// A rank, 0 to [`HIGHEST`].
 pub type Rank = u8;
@@ -12,7 +12,7 @@
 /// counts: class and team before class, before team; within a window before
 /// always.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Rule {
+pub struct RankRule {
     /// Class of jobs; `None`: any.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub class: Option<String>,
@@ -27,19 +27,19 @@
     pub rank: Rank,
 }
 
-impl Rule {
+impl RankRule {
     /// What the rule is for: one declared later for the same takes its place.
-    fn about(&self) -> (&Option<String>, &Option<String>, &Option<String>) {
+    fn scope(&self) -> (&Option<String>, &Option<String>, &Option<String>) {
         (&self.class, &self.team, &self.window)
     }
 
-    fn fits(&self, class: &str, team: &str, open: &dyn Fn(&str) -> bool) -> bool {
+    fn matches(&self, class: &str, team: &str, open: &dyn Fn(&str) -> bool) -> bool {
         self.class.as_ref().is_none_or(|c| c == class)
             && self.team.as_ref().is_none_or(|t| t == team)
             && self.window.as_ref().is_none_or(|w| open(w))
     }
 
-    fn says(&self) -> (bool, bool, bool) {
+    fn specificity(&self) -> (bool, bool, bool) {
         (
             self.class.is_some(),
             self.team.is_some(),
@@ -50,31 +50,35 @@
 
 /// What one settings file declares.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Declared {
+pub struct DeclaredRules {
     /// Grows with every change that operators make.
     pub version: u64,
     /// The ranks.
-    pub rules: Vec<Rule>,
+    pub rules: Vec<RankRule>,
 }
 
 /// The rank that rules give a job, while the windows that `open` names are open.
 pub(crate) fn rank_of(
-    rules: &[Rule],
+    rules: &[RankRule],
     class: &str,
     team: &str,
     open: &dyn Fn(&str) -> bool,
 ) -> Rank {
-    let fitting = rules.iter().filter(|r| r.fits(class, team, open));
-    let best = fitting.max_by(|a, b| a.says().cmp(&b.says()).then(a.rank.cmp(&b.rank)));
+    let fitting = rules.iter().filter(|r| r.matches(class, team, open));
+    let best = fitting.max_by(|a, b| {
+        a.specificity()
+            .cmp(&b.specificity())
+            .then(a.rank.cmp(&b.rank))
+    });
     best.map_or(0, |r| r.rank)
 }
 
 /// Rules in force and those declared later, which take the place of those about
 /// the same; what is not declared any more stays.
-pub(crate) fn merged(before: &[Rule], later: &[Rule]) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = before.to_vec();
+pub(crate) fn merged(before: &[RankRule], later: &[RankRule]) -> Vec<RankRule> {
+    let mut rules: Vec<RankRule> = before.to_vec();
     for rule in later {
-        rules.retain(|r| r.about() != rule.about());
+        rules.retain(|r| r.scope() != rule.scope());
         rules.push(rule.clone());
     }
     rules.sort();
--- a/crates/tallygauge-protocol/src/cloud.rs
+++ b/crates/tallygauge-protocol/src/cloud.rs
@@ -48,7 +48,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RentRequest {
     /// Name of the request, never reused.
-    pub booking: String,
+    #[serde(rename = "booking")]
+    pub request_id: String,
     /// Machine type.
     #[serde(rename = "build")]
     pub machine_type: String,
@@ -64,14 +65,14 @@
 }
 
 /// Most machines that one rental request may ask for.
-pub const MAX_RENT: u32 = 50;
+pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
 
 /// Most names in one return.
-pub const MAX_RETURN: usize = 100;
+pub const MAX_MACHINES_PER_RETURN: usize = 100;
 
 /// Names of machines: rented, or to be returned.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Machines {
+pub struct MachineNames {
     /// Names.
     #[serde(rename = "benches")]
     pub names: Vec<String>,
@@ -125,8 +126,8 @@
     pub machines: Vec<Machine>,
     /// Whether more follow.
     #[serde(rename = "hasNext")]
-    pub more: bool,
+    pub has_more: bool,
 }
 
 /// Largest page of the machine list.
-pub const MACHINE_PAGE: u32 = 500;
+pub const MAX_MACHINES_PER_PAGE: u32 = 500;
--- a/crates/tallygauge-protocol/src/workers.rs
+++ b/crates/tallygauge-protocol/src/workers.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Seconds that a worker waits for the answer to a report.
-pub const ANSWER_WAIT_S: f64 = 4.0;
+pub const RESPONSE_TIMEOUT_S: f64 = 4.0;
 
 /// State of a task on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
 
 /// One task in a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// Job id, a slash, and the task's number.
     #[serde(rename = "piece")]
     pub task: String,
@@ -60,12 +60,13 @@
     pub cause: Option<EndCause>,
     /// Whether its progress was saved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kept: Option<bool>,
+    #[serde(rename = "kept")]
+    pub checkpointed: Option<bool>,
 }
 
 /// A worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// Machine name.
     #[serde(rename = "bench")]
     pub machine: String,
@@ -82,19 +83,19 @@
     pub spot: bool,
     /// Session; grows each time the worker's lease expires.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Grows with every message of the session.
     #[serde(rename = "tick")]
-    pub seq: u64,
+    pub sequence: u64,
     /// Highest token seen.
     #[serde(rename = "baton")]
     pub token: u64,
     /// Seconds until the cloud takes the machine.
     #[serde(rename = "recallS", default, skip_serializing_if = "Option::is_none")]
-    pub notice_s: Option<f64>,
+    pub spot_notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// One command to a worker.
@@ -136,7 +137,7 @@
 
 /// Answer to a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     /// Token of the controllers.
     #[serde(rename = "baton")]
     pub token: u64,
@@ -164,7 +165,7 @@
 pub struct Redirect {
     /// The node to report to.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<String>,
+    pub leader: Option<String>,
 }
 
 #[cfg(test)]
@@ -179,12 +180,12 @@
               {"piece":"req-000398/0","try":1,"status":"ended","cause":"done"},
               {"piece":"req-000398/1","try":1,"status":"ended","cause":"no_room"},
               {"piece":"req-000398/2","try":1,"status":"dreaming"}]}"#;
-        let report: Report = serde_json::from_str(report).unwrap();
+        let report: Heartbeat = serde_json::from_str(report).unwrap();
         assert_eq!(report.tasks[1].cause, Some(EndCause::Done));
         assert_eq!(report.tasks[2].cause, Some(EndCause::NoRoom));
         assert_eq!(report.tasks[3].state, TaskState::Unknown);
         let answer = r#"{"baton":41,"orders":[{"verb":"start","piece":"req-000412/4","try":2},{"verb":"kill","piece":"req-000377/1","try":1,"windDownS":10.0},{"verb":"clear","piece":"req-000398/0","try":1}]}"#;
-        let parsed: ReportAnswer = serde_json::from_str(answer).unwrap();
+        let parsed: HeartbeatResponse = serde_json::from_str(answer).unwrap();
         assert_eq!(serde_json::to_string(&parsed).unwrap(), answer);
     }
 }
--- a/crates/tallygauge-records/src/lib.rs
+++ b/crates/tallygauge-records/src/lib.rs
@@ -12,5 +12,5 @@
 mod record;
 mod write_behind;
 
-pub use record::{Found, Record, Timing, name_of, read, value_of};
-pub use write_behind::{Item, Parcel, Shelf, Shown};
+pub use record::{Durability, Record, StoredRecord, decode, encode, record_name};
+pub use write_behind::{Entry, RecordStatus, WriteBatch, WriteBehind};
--- a/crates/tallygauge-scheduler/src/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines.rs
@@ -4,10 +4,13 @@
 //! Users' urgency and teams' guarantees alone decide what may be stopped; this
 //! decides the order among what waits.
 
-use crate::{cluster_state::Cluster, model::*};
+use crate::{cluster_state::ClusterState, model::*};
 use std::collections::BTreeMap;
-use tallygauge_deadlines::{Book, Due, Event, Load, Rule, Verdict, drawn, verdicts};
-use tallygauge_priority::{HIGHEST, Ledger};
+use tallygauge_deadlines::{
+    CutoffEvent, CutoffLoad, CutoffRule, CutoffWindow, DeadlineTracker, Forecast, forecasts,
+    inferred,
+};
+use tallygauge_priority::{MAX_RANK, PriorityRules};
 
 /// Part of the way to the next step of urgency that a rise goes at most: never
 /// as far as that.
@@ -20,8 +23,8 @@
 const STRETCH_LEASES: f64 = 8.0;
 
 /// What a cutoff still needs.
-struct Need<'a> {
-    due: &'a Due,
+struct CutoffWork<'a> {
+    due: &'a CutoffWindow,
     jobs: usize,
     work: f64,
     longest_s: f64,
@@ -30,7 +33,7 @@
 
 /// A cutoff that is open, for operators.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Cutoff {
+pub struct CutoffStatus {
     /// Its name.
     pub name: String,
     /// Operators declared it.
@@ -42,69 +45,73 @@
     /// Open jobs.
     pub open: usize,
     /// How it stands.
-    pub verdict: Option<Verdict>,
+    pub forecast: Option<Forecast>,
 }
 
-impl Cluster {
+impl ClusterState {
     /// Takes up what operators declared: cutoffs, and whether those that are drawn
     /// from jobs raise work as well.
-    pub fn set_calendar(&mut self, rules: Vec<Rule>, act_on_drawn: bool) {
-        self.trade.rules = rules;
-        self.trade.act_on_drawn = act_on_drawn;
+    pub fn set_cutoff_rules(&mut self, rules: Vec<CutoffRule>, act_on_drawn: bool) {
+        self.batch_deadlines.rules = rules;
+        self.batch_deadlines.act_on_inferred = act_on_drawn;
         // A cutoff may move while its batch runs.
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
             let job = self.jobs.get_mut(&id);
-            if let Some(at) = job.and_then(|j| j.accepted_day.take()) {
-                self.accepted(&id, at);
+            if let Some(at) = job.and_then(|j| j.accepted_time_of_day.take()) {
+                self.set_accepted_time_of_day(&id, at);
             }
         }
     }
 
     /// Takes up what an earlier leader counted.
-    pub fn load_calendar(&mut self, book: Book) {
-        self.trade.book = book;
+    pub fn restore_deadline_tracker(&mut self, book: DeadlineTracker) {
+        self.batch_deadlines.tracker = book;
     }
 
     /// What is to be kept of the calendar.
     #[must_use]
-    pub fn calendar(&self) -> &Book {
-        &self.trade.book
+    pub fn deadline_tracker(&self) -> &DeadlineTracker {
+        &self.batch_deadlines.tracker
     }
 
     /// The ranks in force from now on. They must be on record.
-    pub fn set_ledger(&mut self, ledger: Ledger) {
-        self.trade.ledger = ledger;
-        self.changed = true;
+    pub fn set_priority_rules(&mut self, ledger: PriorityRules) {
+        self.batch_deadlines.priority_rules = ledger;
+        self.needs_scheduling = true;
     }
 
     /// The ranks in force.
     #[must_use]
-    pub fn ledger(&self) -> &Ledger {
-        &self.trade.ledger
+    pub fn priority_rules(&self) -> &PriorityRules {
+        &self.batch_deadlines.priority_rules
     }
 
     /// A job that was just added was accepted at this time of day, as its record
     /// says: every leader finds the same cutoff for it.
-    pub fn accepted(&mut self, id: &str, at: f64) {
+    pub fn set_accepted_time_of_day(&mut self, id: &str, at: f64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.accepted_day.is_some() {
+        if job.accepted_time_of_day.is_some() {
             return;
         }
-        job.accepted_day = Some(at);
+        job.accepted_time_of_day = Some(at);
         let (class, team) = (&job.spec.class, &job.spec.team);
-        let rules = self.trade.rules.iter().filter(|r| r.is_for(class, team));
-        let declared = rules.filter_map(|r| r.due(at));
+        let rules = self
+            .batch_deadlines
+            .rules
+            .iter()
+            .filter(|r| r.applies_to(class, team));
+        let declared = rules.filter_map(|r| r.window_at(at));
         let first = declared.min_by(|a, b| a.cutoff.total_cmp(&b.cutoff));
-        let stretch = self.cfg.lease_s * STRETCH_LEASES;
-        let soft = self.cfg.class_due_s.get(class).copied();
+        let stretch = self.config.lease_s * STRETCH_LEASES;
+        let soft = self.config.class_deadline_s.get(class).copied();
         let own = job.spec.deadline_s.into_iter().chain(soft);
         let own = own.reduce(f64::min);
-        job.due = first.or_else(|| Some(drawn(class, team, at, own?, stretch)));
-        if let Some(due) = job.due.clone()
-            && let Some(Event::Opens(name)) = self.trade.book.job(&due)
+        job.cutoff = first.or_else(|| Some(inferred(class, team, at, own?, stretch)));
+        if let Some(due) = job.cutoff.clone()
+            && let Some(CutoffEvent::Opened(name)) = self.batch_deadlines.tracker.add_job(&due)
         {
             let text = format!("cutoff {name} opens");
             self.events.push((due.declared, text));
@@ -112,21 +119,23 @@
     }
 
     /// A job that counts for a cutoff is done.
-    pub(crate) fn count_for_cutoff(&mut self, job: &Job, now: f64) {
-        let at = now + self.floor.day;
-        if let Some(due) = job.due.as_ref().filter(|_| job.complete()) {
-            self.trade.book.done(&due.name, job.spec.tasks, at);
+    pub(crate) fn record_cutoff_completion(&mut self, job: &Job, now: f64) {
+        let at = now + self.minimum_share.time_of_day_offset;
+        if let Some(due) = job.cutoff.as_ref().filter(|_| job.is_complete()) {
+            self.batch_deadlines
+                .tracker
+                .record_job_done(&due.name, job.spec.tasks, at);
         }
     }
 
     /// Looks at all cutoffs and ranks. To be called about four times a report
     /// interval.
-    pub fn look_at_trade(&mut self, now: f64) {
-        let at = now + self.floor.day;
-        let mut needs: BTreeMap<&str, Need> = BTreeMap::new();
+    pub fn update_deadline_risk(&mut self, now: f64) {
+        let at = now + self.minimum_share.time_of_day_offset;
+        let mut needs: BTreeMap<&str, CutoffWork> = BTreeMap::new();
         for job in self.jobs.values() {
-            let Some(due) = &job.due else { continue };
-            let need = needs.entry(&due.name).or_insert_with(|| Need {
+            let Some(due) = &job.cutoff else { continue };
+            let need = needs.entry(&due.name).or_insert_with(|| CutoffWork {
                 due,
                 jobs: 0,
                 work: 0.0,
@@ -134,121 +143,121 @@
                 teams: BTreeMap::new(),
             });
             need.jobs += 1;
-            need.work += self.work_left(job);
-            need.longest_s = need.longest_s.max(self.remaining(job, 0.0));
+            need.work += self.remaining_cpu_s(job);
+            need.longest_s = need.longest_s.max(self.remaining_s(job, 0.0));
             need.teams
-                .insert(job.team, self.cfg.teams[job.team].cpus_max);
+                .insert(job.team, self.config.teams[job.team].max_cpus);
         }
-        let cpus = self.room_for_all(now);
-        let loads: Vec<Load> = needs
+        let cpus = self.total_cpus(now);
+        let loads: Vec<CutoffLoad> = needs
             .values()
-            .map(|need| Load {
+            .map(|need| CutoffLoad {
                 left_s: need.due.cutoff - at,
-                work: need.work,
+                cpu_s: need.work,
                 cpus: need.teams.values().sum(),
                 longest_s: need.longest_s,
             })
             .collect();
-        let found = verdicts(&loads, cpus);
+        let found = forecasts(&loads, cpus);
         let mut events = Vec::new();
         let mut verdicts = BTreeMap::new();
         for ((name, need), verdict) in needs.iter().zip(found) {
-            let before = self.trade.verdicts.get(*name);
+            let before = self.batch_deadlines.forecasts.get(*name);
             if verdict.at_risk && !before.is_some_and(|v| v.at_risk) {
                 let text = format!(
                     "cutoff {name} is at risk: {} jobs, {:.0} CPU-s left, {:.0} s late as it stands, {:.0} CPUs lacking",
-                    need.jobs, need.work, -verdict.slack_s, verdict.lacks
+                    need.jobs, need.work, -verdict.slack_s, verdict.missing_cpus
                 );
                 events.push((need.due.declared, text));
             }
             verdicts.insert(need.due.name.clone(), verdict);
         }
         let open = |name: &str| needs.get(name).map_or(0, |n| n.jobs);
-        for event in self.trade.book.pass(at, &open) {
+        for event in self.batch_deadlines.tracker.expire(at, &open) {
             events.push((
                 true,
                 match event {
-                    Event::Opens(name) => format!("cutoff {name} opens"),
-                    Event::Missed(name) => {
+                    CutoffEvent::Opened(name) => format!("cutoff {name} opens"),
+                    CutoffEvent::Missed(name) => {
                         format!("cutoff {name} has passed with {} jobs open", open(&name))
                     }
-                    Event::Closes(name, true, _) => format!("cutoff {name} was met"),
-                    Event::Closes(name, false, late) => {
+                    CutoffEvent::Closed(name, true, _) => format!("cutoff {name} was met"),
+                    CutoffEvent::Closed(name, false, late) => {
                         format!("cutoff {name} was missed by {late:.0} s")
                     }
                 },
             ));
         }
         self.events.extend(events);
-        self.trade.verdicts = verdicts;
-        self.raise(at);
+        self.batch_deadlines.forecasts = verdicts;
+        self.update_boosts(at);
     }
 
     /// How far each job is raised within the step of its urgency.
-    fn raise(&mut self, at: f64) {
-        let trade = &self.trade;
-        let ranked = trade.ledger.in_force().is_some();
+    fn update_boosts(&mut self, at: f64) {
+        let trade = &self.batch_deadlines;
+        let ranked = trade.priority_rules.current().is_some();
         let open = |window: &str, at: f64| {
             let mut rules = trade.rules.iter().filter(|r| r.name == window);
-            rules.any(|r| r.due(at).is_some())
+            rules.any(|r| r.window_at(at).is_some())
         };
         for job in self.jobs.values_mut() {
-            let risk = job.due.as_ref().is_some_and(|due| {
-                let acts = due.declared || trade.act_on_drawn;
-                acts && trade.verdicts.get(&due.name).is_some_and(|v| v.at_risk)
+            let risk = job.cutoff.as_ref().is_some_and(|due| {
+                let acts = due.declared || trade.act_on_inferred;
+                acts && trade.forecasts.get(&due.name).is_some_and(|v| v.at_risk)
             });
             let rank = if ranked {
-                let accepted = job.accepted_day.unwrap_or(at);
+                let accepted = job.accepted_time_of_day.unwrap_or(at);
                 let key = (job.spec.class.as_str(), job.spec.team.as_str());
-                f64::from(trade.ledger.rank(key, accepted, at, &open)) / f64::from(HIGHEST)
+                f64::from(trade.priority_rules.rank(key, accepted, at, &open)) / f64::from(MAX_RANK)
             } else {
                 0.0
             };
-            job.rise = if risk { 1.0 } else { rank };
+            job.boost = if risk { 1.0 } else { rank };
         }
     }
 
     /// CPUs of machines that are there or on their way.
-    fn room_for_all(&self, now: f64) -> f64 {
+    fn total_cpus(&self, now: f64) -> f64 {
         let usable = self
             .workers
             .values()
-            .filter(|w| w.usable(now, &self.cfg) || (!w.up() && w.leaving.is_none()));
-        let types = usable.filter_map(|w| self.types.get(&w.machine_type));
+            .filter(|w| w.accepts_work(now, &self.config) || (!w.is_up() && w.leaving.is_none()));
+        let types = usable.filter_map(|w| self.machine_types.get(&w.machine_type));
         types.map(|t| t.cpus).sum()
     }
 
     /// Worth of a job's tasks that would end at `end`, for the order among what
     /// waits: raised within the step of its urgency.
-    pub(crate) fn order_worth(&self, job: &Job, end: f64) -> f64 {
-        let worth = self.worth(job, end);
-        if job.rise <= 0.0 {
+    pub(crate) fn ordering_utility(&self, job: &Job, end: f64) -> f64 {
+        let worth = self.utility(job, end);
+        if job.boost <= 0.0 {
             return worth;
         }
-        let step = step(job.spec.priority);
-        let own = self.cfg.worth[step];
-        let next = self.cfg.worth.get(step + 1).copied();
+        let step = priority_index(job.spec.priority);
+        let own = self.config.utility[step];
+        let next = self.config.utility.get(step + 1).copied();
         let next = next.unwrap_or(own * ABOVE).max(own);
-        worth * (next / own).powf(job.rise * RISE)
+        worth * (next / own).powf(job.boost * RISE)
     }
 
     /// Cutoffs that are open, for operators.
     #[must_use]
-    pub fn cutoffs(&self, now: f64) -> Vec<Cutoff> {
-        let at = now + self.floor.day;
+    pub fn cutoff_statuses(&self, now: f64) -> Vec<CutoffStatus> {
+        let at = now + self.minimum_share.time_of_day_offset;
         let mut open: BTreeMap<&str, usize> = BTreeMap::new();
-        for due in self.jobs.values().filter_map(|j| j.due.as_ref()) {
+        for due in self.jobs.values().filter_map(|j| j.cutoff.as_ref()) {
             *open.entry(&due.name).or_default() += 1;
         }
-        let lines = self.trade.book.open();
+        let lines = self.batch_deadlines.tracker.open();
         lines
-            .map(|(name, line)| Cutoff {
+            .map(|(name, line)| CutoffStatus {
                 name: name.to_string(),
                 declared: line.declared,
                 left_s: line.cutoff - at,
                 done: line.done,
                 open: open.get(name).copied().unwrap_or(0),
-                verdict: self.trade.verdicts.get(name).copied(),
+                forecast: self.batch_deadlines.forecasts.get(name).copied(),
             })
             .collect()
     }
--- a/crates/tallygauge-scheduler/src/commands.rs
+++ b/crates/tallygauge-scheduler/src/commands.rs
@@ -1,7 +1,7 @@
 //! Commands: what a worker should do now, in answers and direct messages.
 
-use crate::{cluster_state::Cluster, model::*};
-use tallygauge_health::{Mark, Sign};
+use crate::{cluster_state::ClusterState, model::*};
+use tallygauge_health::{Evidence, SequenceMark};
 use tallygauge_protocol::workers::{Command, TaskState};
 
 /// A direct message to a worker.
@@ -12,22 +12,22 @@
     /// Its address.
     pub endpoint: String,
     /// Session it is meant for.
-    pub session: u64,
+    pub incarnation: u64,
     /// Commands; empty to fence only.
     pub commands: Vec<Command>,
     /// Attempts whose start is in it.
-    pub starts: Vec<u64>,
+    pub started_attempts: Vec<u64>,
     /// The worker's newest message when this was made up: whoever lives answers
     /// with a later one.
-    pub before: Mark,
+    pub sent_after: SequenceMark,
     /// Only asks whether the worker lives and hears.
-    pub question: bool,
+    pub is_probe: bool,
 }
 
 /// One in so many direct messages may be a question.
-const QUESTIONS: usize = 4;
+const PROBE_FRACTION: usize = 4;
 
-impl Cluster {
+impl ClusterState {
     /// Commands that a worker should execute now.
     #[must_use]
     pub fn commands(&self, name: &str, now: f64) -> Vec<Command> {
@@ -35,7 +35,7 @@
         let Some(worker) = self.workers.get(name) else {
             return out;
         };
-        for (task, attempt, ended) in &worker.strays {
+        for (task, attempt, ended) in &worker.orphaned_attempts {
             out.push(if *ended {
                 Command::Clear {
                     task: task.clone(),
@@ -49,16 +49,22 @@
                 }
             });
         }
-        for held in worker.held.iter().filter(|h| h.session == worker.session) {
-            let attempt = held.attempt;
+        for held in worker
+            .attempts
+            .iter()
+            .filter(|h| h.incarnation == worker.incarnation)
+        {
+            let attempt = held.number;
             match (held.phase, held.stop) {
-                (Phase::Recorded, None) if !held.inherited => {
+                (AttemptPhase::Recorded, None) if !held.restored => {
                     let task = held.task_name();
                     out.push(Command::Start { task, attempt });
                 }
-                (Phase::Recorded | Phase::On(_), Some(stop)) if held.sent => {
-                    let grace_s = grace(held, stop, now);
-                    if held.phase != Phase::On(TaskState::Saving) || grace_s == 0.0 {
+                (AttemptPhase::Recorded | AttemptPhase::Observed(_), Some(stop))
+                    if held.start_sent =>
+                {
+                    let grace_s = stop_grace_s(held, stop, now);
+                    if held.phase != AttemptPhase::Observed(TaskState::Saving) || grace_s == 0.0 {
                         out.push(Command::Stop {
                             task: held.task_name(),
                             attempt,
@@ -66,7 +72,7 @@
                         });
                     }
                 }
-                (Phase::Ended(_), _) if held.may_clear() => {
+                (AttemptPhase::Ended(_), _) if held.can_forget() => {
                     let task = held.task_name();
                     out.push(Command::Clear { task, attempt });
                 }
@@ -83,23 +89,23 @@
     }
 
     /// Notes that a check-in is answered with our token and these commands.
-    pub fn answered(&mut self, name: &str, commands: &[Command], now: f64) {
-        let term = self.cfg.term;
+    pub fn record_heartbeat_response(&mut self, name: &str, commands: &[Command], now: f64) {
+        let term = self.config.term;
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        worker.answered_at = now;
-        worker.owes = worker.token < term;
+        worker.lease_renewed_at = now;
+        worker.acknowledgement_due = worker.fencing_token < term;
         for command in commands {
             let attempt = match command {
                 Command::Start { attempt, .. } | Command::Clear { attempt, .. } => *attempt,
                 Command::Stop { .. } => continue,
             };
             let start = matches!(command, Command::Start { .. });
-            for held in worker.held.iter_mut().filter(|h| h.attempt == attempt) {
-                held.sent |= start;
-                held.carried = true;
-                worker.owes = true;
+            for held in worker.attempts.iter_mut().filter(|h| h.number == attempt) {
+                held.start_sent |= start;
+                held.awaiting_acknowledgement = true;
+                worker.acknowledgement_due = true;
             }
         }
     }
@@ -108,11 +114,11 @@
     /// sent yet, and stops. Marks them as under way. `spare` is the part of
     /// them that the process has time for: what does not go out waits for the
     /// worker's next check-in, whose answer carries the same.
-    pub fn direct_messages(&mut self, now: f64, spare: f64) -> Vec<DirectMessage> {
+    pub fn take_direct_messages(&mut self, now: f64, spare: f64) -> Vec<DirectMessage> {
         let mut out = Vec::new();
-        let most = ((self.cfg.most_direct as f64 * spare) as usize).max(1);
-        let mut due = std::mem::take(&mut self.attention).into_iter();
-        while self.direct_under_way < most {
+        let most = ((self.config.max_direct_messages as f64 * spare) as usize).max(1);
+        let mut due = std::mem::take(&mut self.needs_direct_message).into_iter();
+        while self.direct_messages_in_flight < most {
             let Some(name) = due.next() else { break };
             let Some(w) = self.workers.get(&name) else {
                 continue;
@@ -120,34 +126,35 @@
             if w.endpoint.is_empty() || w.return_sent {
                 continue;
             }
-            let fence = w.fenced_at.is_none() && (w.up() || !w.held.is_empty());
-            let act = w.fenced_at.is_some()
-                && w.session > w.dead_session
-                && w.held.iter().any(|h| {
-                    h.session == w.session
+            let fence = w.fencing_token_seen_at.is_none() && (w.is_up() || !w.attempts.is_empty());
+            let act = w.fencing_token_seen_at.is_some()
+                && w.incarnation > w.last_dead_incarnation
+                && w.attempts.iter().any(|h| {
+                    h.incarnation == w.incarnation
                         && match (h.phase, h.stop) {
-                            (Phase::Recorded, None) => !h.sent,
+                            (AttemptPhase::Recorded, None) => !h.start_sent,
                             (
-                                Phase::Recorded
-                                | Phase::On(TaskState::Fetching | TaskState::Running),
+                                AttemptPhase::Recorded
+                                | AttemptPhase::Observed(TaskState::Fetching | TaskState::Running),
                                 Some(s),
-                            ) => h.sent && s.at >= w.heard_at,
+                            ) => h.start_sent && s.at >= w.last_heartbeat_at,
                             _ => false,
                         }
                 });
             // Who is in doubt is asked: whoever lives and hears answers.
-            let ask = w.session > w.dead_session
-                && (w.order.wonders() || (w.fenced_at.is_some() && w.hearing.in_question()));
+            let ask = w.incarnation > w.last_dead_incarnation
+                && (w.message_order.needs_liveness_probe()
+                    || (w.fencing_token_seen_at.is_some() && w.reachability.needs_probe()));
             if !fence && !act {
                 // Many may be deaf at once: their questions must not stand in
                 // the way of starts. The next check-in brings them up again.
-                if !ask || self.questions >= most.div_ceil(QUESTIONS) {
+                if !ask || self.probes_in_flight >= most.div_ceil(PROBE_FRACTION) {
                     continue;
                 }
             }
             // Those that can't have one now are looked at again.
-            if w.direct_busy || now < w.direct_after {
-                self.attention.insert(name);
+            if w.direct_message_in_flight || now < w.next_direct_message_at {
+                self.needs_direct_message.insert(name);
                 continue;
             }
             let commands = if fence {
@@ -162,8 +169,8 @@
             // check-ins bring it again.
             let fresh = |c: &Command| match c {
                 Command::Start { attempt, .. } => {
-                    let held = worker.held.iter().find(|h| h.attempt == *attempt);
-                    held.is_some_and(|h| !h.sent)
+                    let held = worker.attempts.iter().find(|h| h.number == *attempt);
+                    held.is_some_and(|h| !h.start_sent)
                 }
                 Command::Stop { .. } => true,
                 Command::Clear { .. } => false,
@@ -173,70 +180,82 @@
             for command in &commands {
                 if let Command::Start { attempt, .. } = command {
                     starts.push(*attempt);
-                    for held in worker.held.iter_mut().filter(|h| h.attempt == *attempt) {
-                        held.sent = true;
-                        held.direct_pending += 1;
+                    for held in worker.attempts.iter_mut().filter(|h| h.number == *attempt) {
+                        held.start_sent = true;
+                        held.start_messages_in_flight += 1;
                     }
                 }
             }
             let question = !fence && !act;
-            self.questions += usize::from(question);
-            worker.direct_busy = true;
-            worker.order.asked();
-            self.direct_under_way += 1;
-            let session = if worker.session > 0 {
-                worker.session
+            self.probes_in_flight += usize::from(question);
+            worker.direct_message_in_flight = true;
+            worker.message_order.liveness_probe_sent();
+            self.direct_messages_in_flight += 1;
+            let session = if worker.incarnation > 0 {
+                worker.incarnation
             } else {
-                worker.held.iter().map(|h| h.session).max().unwrap_or(1)
+                worker
+                    .attempts
+                    .iter()
+                    .map(|h| h.incarnation)
+                    .max()
+                    .unwrap_or(1)
             };
             out.push(DirectMessage {
                 worker: name,
                 endpoint: worker.endpoint.clone(),
-                session,
+                incarnation: session,
                 commands,
-                starts,
-                before: worker.order.newest,
-                question,
+                started_attempts: starts,
+                sent_after: worker.message_order.newest,
+                is_probe: question,
             });
         }
-        self.attention.extend(due);
+        self.needs_direct_message.extend(due);
         out
     }
 
     /// A direct message was answered, or given up (`answered` false). When
     /// given up, its starts may yet be executed. `never_sent` tells that no
     /// connection came about.
-    pub fn direct_done(
+    pub fn record_direct_message_result(
         &mut self,
         message: &DirectMessage,
         answered: bool,
         never_sent: bool,
         now: f64,
     ) {
-        let (report_s, limits) = (self.cfg.report_s, self.cfg.hearing());
-        self.direct_under_way = self.direct_under_way.saturating_sub(1);
-        self.questions = self.questions.saturating_sub(usize::from(message.question));
-        self.attention.insert(message.worker.clone());
+        let (report_s, limits) = (
+            self.config.heartbeat_interval_s,
+            self.config.reachability_thresholds(),
+        );
+        self.direct_messages_in_flight = self.direct_messages_in_flight.saturating_sub(1);
+        self.probes_in_flight = self
+            .probes_in_flight
+            .saturating_sub(usize::from(message.is_probe));
+        self.needs_direct_message.insert(message.worker.clone());
         let Some(worker) = self.workers.get_mut(&message.worker) else {
             return;
         };
-        worker.direct_busy = false;
+        worker.direct_message_in_flight = false;
         if answered {
             worker.direct_failures = 0;
         } else {
             worker.direct_failures += 1;
             // It speaks, and does not hear.
-            if now - worker.heard_at < report_s * 1.5 {
-                worker.hearing.sign(Sign::Unanswered, now, &limits);
+            if now - worker.last_heartbeat_at < report_s * 1.5 {
+                worker
+                    .reachability
+                    .record(Evidence::Unanswered, now, &limits);
             }
             let doublings = worker.direct_failures.min(4) - 1;
-            worker.direct_after = now + report_s * 0.5 * f64::from(1u32 << doublings);
+            worker.next_direct_message_at = now + report_s * 0.5 * f64::from(1u32 << doublings);
         }
-        for held in &mut worker.held {
-            if message.starts.contains(&held.attempt) {
-                held.direct_pending = held.direct_pending.saturating_sub(1);
+        for held in &mut worker.attempts {
+            if message.started_attempts.contains(&held.number) {
+                held.start_messages_in_flight = held.start_messages_in_flight.saturating_sub(1);
                 if !answered && !never_sent {
-                    held.uncertain_since = Some(now);
+                    held.start_in_doubt_since = Some(now);
                 }
             }
         }
@@ -244,13 +263,13 @@
 }
 
 /// Grace that a stop gives: enough to save, or none.
-fn grace(held: &Held, stop: Stop, now: f64) -> f64 {
+fn stop_grace_s(held: &Attempt, stop: StopDecision, now: f64) -> f64 {
     let saves = held.spec.checkpoint_every_s > 0.0;
     let wanted = !matches!(stop.reason, StopReason::Cancelled | StopReason::Duplicate);
     // A save that takes many times what was said is ended.
-    let overdue = now - stop.at > held.spec.save_s * 4.0 + 5.0;
+    let overdue = now - stop.at > held.spec.checkpoint_s * 4.0 + 5.0;
     if saves && wanted && !overdue {
-        held.spec.save_s.max(0.001)
+        held.spec.checkpoint_s.max(0.001)
     } else {
         0.0
     }
