--- a/crates/tallygauge-store/src/commit.rs
+++ b/crates/tallygauge-store/src/commit.rs
@@ -8,7 +8,9 @@
 //! copy was executed, or it never will be"; [`Settled::in_doubt`] tells the caller
 //! that it has to read which.
 
-use crate::{Class, Client, Error, Outcome, round_trip::RoundTrip};
+use crate::{
+    RequestPriority, StoreClient, StoreError, TransactionOutcome, round_trip::RoundTripEstimator,
+};
 use backon::{BackoffBuilder, ExponentialBuilder};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use std::{
@@ -42,30 +44,30 @@
 
 /// What became of a transaction that was sent as often as needed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Settled {
+pub struct CommitResult {
     /// The last answer, or why there is none.
-    pub outcome: Result<Outcome, Error>,
+    pub outcome: Result<TransactionOutcome, StoreError>,
     /// Whether an earlier copy got no answer: it may have been executed.
     pub in_doubt: bool,
     /// When the copy that was answered was sent: the answer is no older.
-    pub sent: Instant,
+    pub sent_at: Instant,
 }
 
 /// Requests without an answer yet whose outcome somebody waits for.
 #[derive(Debug, Default)]
-pub(crate) struct Doubts {
+pub(crate) struct InDoubtWrites {
     next: u64,
     since: BTreeMap<u64, Instant>,
 }
 
 /// One request in doubt, for as long as this is held.
-struct Doubt {
-    all: Arc<Mutex<Doubts>>,
+struct InDoubtGuard {
+    all: Arc<Mutex<InDoubtWrites>>,
     number: u64,
 }
 
-impl Doubt {
-    fn new(all: &Arc<Mutex<Doubts>>, since: Instant) -> Self {
+impl InDoubtGuard {
+    fn new(all: &Arc<Mutex<InDoubtWrites>>, since: Instant) -> Self {
         let mut doubts = all.lock().expect("doubts lock");
         let number = doubts.next;
         doubts.next += 1;
@@ -78,7 +80,7 @@
     }
 }
 
-impl Drop for Doubt {
+impl Drop for InDoubtGuard {
     fn drop(&mut self) {
         let mut doubts = self.all.lock().expect("doubts lock");
         doubts.since.remove(&self.number);
@@ -86,9 +88,9 @@
 }
 
 /// What a client shares for repeating requests.
-pub(crate) struct Retries {
-    pub(crate) round_trip: Mutex<RoundTrip>,
-    doubts: Arc<Mutex<Doubts>>,
+pub(crate) struct RetryPolicy {
+    pub(crate) round_trip: Mutex<RoundTripEstimator>,
+    doubts: Arc<Mutex<InDoubtWrites>>,
     allowed: TpsBudget,
     /// Seed of the next transaction's jitter; if there is none, jitter is random.
     next_jitter_seed: Mutex<Option<u64>>,
@@ -97,7 +99,7 @@
     cap: Duration,
 }
 
-impl Retries {
+impl RetryPolicy {
     pub(crate) fn new(floor: Duration, cap: Duration) -> Self {
         Self {
             round_trip: Mutex::default(),
@@ -158,9 +160,9 @@
 }
 
 /// A copy that was sent: when, and what became of it.
-type Copy = (Instant, Result<Outcome, Error>);
+type Copy = (Instant, Result<TransactionOutcome, StoreError>);
 
-impl Client {
+impl StoreClient {
     /// Sends a transaction until it is known what became of it, until `patience`
     /// is over if one is given. Every write of the transaction must be guarded so
     /// that it can be executed once at most.
@@ -168,20 +170,20 @@
     /// A copy goes out whenever the last has had no answer for a time-out; the
     /// first answer to any of them counts. A refusal is final while no other copy
     /// may have been executed.
-    pub async fn settle(
+    pub async fn commit_with_retries(
         &self,
-        class: Class,
+        class: RequestPriority,
         txn: &Transaction,
         patience: Option<Duration>,
-    ) -> Settled {
+    ) -> CommitResult {
         let retries = &self.retries;
         let until = patience.map(|p| Instant::now() + p);
         let writes = txn.writes.len();
-        if !self.budget.take(class, writes).await {
-            return Settled {
-                outcome: Err(Error::Refused),
+        if !self.budget.acquire(class, writes).await {
+            return CommitResult {
+                outcome: Err(StoreError::Refused),
                 in_doubt: false,
-                sent: Instant::now(),
+                sent_at: Instant::now(),
             };
         }
         retries.allowed.deposit();
@@ -194,7 +196,7 @@
         let mut under_way = FuturesUnordered::new();
         under_way.push(copy());
         let mut next_copy = began + timeouts.next().unwrap_or(retries.cap);
-        let mut doubt: Option<Doubt> = None;
+        let mut doubt: Option<InDoubtGuard> = None;
         let mut unanswered = false;
         loop {
             let wake = until.map_or(next_copy, |until| until.min(next_copy));
@@ -204,21 +206,21 @@
                     let (sent, outcome): Copy = (sent, outcome);
                     let in_doubt = unanswered || !under_way.is_empty();
                     match outcome {
-                        Err(Error::Unknown) => unanswered = true,
-                        Err(Error::Refused) if in_doubt => {
+                        Err(StoreError::Unknown) => unanswered = true,
+                        Err(StoreError::Refused) if in_doubt => {
                             next_copy = Instant::now() + pauses.next().unwrap_or(retries.cap);
                         }
-                        outcome => return Settled { outcome, in_doubt, sent },
+                        outcome => return CommitResult { outcome, in_doubt, sent_at: sent },
                     }
                 }
                 () = tokio::time::sleep_until(wake) => {
                     let now = Instant::now();
-                    doubt.get_or_insert_with(|| Doubt::new(&retries.doubts, began));
+                    doubt.get_or_insert_with(|| InDoubtGuard::new(&retries.doubts, began));
                     if until.is_some_and(|until| now >= until) {
-                        let outcome = Err(Error::Unknown);
-                        return Settled { outcome, in_doubt: true, sent: began };
+                        let outcome = Err(StoreError::Unknown);
+                        return CommitResult { outcome, in_doubt: true, sent_at: began };
                     }
-                    if self.budget.attempt(class, writes) && retries.allowed.withdraw() {
+                    if self.budget.try_acquire(class, writes) && retries.allowed.withdraw() {
                         under_way.push(copy());
                         next_copy = now + timeouts.next().unwrap_or(retries.cap);
                     } else {
@@ -231,7 +233,7 @@
 
     /// How many transactions are in doubt, and for how long the oldest has been.
     #[must_use]
-    pub fn in_doubt(&self) -> (usize, Duration) {
+    pub fn in_doubt_writes(&self) -> (usize, Duration) {
         let doubts = self.retries.doubts.lock().expect("doubts lock");
         let oldest = doubts.since.values().min();
         let longest = oldest.map_or(Duration::ZERO, |since| since.elapsed());
--- a/crates/tallygauge-store/src/connection_count.rs
+++ b/crates/tallygauge-store/src/connection_count.rs
@@ -7,28 +7,28 @@
 
 /// A count of open connections. Clones share it.
 #[derive(Debug, Clone, Default)]
-pub struct Open(Arc<AtomicUsize>);
+pub struct ConnectionCount(Arc<AtomicUsize>);
 
-impl Open {
+impl ConnectionCount {
     /// How many there are.
     #[must_use]
-    pub fn count(&self) -> usize {
+    pub fn get(&self) -> usize {
         self.0.load(Relaxed)
     }
 
     /// Counts one in, for as long as the answer is held.
     #[must_use]
-    pub fn enter(&self) -> OneOpen {
+    pub fn acquire(&self) -> ConnectionGuard {
         self.0.fetch_add(1, Relaxed);
-        OneOpen(self.clone())
+        ConnectionGuard(self.clone())
     }
 }
 
 /// One connection in a count.
 #[derive(Debug)]
-pub struct OneOpen(Open);
+pub struct ConnectionGuard(ConnectionCount);
 
-impl Drop for OneOpen {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.0.fetch_sub(1, Relaxed);
     }
--- a/crates/tallygauge-store/src/http.rs
+++ b/crates/tallygauge-store/src/http.rs
@@ -1,6 +1,6 @@
 //! A small JSON-over-HTTP client with bounded time and size.
 
-use crate::connection_count::{OneOpen, Open};
+use crate::connection_count::{ConnectionCount, ConnectionGuard};
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use http_body_util::{BodyExt, Full, Limited};
@@ -29,66 +29,66 @@
 
 /// Why there is no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoAnswer {
+pub enum RequestError {
     /// No connection came about, so nothing was sent.
     NotSent,
     /// Sent, perhaps in part; the answer did not come in time or whole.
-    Lost,
+    NoResponse,
 }
 
 /// An answer, or why there is none.
-pub type Answer = Result<(StatusCode, Bytes), NoAnswer>;
+pub type HttpResult = Result<(StatusCode, Bytes), RequestError>;
 
 /// Something that carries requests in place of the network, as tests do.
 pub trait Transport: Send + Sync {
     /// Carries one request.
-    fn carry(
+    fn send(
         &self,
         method: Method,
         url: String,
         body: Bytes,
-    ) -> Pin<Box<dyn Future<Output = Answer> + Send>>;
+    ) -> Pin<Box<dyn Future<Output = HttpResult> + Send>>;
 }
 
 /// Connects, and counts what is open.
 #[derive(Clone)]
-struct Counting {
+struct CountingConnector {
     connector: HttpConnector,
-    open: Open,
+    open: ConnectionCount,
 }
 
-impl Service<Uri> for Counting {
-    type Response = Counted;
+impl Service<Uri> for CountingConnector {
+    type Response = CountedConnection;
     type Error = <HttpConnector as Service<Uri>>::Error;
-    type Future = Pin<Box<dyn Future<Output = Result<Counted, Self::Error>> + Send>>;
+    type Future = Pin<Box<dyn Future<Output = Result<CountedConnection, Self::Error>> + Send>>;
 
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), Self::Error>> {
         self.connector.poll_ready(cx)
     }
 
     fn call(&mut self, to: Uri) -> Self::Future {
-        let one = self.open.enter();
+        let one = self.open.acquire();
         let connecting = self.connector.call(to);
         Box::pin(async move {
             let stream = connecting.await?;
-            Ok(Counted { stream, _one: one })
+            Ok(CountedConnection { stream, _one: one })
         })
     }
 }
 
 /// A connection that is counted while it is open.
-struct Counted {
+struct CountedConnection {
     stream: TokioIo<TcpStream>,
-    _one: OneOpen,
+    _one: ConnectionGuard,
 }
 
-impl Connection for Counted {
+impl Connection for CountedConnection {
     fn connected(&self) -> Connected {
         self.stream.connected()
     }
 }
 
-impl Read for Counted {
+impl Read for CountedConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -98,7 +98,7 @@
     }
 }
 
-impl Write for Counted {
+impl Write for CountedConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -129,17 +129,17 @@
 }
 
 #[derive(Clone)]
-enum Carrier {
-    Network(Box<Client<Counting, Full<Bytes>>>),
-    StandIn(Arc<dyn Transport>),
+enum Connector {
+    Network(Box<Client<CountingConnector, Full<Bytes>>>),
+    Custom(Arc<dyn Transport>),
 }
 
 /// The client. Cheap to clone; connections are kept and shared.
 #[derive(Clone)]
-pub struct Http {
-    carrier: Carrier,
+pub struct HttpClient {
+    carrier: Connector,
     limit: usize,
-    open: Open,
+    open: ConnectionCount,
 }
 
 type Work = Pin<Box<dyn Future<Output = ()> + Send>>;
@@ -150,9 +150,9 @@
 
 /// Hands the work of connections over to [`Connections`].
 #[derive(Clone)]
-struct Handover(mpsc::Sender<Work>);
+struct TaskQueue(mpsc::Sender<Work>);
 
-impl<F: Future<Output = ()> + Send + 'static> hyper::rt::Executor<F> for Handover {
+impl<F: Future<Output = ()> + Send + 'static> hyper::rt::Executor<F> for TaskQueue {
     fn execute(&self, work: F) {
         if let Err(error) = self.0.try_send(Box::pin(work)) {
             tokio::spawn(error.into_inner());
@@ -161,11 +161,11 @@
 }
 
 /// The connections of a client, to be driven by whoever holds this.
-pub struct Connections(mpsc::Receiver<Work>);
+pub struct ConnectionDriver(mpsc::Receiver<Work>);
 
-impl Connections {
+impl ConnectionDriver {
     /// Drives the connections for as long as the client is in use.
-    pub async fn drive(mut self) {
+    pub async fn run(mut self) {
         let mut all = FuturesUnordered::new();
         loop {
             tokio::select! {
@@ -179,7 +179,7 @@
     }
 }
 
-impl Http {
+impl HttpClient {
     /// A client that gives a connection attempt up after `connect`, closes a
     /// connection unused for `idle`, and takes answers of at most `limit` bytes.
     #[must_use]
@@ -190,10 +190,14 @@
     /// The same, with connections that do not queue with the runtime's tasks
     /// but are driven by the caller, so that they can be given precedence.
     #[must_use]
-    pub fn driven(connect: Duration, idle: Duration, limit: usize) -> (Self, Connections) {
+    pub fn with_driver(
+        connect: Duration,
+        idle: Duration,
+        limit: usize,
+    ) -> (Self, ConnectionDriver) {
         let (work, connections) = mpsc::channel(MOST_HANDED_OVER);
-        let http = Self::on(Handover(work), connect, idle, limit);
-        (http, Connections(connections))
+        let http = Self::on(TaskQueue(work), connect, idle, limit);
+        (http, ConnectionDriver(connections))
     }
 
     fn on<E>(executor: E, connect: Duration, idle: Duration, limit: usize) -> Self
@@ -203,17 +207,17 @@
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(connect));
         connector.set_nodelay(true);
-        let open = Open::default();
+        let open = ConnectionCount::default();
         let client = Client::builder(executor)
             .pool_idle_timeout(idle)
             .pool_max_idle_per_host(4)
             .pool_timer(TokioTimer::new())
-            .build(Counting {
+            .build(CountingConnector {
                 connector,
                 open: open.clone(),
             });
         Self {
-            carrier: Carrier::Network(Box::new(client)),
+            carrier: Connector::Network(Box::new(client)),
             limit,
             open,
         }
@@ -221,7 +225,7 @@
 
     /// Connections of this client that are open.
     #[must_use]
-    pub fn open(&self) -> &Open {
+    pub fn connection_count(&self) -> &ConnectionCount {
         &self.open
     }
 
@@ -229,9 +233,9 @@
     #[must_use]
     pub fn over(transport: Arc<dyn Transport>) -> Self {
         Self {
-            carrier: Carrier::StandIn(transport),
+            carrier: Connector::Custom(transport),
             limit: usize::MAX,
-            open: Open::default(),
+            open: ConnectionCount::default(),
         }
     }
 
@@ -245,7 +249,7 @@
         url: &str,
         body: Option<&B>,
         timeout: Duration,
-    ) -> Answer {
+    ) -> HttpResult {
         self.send(method, url, body, timeout, true).await
     }
 
@@ -261,30 +265,30 @@
         body: Option<&B>,
         timeout: Duration,
         keep: bool,
-    ) -> Answer {
+    ) -> HttpResult {
         let bytes = match body {
-            Some(body) => Bytes::from(serde_json::to_vec(body).map_err(|_| NoAnswer::NotSent)?),
+            Some(body) => Bytes::from(serde_json::to_vec(body).map_err(|_| RequestError::NotSent)?),
             None => Bytes::new(),
         };
         let exchange = async {
             match &self.carrier {
-                Carrier::StandIn(transport) => transport.carry(method, url.into(), bytes).await,
-                Carrier::Network(client) => self.exchange(client, method, url, bytes, keep).await,
+                Connector::Custom(transport) => transport.send(method, url.into(), bytes).await,
+                Connector::Network(client) => self.exchange(client, method, url, bytes, keep).await,
             }
         };
         tokio::time::timeout(timeout, exchange)
             .await
-            .unwrap_or(Err(NoAnswer::Lost))
+            .unwrap_or(Err(RequestError::NoResponse))
     }
 
     async fn exchange(
         &self,
-        client: &Client<Counting, Full<Bytes>>,
+        client: &Client<CountingConnector, Full<Bytes>>,
         method: Method,
         url: &str,
         body: Bytes,
         keep: bool,
-    ) -> Answer {
+    ) -> HttpResult {
         let mut request = Request::builder().method(method).uri(url);
         if !keep {
             request = request.header(header::CONNECTION, "close");
@@ -294,19 +298,19 @@
         }
         let request = request
             .body(Full::new(body))
-            .map_err(|_| NoAnswer::NotSent)?;
+            .map_err(|_| RequestError::NotSent)?;
         let answer = client.request(request).await.map_err(|error| {
             if error.is_connect() {
-                NoAnswer::NotSent
+                RequestError::NotSent
             } else {
-                NoAnswer::Lost
+                RequestError::NoResponse
             }
         })?;
         let status = answer.status();
         let body = Limited::new(answer.into_body(), self.limit)
             .collect()
             .await
-            .map_err(|_| NoAnswer::Lost)?;
+            .map_err(|_| RequestError::NoResponse)?;
         Ok((status, body.to_bytes()))
     }
 }
--- a/crates/tallygauge-store/src/lib.rs
+++ b/crates/tallygauge-store/src/lib.rs
@@ -12,12 +12,12 @@
 mod log_once;
 pub mod round_trip;
 
-pub use budget::{Budget, Class};
-pub use commit::Settled;
-pub use connection_count::{OneOpen, Open};
-pub use log_once::first_time;
+pub use budget::{RequestBudget, RequestPriority};
+pub use commit::CommitResult;
+pub use connection_count::{ConnectionCount, ConnectionGuard};
+pub use log_once::is_first_occurrence;
 
-use http::{Answer, Http, NoAnswer};
+use http::{HttpClient, HttpResult, RequestError};
 use hyper::{Method, StatusCode};
 use serde::{Serialize, de::DeserializeOwned};
 use std::{
@@ -25,51 +25,52 @@
     time::Duration,
 };
 use tallygauge_protocol::state::{
-    Changes, Conflict, Lease, LeaseRequest, Page, Revision, Row, Transaction, Write,
+    ConflictResponse, KeyValue, LeaseRequest, LeaseResponse, ListResponse, RevisionResponse,
+    Transaction, WatchResponse, Write,
 };
 use tokio::time::Instant;
 
 /// Why a request brought nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Error {
+pub enum StoreError {
     /// Surely not executed: over budget, outage, or refused.
     Refused,
     /// No usable answer: may have been executed, or may yet be.
     Unknown,
 }
 
-impl std::fmt::Display for Error {
+impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Error::Refused => "refused by the state service",
-            Error::Unknown => "no answer from the state service",
+            StoreError::Refused => "refused by the state service",
+            StoreError::Unknown => "no answer from the state service",
         })
     }
 }
 
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum TransactionOutcome {
     /// Made at this revision.
-    Made(u64),
+    Committed(u64),
     /// Not made: some of these conditions failed.
     Conflict(Vec<String>),
     /// Not made: a lease named in it has ended.
-    NoLease,
+    LeaseExpired,
 }
 
 /// What a watch brought.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Watched {
+pub enum WatchOutcome {
     /// Changes, in order.
-    Changes(Changes),
+    Events(WatchResponse),
     /// The service no longer keeps changes that old: list again.
-    TooOld,
+    Compacted,
 }
 
 /// How the service has served this node.
 #[derive(Debug, Default)]
-struct Service {
+struct Availability {
     /// When a request was last served.
     served: Option<Instant>,
     /// Since when none is.
@@ -81,24 +82,24 @@
 
 /// Client of the state service. Cheap to clone.
 #[derive(Clone)]
-pub struct Client {
-    http: Http,
+pub struct StoreClient {
+    http: HttpClient,
     base: Arc<str>,
-    budget: Arc<Budget>,
+    budget: Arc<RequestBudget>,
     timeout: Duration,
-    service: Arc<Mutex<Service>>,
-    retries: Arc<commit::Retries>,
+    service: Arc<Mutex<Availability>>,
+    retries: Arc<commit::RetryPolicy>,
 }
 
-impl Client {
+impl StoreClient {
     /// A client of the service at `addr`; a request is given up after `timeout`,
     /// and a copy of one that is sent again when needed after `floor` at the
     /// soonest.
     #[must_use]
     pub fn new(
-        http: Http,
+        http: HttpClient,
         addr: &str,
-        budget: Arc<Budget>,
+        budget: Arc<RequestBudget>,
         floor: Duration,
         timeout: Duration,
     ) -> Self {
@@ -108,7 +109,7 @@
             budget,
             timeout,
             service: Arc::default(),
-            retries: Arc::new(commit::Retries::new(floor, timeout)),
+            retries: Arc::new(commit::RetryPolicy::new(floor, timeout)),
         }
     }
 
@@ -127,12 +128,14 @@
 
     /// Takes up whether a request was served. One lost answer among others that
     /// came says nothing of the service: only none for a whole time-out does.
-    fn note(&self, answer: &Answer) {
+    fn record_availability(&self, answer: &HttpResult) {
         let mut service = self.service.lock().expect("service lock");
         let now = Instant::now();
         let fails = match answer {
-            Ok((StatusCode::SERVICE_UNAVAILABLE, _)) | Err(NoAnswer::NotSent) => true,
-            Err(NoAnswer::Lost) => service.served.is_none_or(|at| now - at >= self.timeout),
+            Ok((StatusCode::SERVICE_UNAVAILABLE, _)) | Err(RequestError::NotSent) => true,
+            Err(RequestError::NoResponse) => {
+                service.served.is_none_or(|at| now - at >= self.timeout)
+            }
             Ok(_) => {
                 service.served = Some(now);
                 service.failing = None;
@@ -146,21 +149,21 @@
 
     /// The request budget.
     #[must_use]
-    pub fn budget(&self) -> &Budget {
+    pub fn budget(&self) -> &RequestBudget {
         &self.budget
     }
 
     async fn call<B: Serialize>(
         &self,
-        class: Class,
+        class: RequestPriority,
         writes: usize,
         method: Method,
         path: &str,
         body: Option<&B>,
         timeout: Duration,
-    ) -> Result<(StatusCode, bytes::Bytes), Error> {
-        if !self.budget.take(class, writes).await {
-            return Err(Error::Refused);
+    ) -> Result<(StatusCode, bytes::Bytes), StoreError> {
+        if !self.budget.acquire(class, writes).await {
+            return Err(StoreError::Refused);
         }
         self.exchange(method, path, body, timeout).await
     }
@@ -172,7 +175,7 @@
         path: &str,
         body: Option<&B>,
         timeout: Duration,
-    ) -> Result<(StatusCode, bytes::Bytes), Error> {
+    ) -> Result<(StatusCode, bytes::Bytes), StoreError> {
         let url = format!("{}{path}", self.base);
         let sent = Instant::now();
         let answer = self.http.call(method, &url, body, timeout).await;
@@ -180,16 +183,16 @@
             let mut round_trip = self.retries.round_trip.lock().expect("round-trip lock");
             round_trip.observe(sent.elapsed());
         }
-        self.note(&answer);
+        self.record_availability(&answer);
         match answer {
             Ok((StatusCode::TOO_MANY_REQUESTS, _)) => {
-                self.budget.refused();
-                Err(Error::Refused)
+                self.budget.record_refusal();
+                Err(StoreError::Refused)
             }
-            Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => Err(Error::Refused),
+            Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => Err(StoreError::Refused),
             Ok(answer) => Ok(answer),
-            Err(NoAnswer::NotSent) => Err(Error::Refused),
-            Err(NoAnswer::Lost) => Err(Error::Unknown),
+            Err(RequestError::NotSent) => Err(StoreError::Refused),
+            Err(RequestError::NoResponse) => Err(StoreError::Unknown),
         }
     }
 
@@ -197,15 +200,19 @@
     ///
     /// # Errors
     /// When the service gave no usable answer.
-    pub async fn get(&self, class: Class, key: &str) -> Result<Option<Row>, Error> {
+    pub async fn get(
+        &self,
+        class: RequestPriority,
+        key: &str,
+    ) -> Result<Option<KeyValue>, StoreError> {
         let path = format!("/store/{key}");
         let (status, body) = self
             .call::<()>(class, 0, Method::GET, &path, None, self.timeout)
             .await?;
         match status {
             StatusCode::OK => parse(&body).map(Some),
-            StatusCode::NOT_FOUND => parse::<Revision>(&body).map(|_| None),
-            _ => Err(Error::Unknown),
+            StatusCode::NOT_FOUND => parse::<RevisionResponse>(&body).map(|_| None),
+            _ => Err(StoreError::Unknown),
         }
     }
 
@@ -213,8 +220,12 @@
     ///
     /// # Errors
     /// When the service gave no usable answer.
-    pub async fn list(&self, class: Class, prefix: &str) -> Result<(Vec<Row>, u64), Error> {
-        let mut rows: Vec<Row> = Vec::new();
+    pub async fn list(
+        &self,
+        class: RequestPriority,
+        prefix: &str,
+    ) -> Result<(Vec<KeyValue>, u64), StoreError> {
+        let mut rows: Vec<KeyValue> = Vec::new();
         let mut revision = None;
         loop {
             let since = rows
@@ -226,13 +237,13 @@
                 .call::<()>(class, 0, Method::GET, &path, None, self.timeout * 2)
                 .await?;
             if status != StatusCode::OK {
-                return Err(Error::Unknown);
+                return Err(StoreError::Unknown);
             }
-            let page: Page = parse(&body)?;
+            let page: ListResponse = parse(&body)?;
             let first = *revision.get_or_insert(page.revision);
-            let empty = page.rows.is_empty();
-            rows.extend(page.rows);
-            if !page.more || empty {
+            let empty = page.entries.is_empty();
+            rows.extend(page.entries);
+            if !page.has_more || empty {
                 return Ok((rows, first));
             }
         }
@@ -242,40 +253,47 @@
     ///
     /// # Errors
     /// `Refused`: surely not made. `Unknown`: may have been made, or may yet be.
-    pub async fn transact(&self, class: Class, txn: &Transaction) -> Result<Outcome, Error> {
-        if !self.budget.take(class, txn.writes.len()).await {
-            return Err(Error::Refused);
+    pub async fn transact(
+        &self,
+        class: RequestPriority,
+        txn: &Transaction,
+    ) -> Result<TransactionOutcome, StoreError> {
+        if !self.budget.acquire(class, txn.writes.len()).await {
+            return Err(StoreError::Refused);
         }
         self.send(txn).await
     }
 
     /// Sends a transaction that the budget has been charged for.
-    async fn send(&self, txn: &Transaction) -> Result<Outcome, Error> {
+    async fn send(&self, txn: &Transaction) -> Result<TransactionOutcome, StoreError> {
         let post = Method::POST;
         let sent = self
             .exchange(post, TRANSACTION_PATH, Some(txn), self.timeout)
             .await;
         let (status, body) = sent?;
         match status {
-            StatusCode::OK => parse::<Revision>(&body).map(|r| Outcome::Made(r.revision)),
+            StatusCode::OK => {
+                parse::<RevisionResponse>(&body).map(|r| TransactionOutcome::Committed(r.revision))
+            }
             StatusCode::CONFLICT => {
                 if txn.writes.is_empty() {
-                    self.budget.failed_comparison();
+                    self.budget.charge_failed_comparison();
                 }
                 // A conflict whose keys can't be read is still surely not made.
-                let failed = parse::<Conflict>(&body).map_or_else(|_| Vec::new(), |c| c.failed);
-                Ok(Outcome::Conflict(failed))
+                let failed =
+                    parse::<ConflictResponse>(&body).map_or_else(|_| Vec::new(), |c| c.failed);
+                Ok(TransactionOutcome::Conflict(failed))
             }
             StatusCode::BAD_REQUEST if body.windows(13).any(|w| w == b"no such lease") => {
-                Ok(Outcome::NoLease)
+                Ok(TransactionOutcome::LeaseExpired)
             }
             StatusCode::BAD_REQUEST => {
-                let (key, bytes) = largest(txn);
+                let (key, bytes) = largest_write(txn);
                 let (body, writes) = (String::from_utf8_lossy(&body), txn.writes.len());
                 tracing::error!(%body, writes, largest = key, bytes, "state service calls a transaction malformed");
-                Err(Error::Refused)
+                Err(StoreError::Refused)
             }
-            _ => Err(Error::Unknown),
+            _ => Err(StoreError::Unknown),
         }
     }
 
@@ -283,13 +301,13 @@
     ///
     /// # Errors
     /// When the service gave no usable answer.
-    pub async fn grant(&self, ttl: Duration) -> Result<u64, Error> {
+    pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
         let ask = LeaseRequest {
             ttl_ms: u64::try_from(ttl.as_millis()).unwrap_or(600_000),
         };
         let (status, body) = self
             .call(
-                Class::Leadership,
+                RequestPriority::Leadership,
                 0,
                 Method::POST,
                 "/leases",
@@ -298,24 +316,31 @@
             )
             .await?;
         if status != StatusCode::OK {
-            return Err(Error::Unknown);
+            return Err(StoreError::Unknown);
         }
-        parse::<Lease>(&body).map(|l| l.id)
+        parse::<LeaseResponse>(&body).map(|l| l.id)
     }
 
     /// Renews a lease; `false` when it has ended.
     ///
     /// # Errors
     /// When the service gave no usable answer.
-    pub async fn touch(&self, lease: u64, timeout: Duration) -> Result<bool, Error> {
+    pub async fn renew_lease(&self, lease: u64, timeout: Duration) -> Result<bool, StoreError> {
         let path = format!("/leases/{lease}/touch");
         let (status, _) = self
-            .call::<()>(Class::Leadership, 0, Method::POST, &path, None, timeout)
+            .call::<()>(
+                RequestPriority::Leadership,
+                0,
+                Method::POST,
+                &path,
+                None,
+                timeout,
+            )
             .await?;
         match status {
             StatusCode::OK => Ok(true),
             StatusCode::NOT_FOUND => Ok(false),
-            _ => Err(Error::Unknown),
+            _ => Err(StoreError::Unknown),
         }
     }
 
@@ -323,10 +348,10 @@
     ///
     /// # Errors
     /// When the service gave no usable answer.
-    pub async fn end_lease(&self, lease: u64) -> Result<(), Error> {
+    pub async fn revoke_lease(&self, lease: u64) -> Result<(), StoreError> {
         let path = format!("/leases/{lease}");
         self.call::<()>(
-            Class::Leadership,
+            RequestPriority::Leadership,
             0,
             Method::DELETE,
             &path,
@@ -343,19 +368,19 @@
     ///
     /// # Errors
     /// When the service gave no usable answer.
-    pub async fn changes(
+    pub async fn watch(
         &self,
         prefix: &str,
         since: u64,
         block: Duration,
-    ) -> Result<Watched, Error> {
+    ) -> Result<WatchOutcome, StoreError> {
         let path = format!(
             "/changes?starts={prefix}&since={since}&blockMs={}",
             block.as_millis()
         );
         let (status, body) = self
             .call::<()>(
-                Class::Leadership,
+                RequestPriority::Leadership,
                 0,
                 Method::GET,
                 &path,
@@ -364,15 +389,15 @@
             )
             .await?;
         match status {
-            StatusCode::OK => parse(&body).map(Watched::Changes),
-            StatusCode::GONE => Ok(Watched::TooOld),
-            _ => Err(Error::Unknown),
+            StatusCode::OK => parse(&body).map(WatchOutcome::Events),
+            StatusCode::GONE => Ok(WatchOutcome::Compacted),
+            _ => Err(StoreError::Unknown),
         }
     }
 }
 
 /// The key with the longest value of a transaction, and its bytes.
-fn largest(txn: &Transaction) -> (&str, usize) {
+fn largest_write(txn: &Transaction) -> (&str, usize) {
     let sizes = txn.writes.iter().map(|write| match write {
         Write::Set { key, value, .. } => (key.as_str(), value.to_string().len()),
         Write::Remove { key } => (key.as_str(), 0),
@@ -380,11 +405,11 @@
     sizes.max_by_key(|s| s.1).unwrap_or_default()
 }
 
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Error> {
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
     serde_json::from_slice(body).map_err(|error| {
-        if first_time(&format!("state service: {error}")) {
+        if is_first_occurrence(&format!("state service: {error}")) {
             tracing::warn!(%error, "malformed answer from the state service, taken as none");
         }
-        Error::Unknown
+        StoreError::Unknown
     })
 }
--- a/crates/tallygauge-store/src/log_once.rs
+++ b/crates/tallygauge-store/src/log_once.rs
@@ -9,7 +9,7 @@
 const MOST: usize = 100;
 
 /// Whether this cause was not seen before.
-pub fn first_time(cause: &str) -> bool {
+pub fn is_first_occurrence(cause: &str) -> bool {
     let mut seen = SEEN.lock().expect("causes lock");
     seen.len() < MOST && seen.insert(cause.to_string())
 }
--- a/crates/tallygauge-store/src/round_trip.rs
+++ b/crates/tallygauge-store/src/round_trip.rs
@@ -12,12 +12,12 @@
 
 /// Round-trip times of answered requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct RoundTrip {
+pub struct RoundTripEstimator {
     /// Smoothed mean and mean deviation, seconds; `None` before the first sample.
     estimate: Option<(f64, f64)>,
 }
 
-impl RoundTrip {
+impl RoundTripEstimator {
     /// Takes up how long an answered request took.
     pub fn observe(&mut self, sample: Duration) {
         let sample = sample.as_secs_f64();
--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -1,34 +1,34 @@
 //! Removal of records that nobody needs any more.
 
 use crate::{
-    controller::{Node, batch_key},
+    controller::{Controller, placement_batch_key},
     progress::page_writes,
 };
 use std::{sync::Arc, time::Duration};
-use tallygauge_protocol::state::{Guard, Transaction, Write};
-use tallygauge_store::{Class, Error, Outcome};
+use tallygauge_protocol::state::{Condition, Transaction, Write};
+use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
 /// Report intervals between two transactions.
-const EVERY: f64 = 0.5;
+const INTERVAL: f64 = 0.5;
 
 /// Removes obsolete records as long as this node leads. A removal whose answer is
 /// lost is made again later: removing twice does no harm, and a page is guarded on
 /// its version.
-pub async fn run(node: &Node, term_guard: &Guard) {
-    let report = node.settings.deployment.workers.report_s;
-    let pause = Duration::from_secs_f64(report * EVERY);
+pub async fn run(node: &Controller, term_guard: &Condition) {
+    let report = node.settings.deployment.workers.heartbeat_interval_s;
+    let pause = Duration::from_secs_f64(report * INTERVAL);
     loop {
         tokio::time::sleep(pause).await;
-        clean(node, term_guard).await;
+        remove_obsolete_records(node, term_guard).await;
     }
 }
 
 /// Removes batches whose attempts are over and pages that hold nothing.
-async fn clean(node: &Node, term_guard: &Guard) {
-    let most = node.settings.deployment.state.txn_ops / 2;
+async fn remove_obsolete_records(node: &Controller, term_guard: &Condition) {
+    let most = node.settings.deployment.store.max_writes_per_transaction / 2;
     let Some((batches, pages)) = node.with_cluster(|c| {
-        let batches: Vec<Arc<str>> = c.garbage.iter().take(most).cloned().collect();
-        let pages = c.pages.empty(most - batches.len());
+        let batches: Vec<Arc<str>> = c.obsolete_batches.iter().take(most).cloned().collect();
+        let pages = c.completion_pages.empty_pages(most - batches.len());
         (batches, pages)
     }) else {
         return;
@@ -37,25 +37,27 @@
         return;
     }
     let mut txn = Transaction {
-        guards: vec![term_guard.clone()],
+        conditions: vec![term_guard.clone()],
         writes: Vec::new(),
     };
     for name in &batches {
-        let key = batch_key(name);
+        let key = placement_batch_key(name);
         txn.writes.push(Write::Remove { key });
     }
     page_writes(&mut txn, &pages);
-    let outcome = node.state.transact(Class::Progress, &txn).await;
+    let outcome = node.store.transact(RequestPriority::Progress, &txn).await;
     node.with_cluster(|c| match outcome {
-        Ok(Outcome::Made(revision)) => {
+        Ok(TransactionOutcome::Committed(revision)) => {
             for name in &batches {
-                c.garbage.remove(name);
+                c.obsolete_batches.remove(name);
             }
             for page in &pages {
-                c.pages.written(page, revision);
+                c.completion_pages.mark_written(page, revision);
             }
         }
-        Ok(Outcome::Conflict(_)) | Err(Error::Unknown) => c.pages.doubt(&pages),
-        Ok(Outcome::NoLease) | Err(Error::Refused) => {}
+        Ok(TransactionOutcome::Conflict(_)) | Err(StoreError::Unknown) => {
+            c.completion_pages.mark_in_doubt(&pages)
+        }
+        Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::Refused) => {}
     });
 }
