--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -14,19 +14,24 @@
 /// Removes obsolete records as long as this node leads. A removal whose answer is
 /// lost is made again later: removing twice does no harm, and a page is guarded on
 /// its version.
-pub async fn run(node: &Controller, term_guard: &Condition) {
-    let report = node.settings.deployment.workers.heartbeat_interval_s;
+pub async fn run(controller: &Controller, term_guard: &Condition) {
+    let report = controller.settings.deployment.workers.heartbeat_interval_s;
     let pause = Duration::from_secs_f64(report * INTERVAL);
     loop {
         tokio::time::sleep(pause).await;
-        remove_obsolete_records(node, term_guard).await;
+        remove_obsolete_records(controller, term_guard).await;
     }
 }
 
 /// Removes batches whose attempts are over and pages that hold nothing.
-async fn remove_obsolete_records(node: &Controller, term_guard: &Condition) {
-    let most = node.settings.deployment.store.max_writes_per_transaction / 2;
-    let Some((batches, pages)) = node.with_cluster(|c| {
+async fn remove_obsolete_records(controller: &Controller, term_guard: &Condition) {
+    let most = controller
+        .settings
+        .deployment
+        .store
+        .max_writes_per_transaction
+        / 2;
+    let Some((batches, pages)) = controller.with_cluster(|c| {
         let batches: Vec<Arc<str>> = c.obsolete_batches.iter().take(most).cloned().collect();
         let pages = c.completion_pages.empty_pages(most - batches.len());
         (batches, pages)
@@ -45,8 +50,11 @@
         txn.writes.push(Write::Remove { key });
     }
     page_writes(&mut txn, &pages);
-    let outcome = node.store.transact(RequestPriority::Progress, &txn).await;
-    node.with_cluster(|c| match outcome {
+    let outcome = controller
+        .store
+        .transact(RequestPriority::Progress, &txn)
+        .await;
+    controller.with_cluster(|c| match outcome {
         Ok(TransactionOutcome::Committed(revision)) => {
             for name in &batches {
                 c.obsolete_batches.remove(name);
--- a/crates/tallygauge/src/cloud.rs
+++ b/crates/tallygauge/src/cloud.rs
@@ -29,14 +29,14 @@
 }
 
 async fn call<B: Serialize, T: DeserializeOwned>(
-    node: &Controller,
+    controller: &Controller,
     method: Method,
     path: &str,
     body: Option<&B>,
 ) -> Result<T, CloudError> {
-    let url = format!("http://{}{path}", node.settings.services.cloud);
+    let url = format!("http://{}{path}", controller.settings.services.cloud);
     let timeout = Duration::from_secs(4);
-    match node.http.call(method, &url, body, timeout).await {
+    match controller.http.call(method, &url, body, timeout).await {
         Ok((StatusCode::OK, bytes)) => serde_json::from_slice(&bytes).map_err(|error| {
             if is_first_occurrence(&format!("cloud: {error}")) {
                 tracing::warn!(%error, path, "malformed answer from the cloud, taken as none");
@@ -58,20 +58,20 @@
 }
 
 /// Reads the catalogue; every node needs it to judge submissions.
-pub async fn refresh_catalogue(node: &Controller) -> bool {
-    match call::<(), Catalogue>(node, Method::GET, "/catalog", None).await {
+pub async fn refresh_catalogue(controller: &Controller) -> bool {
+    match call::<(), Catalogue>(controller, Method::GET, "/catalog", None).await {
         Ok(catalogue) if !catalogue.types.is_empty() => {
             let types: Arc<Vec<MachineType>> = Arc::new(catalogue.types);
-            *node.lock(&node.catalogue) = Some(types.clone());
-            node.with_cluster(|c| c.set_machine_types(&types));
+            *controller.lock(&controller.catalogue) = Some(types.clone());
+            controller.with_cluster(|c| c.set_machine_types(&types));
             true
         }
         _ => false,
     }
 }
 
-async fn refresh_machine_list(node: &Controller) -> bool {
-    let asked = node.now();
+async fn refresh_machine_list(controller: &Controller) -> bool {
+    let asked = controller.now();
     let mut machines = Vec::new();
     loop {
         let since = machines
@@ -79,7 +79,7 @@
             .map(|m: &tallygauge_protocol::cloud::Machine| format!("since={}&", m.name))
             .unwrap_or_default();
         let path = format!("/machines?{since}page={MAX_MACHINES_PER_PAGE}");
-        match call::<(), MachinePage>(node, Method::GET, &path, None).await {
+        match call::<(), MachinePage>(controller, Method::GET, &path, None).await {
             Ok(page) => {
                 let empty = page.machines.is_empty();
                 machines.extend(page.machines);
@@ -90,13 +90,13 @@
             Err(_) => return false,
         }
     }
-    let now = node.now();
-    let gone = node
+    let now = controller.now();
+    let gone = controller
         .with_cluster(|c| c.apply_machine_list(&machines, asked, now))
         .unwrap_or_default();
     for name in gone {
         tracing::info!(machine = name, "machine is gone");
-        node.wake_scheduler.notify_one();
+        controller.wake_scheduler.notify_one();
     }
     true
 }
@@ -136,42 +136,42 @@
 
 /// Deals with the cloud while this node leads: lists, returns and rentals, none of
 /// which waits for another's answer.
-pub async fn run(node: &Arc<Controller>, term: u64) {
-    let pace = RateLimiter::new(node.settings.deployment.cloud.rps);
+pub async fn run(controller: &Arc<Controller>, term: u64) {
+    let pace = RateLimiter::new(controller.settings.deployment.cloud.rps);
     let listed = AtomicBool::new(false);
     tokio::join!(
-        follow_lists(node, &pace, &listed),
-        return_machines(node, &pace),
-        rent_machines(node, &pace, &listed, term),
+        follow_lists(controller, &pace, &listed),
+        return_machines(controller, &pace),
+        rent_machines(controller, &pace, &listed, term),
     );
 }
 
 /// Seconds between two readings of the machine list.
-fn list_every_s(node: &Controller) -> f64 {
-    let limits = &node.settings.deployment.cloud;
+fn list_every_s(controller: &Controller) -> f64 {
+    let limits = &controller.settings.deployment.cloud;
     (limits.list_lag_s * 0.5).max(4.0 / limits.rps)
 }
 
 /// Reads the catalogue and the machine list now and then. Notes in `listed` that
 /// the list was read.
-async fn follow_lists(node: &Controller, pace: &RateLimiter, listed: &AtomicBool) {
-    let list_every = list_every_s(node);
-    let catalogue_every = node.settings.deployment.cloud.list_lag_s * 8.0;
+async fn follow_lists(controller: &Controller, pace: &RateLimiter, listed: &AtomicBool) {
+    let list_every = list_every_s(controller);
+    let catalogue_every = controller.settings.deployment.cloud.list_lag_s * 8.0;
     let (mut listed_at, mut catalogued) = (f64::NEG_INFINITY, f64::NEG_INFINITY);
     loop {
-        if node.now() - catalogued > catalogue_every {
+        if controller.now() - catalogued > catalogue_every {
             pace.acquire().await;
-            if refresh_catalogue(node).await {
-                catalogued = node.now();
+            if refresh_catalogue(controller).await {
+                catalogued = controller.now();
             }
         }
-        if node.now() - listed_at > list_every {
-            let asked = node.now();
+        if controller.now() - listed_at > list_every {
+            let asked = controller.now();
             pace.acquire().await;
-            if refresh_machine_list(node).await {
+            if refresh_machine_list(controller).await {
                 listed_at = asked;
                 listed.store(true, Ordering::Relaxed);
-                node.wake_cloud.notify_one();
+                controller.wake_cloud.notify_one();
             }
         }
         tokio::time::sleep(Duration::from_secs_f64(list_every * 0.25)).await;
@@ -179,17 +179,17 @@
 }
 
 /// Rebalances and returns machines that are not wanted.
-async fn return_machines(node: &Controller, pace: &RateLimiter) {
-    let balance_every = node.settings.deployment.workers.heartbeat_interval_s * 0.5;
-    let pause = Duration::from_secs_f64((list_every_s(node) * 0.25).min(balance_every));
+async fn return_machines(controller: &Controller, pace: &RateLimiter) {
+    let balance_every = controller.settings.deployment.workers.heartbeat_interval_s * 0.5;
+    let pause = Duration::from_secs_f64((list_every_s(controller) * 0.25).min(balance_every));
     let mut balanced = f64::NEG_INFINITY;
     loop {
-        let now = node.now();
+        let now = controller.now();
         if now - balanced > balance_every {
             balanced = now;
-            node.with_cluster(|c| c.mark_surplus_machines(now));
+            controller.with_cluster(|c| c.mark_surplus_machines(now));
         }
-        if return_idle_machines(node).await {
+        if return_idle_machines(controller).await {
             pace.acquire().await;
         } else {
             tokio::time::sleep(pause).await;
@@ -199,27 +199,32 @@
 
 /// Rents machines, one booking at a time: the next is worked out from what the last
 /// one brought.
-async fn rent_machines(node: &Controller, pace: &RateLimiter, listed: &AtomicBool, term: u64) {
-    let limits = &node.settings.deployment.cloud;
-    let wait = Duration::from_secs_f64(list_every_s(node) * 0.5);
-    let began = node.now();
+async fn rent_machines(
+    controller: &Controller,
+    pace: &RateLimiter,
+    listed: &AtomicBool,
+    term: u64,
+) {
+    let limits = &controller.settings.deployment.cloud;
+    let wait = Duration::from_secs_f64(list_every_s(controller) * 0.5);
+    let began = controller.now();
     let mut pending: Option<PendingRental> = None;
     let mut booked = 0u64;
     loop {
-        let _ = tokio::time::timeout(wait, node.wake_cloud.notified()).await;
+        let _ = tokio::time::timeout(wait, controller.wake_cloud.notified()).await;
         pace.acquire().await;
         if pending.is_none() && listed.load(Ordering::Relaxed) {
             // What the leader before asked for last may not be listed yet.
-            let settled = term == 1 || node.now() - began > limits.list_lag_s;
-            let wanted = (settled && node.may_command())
-                .then(|| node.with_cluster(|c| c.rentals(node.now())))
+            let settled = term == 1 || controller.now() - began > limits.list_lag_s;
+            let wanted = (settled && controller.may_command())
+                .then(|| controller.with_cluster(|c| c.rentals(controller.now())))
                 .flatten()
                 .unwrap_or_default();
             pending = wanted.into_iter().next().map(|rental| {
                 booked += 1;
                 PendingRental {
                     request: RentRequest {
-                        request_id: format!("{}-{term}-{booked}", node.settings.node_name),
+                        request_id: format!("{}-{term}-{booked}", controller.settings.node_name),
                         machine_type: rental.kind.0,
                         zone: rental.kind.1,
                         spot: rental.kind.2,
@@ -231,18 +236,18 @@
         }
         // A leader that has not heard for long whether it still is one rents
         // nothing: another may be doing so.
-        if let Some(p) = pending.take_if(|_| node.may_command()) {
-            pending = rent(node, p).await;
+        if let Some(p) = pending.take_if(|_| controller.may_command()) {
+            pending = rent(controller, p).await;
             if pending.is_some() {
                 tokio::time::sleep(pace.gap * 4).await;
             } else {
-                node.wake_cloud.notify_one();
+                controller.wake_cloud.notify_one();
             }
         }
     }
 }
 
-async fn rent(node: &Controller, mut pending: PendingRental) -> Option<PendingRental> {
+async fn rent(controller: &Controller, mut pending: PendingRental) -> Option<PendingRental> {
     let request = &pending.request;
     let kind = (
         request.machine_type.clone(),
@@ -250,8 +255,8 @@
         request.spot,
     );
     let answer: Result<MachineNames, CloudError> =
-        call(node, Method::POST, "/machines", Some(request)).await;
-    let now = node.now();
+        call(controller, Method::POST, "/machines", Some(request)).await;
+    let now = controller.now();
     match answer {
         Ok(machines) => {
             tracing::info!(
@@ -264,7 +269,7 @@
                 "rented"
             );
             let partly = machines.names.len() < request.count as usize;
-            node.with_cluster(|c| {
+            controller.with_cluster(|c| {
                 for name in &machines.names {
                     c.register_machine(name, &kind.0, &kind.1, kind.2, "", now);
                 }
@@ -283,7 +288,7 @@
                 spot = kind.2,
                 "no capacity"
             );
-            node.with_cluster(|c| c.record_no_capacity(&kind, now));
+            controller.with_cluster(|c| c.record_no_capacity(&kind, now));
             None
         }
         Err(CloudError::Refused | CloudError::Unknown) => {
@@ -298,12 +303,12 @@
 /// request may be carried out late. While another node may lead, and use these
 /// machines, only those go that can't confirm that cancelled work stopped.
 /// Says whether more may be asked for at once: the last request was answered.
-async fn return_idle_machines(node: &Controller) -> bool {
-    if !node.may_command() {
+async fn return_idle_machines(controller: &Controller) -> bool {
+    if !controller.may_command() {
         return false;
     }
-    let (now, sure) = (node.now(), node.holds_unexpired_lease());
-    let Some(due) = node.with_cluster(|c| {
+    let (now, sure) = (controller.now(), controller.holds_unexpired_lease());
+    let Some(due) = controller.with_cluster(|c| {
         let mut due = c.returns(now);
         due.retain(|d| sure || d.1 == LeaveReason::Unconfirmed);
         due.truncate(MAX_MACHINES_PER_RETURN);
@@ -320,16 +325,19 @@
     let request = MachineNames {
         names: due.iter().map(|d| d.0.clone()).collect(),
     };
-    let url = format!("http://{}/machines/return", node.settings.services.cloud);
-    let answer = node
+    let url = format!(
+        "http://{}/machines/return",
+        controller.settings.services.cloud
+    );
+    let answer = controller
         .http
         .call(Method::POST, &url, Some(&request), Duration::from_secs(4))
         .await;
-    let now = node.now();
+    let now = controller.now();
     if !matches!(answer, Ok((StatusCode::OK, _))) {
         return false;
     }
-    node.with_cluster(|c| {
+    controller.with_cluster(|c| {
         for name in &request.names {
             c.deregister_machine(name, now);
         }
@@ -337,6 +345,6 @@
     for (machine, reason) in reasons {
         tracing::info!(machine, ?reason, "returned");
     }
-    node.wake_scheduler.notify_one();
+    controller.wake_scheduler.notify_one();
     true
 }
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -346,7 +346,7 @@
         let most = (settings.deployment.resource_limits.memory_mb * 100.0) as usize;
         let (queries, questions) =
             mpsc::channel(settings.deployment.resource_limits.connections as usize);
-        let node = Self {
+        let controller = Self {
             settings,
             operator_settings: tuning,
             store: state,
@@ -380,7 +380,7 @@
             random: Mutex::new(StdRng::seed_from_u64(rand::random())),
             peer_reached_at: Mutex::new(f64::NEG_INFINITY),
         };
-        (Arc::new(node), questions)
+        (Arc::new(controller), questions)
     }
 
     /// Seconds of the process's steady clock. Starts well above 0, so that
--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -38,8 +38,11 @@
     revision: u64,
 }
 
-async fn read_term(node: &Controller) -> Result<ObservedTerm, StoreError> {
-    let (rows, revision) = node.store.list(RequestPriority::Leadership, "t/").await?;
+async fn read_term(controller: &Controller) -> Result<ObservedTerm, StoreError> {
+    let (rows, revision) = controller
+        .store
+        .list(RequestPriority::Leadership, "t/")
+        .await?;
     let mut terms = ObservedTerm {
         leader: None,
         term: 0,
@@ -62,40 +65,40 @@
 }
 
 /// Follows the term, and leads whenever this node wins it. Never returns.
-pub async fn run(node: Arc<Controller>) {
-    let ttl = node.leader_lease_ttl();
+pub async fn run(controller: Arc<Controller>) {
+    let ttl = controller.leader_lease_ttl();
     loop {
-        let terms = match read_term(&node).await {
+        let terms = match read_term(&controller).await {
             Ok(terms) => terms,
             Err(_) => {
-                tokio::time::sleep(ttl / 8 + node.jitter(ttl / 8)).await;
+                tokio::time::sleep(ttl / 8 + controller.jitter(ttl / 8)).await;
                 continue;
             }
         };
-        *node.lock(&node.store_reached) = true;
-        node.observe_term(terms.term, terms.leader.as_ref().map(|l| l.node.as_str()));
+        *controller.lock(&controller.store_reached) = true;
+        controller.observe_term(terms.term, terms.leader.as_ref().map(|l| l.node.as_str()));
         match &terms.leader {
-            Some(_) => wait_for_term_change(&node, terms.revision).await,
-            None if node.now() < *node.lock(&node.candidacy_suspended_until) => {
+            Some(_) => wait_for_term_change(&controller, terms.revision).await,
+            None if controller.now() < *controller.lock(&controller.candidacy_suspended_until) => {
                 tokio::time::sleep(ttl / 4).await;
             }
             None => {
-                let asked = node.now();
-                let lease = match node.store.grant_lease(ttl).await {
+                let asked = controller.now();
+                let lease = match controller.store.grant_lease(ttl).await {
                     Ok(lease) => lease,
                     Err(_) => {
-                        tokio::time::sleep(ttl / 8 + node.jitter(ttl / 8)).await;
+                        tokio::time::sleep(ttl / 8 + controller.jitter(ttl / 8)).await;
                         continue;
                     }
                 };
-                match campaign(&node, &terms, lease, asked).await {
+                match campaign(&controller, &terms, lease, asked).await {
                     Some(lead) => {
-                        run_term(&node, lead, lease).await;
-                        let _ = node.store.revoke_lease(lease).await;
-                        tokio::time::sleep(node.jitter(ttl / 4)).await;
+                        run_term(&controller, lead, lease).await;
+                        let _ = controller.store.revoke_lease(lease).await;
+                        tokio::time::sleep(controller.jitter(ttl / 4)).await;
                     }
                     None => {
-                        let _ = node.store.revoke_lease(lease).await;
+                        let _ = controller.store.revoke_lease(lease).await;
                     }
                 }
             }
@@ -104,12 +107,12 @@
 }
 
 /// Waits until the leader or the term changes.
-async fn wait_for_term_change(node: &Controller, revision: u64) {
+async fn wait_for_term_change(controller: &Controller, revision: u64) {
     // A watch that dies quietly must not keep a node from standing for long.
-    let block = node.leader_lease_ttl() * 2;
-    match node.store.watch("t/", revision, block).await {
+    let block = controller.leader_lease_ttl() * 2;
+    match controller.store.watch("t/", revision, block).await {
         Ok(WatchOutcome::Events(_) | WatchOutcome::Compacted) => {}
-        Err(_) => tokio::time::sleep(node.jitter(node.leader_lease_ttl() / 4)).await,
+        Err(_) => tokio::time::sleep(controller.jitter(controller.leader_lease_ttl() / 4)).await,
     }
 }
 
@@ -117,19 +120,19 @@
 /// was read. `None` when another was faster. The lease was asked for at
 /// `granted`.
 async fn campaign(
-    node: &Controller,
+    controller: &Controller,
     terms: &ObservedTerm,
     lease: u64,
     granted: f64,
 ) -> Option<Leadership> {
     let term = terms.term + 1;
-    let name = node.settings.node_name.clone();
+    let name = controller.settings.node_name.clone();
     let leader = LeaderRecord {
         node: name.clone(),
         term,
         lease,
     };
-    let asked = node.now();
+    let asked = controller.now();
     let txn = Transaction {
         conditions: vec![
             Condition {
@@ -158,8 +161,8 @@
             },
         ],
     };
-    let patience = Some(node.leader_lease_ttl() / 2);
-    let settled = node
+    let patience = Some(controller.leader_lease_ttl() / 2);
+    let settled = controller
         .store
         .commit_with_retries(RequestPriority::Leadership, &txn, patience)
         .await;
@@ -168,7 +171,7 @@
         _ if !settled.in_doubt => return None,
         _ => {
             // An earlier copy may have been executed: then the term says so.
-            let now = read_term(node).await.ok()?;
+            let now = read_term(controller).await.ok()?;
             if now.leader.as_ref() != Some(&leader) || now.term != term {
                 return None;
             }
@@ -187,65 +190,69 @@
         lease_renewed_at: granted,
         watch_confirmed_at: asked,
         watched_revision: 0,
-        last_heartbeat_at: node.now(),
+        last_heartbeat_at: controller.now(),
     };
     Some(lead)
 }
 
 /// One term in office, until it is lost.
-async fn run_term(node: &Arc<Controller>, lead: Leadership, lease: u64) {
+async fn run_term(controller: &Arc<Controller>, lead: Leadership, lease: u64) {
     let term = lead.term;
     let guard = lead.term_condition.clone();
-    *node.lock(&node.leadership) = Some(lead);
-    node.observe_term(term, Some(&node.settings.node_name));
-    set_request_share(node, true);
+    *controller.lock(&controller.leadership) = Some(lead);
+    controller.observe_term(term, Some(&controller.settings.node_name));
+    set_request_share(controller, true);
     tokio::select! {
         biased;
-        () = renew_lease(node, lease) => {}
-        () = run_leader_duties(node, term, guard) => {}
-        () = wait_until_deposed(node, term) => {}
+        () = renew_lease(controller, lease) => {}
+        () = run_leader_duties(controller, term, guard) => {}
+        () = wait_until_deposed(controller, term) => {}
     }
-    node.step_down("the term has ended");
-    set_request_share(node, false);
+    controller.step_down("the term has ended");
+    set_request_share(controller, false);
 }
 
 /// The leader has half of the request budget, the others share the rest.
-fn set_request_share(node: &Controller, leads: bool) {
-    let limits = &node.settings.deployment.store;
-    let others = f64::from(node.settings.deployment.count.max(2) - 1);
+fn set_request_share(controller: &Controller, leads: bool) {
+    let limits = &controller.settings.deployment.store;
+    let others = f64::from(controller.settings.deployment.count.max(2) - 1);
     let share = if leads { 0.55 } else { 0.45 / others };
-    node.store
+    controller
+        .store
         .budget()
         .set_rates(limits.rps * share, limits.writes_per_s * share);
 }
 
 /// Gives the term up to a node that workers can reach, and lets others go
 /// first for a while.
-pub fn yield_leadership(node: &Controller) {
-    let pause = node.settings.deployment.workers.lease_s;
-    *node.lock(&node.candidacy_suspended_until) = node.now() + pause;
-    node.step_down("workers reach other nodes only");
+pub fn yield_leadership(controller: &Controller) {
+    let pause = controller.settings.deployment.workers.lease_s;
+    *controller.lock(&controller.candidacy_suspended_until) = controller.now() + pause;
+    controller.step_down("workers reach other nodes only");
 }
 
-async fn wait_until_deposed(node: &Controller, term: u64) {
+async fn wait_until_deposed(controller: &Controller, term: u64) {
     loop {
-        let lead = node.lock(&node.leadership).as_ref().map(|l| l.term);
+        let lead = controller
+            .lock(&controller.leadership)
+            .as_ref()
+            .map(|l| l.term);
         if lead != Some(term) {
             return;
         }
-        node.deposed.notified().await;
+        controller.deposed.notified().await;
     }
 }
 
 /// Renews the lease. Returns when it is surely gone; while the service says
 /// nothing, the term goes on and fences itself.
-async fn renew_lease(node: &Controller, lease: u64) {
-    let ttl = node.leader_lease_ttl();
+async fn renew_lease(controller: &Controller, lease: u64) {
+    let ttl = controller.leader_lease_ttl();
     loop {
-        let asked = node.now();
-        match node.store.renew_lease(lease, ttl / 3).await {
+        let asked = controller.now();
+        match controller.store.renew_lease(lease, ttl / 3).await {
             Ok(true) => {
-                if let Some(lead) = node.lock(&node.leadership).as_mut() {
+                if let Some(lead) = controller.lock(&controller.leadership).as_mut() {
                     lead.term_confirmed_at = lead.term_confirmed_at.max(asked);
                     lead.lease_renewed_at = lead.lease_renewed_at.max(asked);
                 }
@@ -260,28 +267,28 @@
     }
 }
 
-async fn run_leader_duties(node: &Arc<Controller>, term: u64, guard: Condition) {
+async fn run_leader_duties(controller: &Arc<Controller>, term: u64, guard: Condition) {
     let (revision, kept) = loop {
-        match recover_cluster_state(node, term).await {
+        match recover_cluster_state(controller, term).await {
             Ok(loaded) => break loaded,
             Err(error) => {
                 tracing::warn!(%error, "can't load the picture yet");
-                tokio::time::sleep(node.leader_lease_ttl() / 8).await;
+                tokio::time::sleep(controller.leader_lease_ttl() / 8).await;
             }
         }
     };
-    worker_api::send_direct_messages(node);
-    node.wake_scheduler.notify_one();
+    worker_api::send_direct_messages(controller);
+    controller.wake_scheduler.notify_one();
     tokio::join!(
-        watch_jobs(node, revision),
-        scheduling_loop::run(node, &guard),
-        progress::complete_jobs(node, &guard),
-        progress::flush_pages(node, &guard),
-        cleanup::run(node, &guard),
-        summary::run(node),
-        leader_records::run(node, &guard, kept),
-        reconciliation::run(node),
-        cloud::run(node, term),
+        watch_jobs(controller, revision),
+        scheduling_loop::run(controller, &guard),
+        progress::complete_jobs(controller, &guard),
+        progress::flush_pages(controller, &guard),
+        cleanup::run(controller, &guard),
+        summary::run(controller),
+        leader_records::run(controller, &guard, kept),
+        reconciliation::run(controller),
+        cloud::run(controller, term),
     );
 }
 
@@ -299,26 +306,26 @@
 /// Reads jobs, finished tasks and placements into a picture. Returns the
 /// revision from which jobs must be watched, and the kept records as found.
 async fn recover_cluster_state(
-    node: &Controller,
+    controller: &Controller,
     term: u64,
 ) -> Result<(u64, leader_records::StoredRecords), StoreError> {
     let class = RequestPriority::Leadership;
-    let (open, revision) = node.store.list(class, "o/").await?;
-    user_api::cache_active_jobs(node, open.iter().map(|r| (r.key.as_str(), r.version)));
-    let (pages, _) = node.store.list(class, "f/").await?;
-    let batches = node.store.list(class, "p/");
-    let (batches, kept) = tokio::join!(batches, leader_records::load(node));
+    let (open, revision) = controller.store.list(class, "o/").await?;
+    user_api::cache_active_jobs(controller, open.iter().map(|r| (r.key.as_str(), r.version)));
+    let (pages, _) = controller.store.list(class, "f/").await?;
+    let batches = controller.store.list(class, "p/");
+    let (batches, kept) = tokio::join!(batches, leader_records::load(controller));
     let (batches, _) = batches?;
-    let now = node.now();
-    let time_of_day = node.time_of_day();
-    let page_bytes = scheduling_loop::record_bytes(node);
+    let now = controller.now();
+    let time_of_day = controller.time_of_day();
+    let page_bytes = scheduling_loop::record_bytes(controller);
     let mut cluster = ClusterState::new(
-        node.scheduler_config(term),
+        controller.scheduler_config(term),
         now,
-        node.tasks_per_chunk(),
+        controller.tasks_per_chunk(),
         page_bytes,
     );
-    if let Some(types) = node.lock(&node.catalogue).clone() {
+    if let Some(types) = controller.lock(&controller.catalogue).clone() {
         cluster.set_machine_types(&types);
     }
     cluster.set_time_of_day(now, time_of_day);
@@ -372,33 +379,33 @@
         tokio::task::yield_now().await;
     }
     let (jobs, machines) = (cluster.jobs.len(), cluster.workers.len());
-    cluster.term_started_at = node.now();
-    if let Some(lead) = node
-        .lock(&node.leadership)
+    cluster.term_started_at = controller.now();
+    if let Some(lead) = controller
+        .lock(&controller.leadership)
         .as_mut()
         .filter(|l| l.term == term)
     {
         lead.cluster = Some(cluster);
         lead.watched_revision = revision;
         // None could be answered until now.
-        lead.last_heartbeat_at = node.now();
+        lead.last_heartbeat_at = controller.now();
     }
     tracing::info!(term, jobs, machines, "picture loaded");
     Ok((revision, kept))
 }
 
 /// Follows submissions and cancellations made through any node.
-async fn watch_jobs(node: &Controller, mut revision: u64) {
-    let block = Duration::from_secs_f64(node.fence_s() / 6.0);
+async fn watch_jobs(controller: &Controller, mut revision: u64) {
+    let block = Duration::from_secs_f64(controller.fence_s() / 6.0);
     loop {
-        let asked = node.now();
-        match node.store.watch("o/", revision, block).await {
+        let asked = controller.now();
+        match controller.store.watch("o/", revision, block).await {
             Ok(WatchOutcome::Events(changes)) => {
-                let now = node.now();
-                let time_of_day = node.time_of_day();
+                let now = controller.now();
+                let time_of_day = controller.time_of_day();
                 let any = !changes.events.is_empty();
                 revision = revision.max(changes.revision);
-                if let Some(lead) = node.lock(&node.leadership).as_mut() {
+                if let Some(lead) = controller.lock(&controller.leadership).as_mut() {
                     lead.watch_confirmed_at = asked;
                     lead.watched_revision = revision;
                     if let Some(cluster) = lead.cluster.as_mut() {
@@ -408,15 +415,19 @@
                     }
                 }
                 if any {
-                    node.wake_scheduler.notify_one();
+                    controller.wake_scheduler.notify_one();
                 }
             }
             Ok(WatchOutcome::Compacted) => {
-                match node.store.list(RequestPriority::Leadership, "o/").await {
+                match controller
+                    .store
+                    .list(RequestPriority::Leadership, "o/")
+                    .await
+                {
                     Ok((rows, at)) => {
-                        let now = node.now();
-                        let time_of_day = node.time_of_day();
-                        node.with_cluster(|cluster| {
+                        let now = controller.now();
+                        let time_of_day = controller.time_of_day();
+                        controller.with_cluster(|cluster| {
                             let over: Vec<String> = cluster
                                 .jobs
                                 .keys()
@@ -436,15 +447,15 @@
                             }
                         });
                         revision = at;
-                        if let Some(lead) = node.lock(&node.leadership).as_mut() {
+                        if let Some(lead) = controller.lock(&controller.leadership).as_mut() {
                             lead.watched_revision = at;
                         }
-                        node.wake_scheduler.notify_one();
+                        controller.wake_scheduler.notify_one();
                     }
-                    Err(_) => tokio::time::sleep(node.leader_lease_ttl() / 8).await,
+                    Err(_) => tokio::time::sleep(controller.leader_lease_ttl() / 8).await,
                 }
             }
-            Err(_) => tokio::time::sleep(node.leader_lease_ttl() / 8).await,
+            Err(_) => tokio::time::sleep(controller.leader_lease_ttl() / 8).await,
         }
     }
 }
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -56,9 +56,13 @@
 
 /// Reads what earlier leaders kept. It may be missing: never a reason not to
 /// lead.
-pub async fn load(node: &Controller) -> StoredRecords {
+pub async fn load(controller: &Controller) -> StoredRecords {
     let mut kept = StoredRecords::default();
-    if let Ok((rows, _)) = node.store.list(RequestPriority::Leadership, PREFIX).await {
+    if let Ok((rows, _)) = controller
+        .store
+        .list(RequestPriority::Leadership, PREFIX)
+        .await
+    {
         for row in rows {
             if let Some(name) = row.key.strip_prefix(PREFIX) {
                 kept.found
@@ -72,40 +76,45 @@
 
 /// Keeps records at the state service, as long as this node leads. What isn't
 /// written for want of budget is written later.
-pub async fn run(node: &Arc<Controller>, term_guard: &Condition, kept: StoredRecords) {
-    let report = node.settings.deployment.workers.heartbeat_interval_s;
+pub async fn run(controller: &Arc<Controller>, term_guard: &Condition, kept: StoredRecords) {
+    let report = controller.settings.deployment.workers.heartbeat_interval_s;
     let pause = Duration::from_secs_f64(report * STAGE_INTERVAL);
-    let bytes = record_bytes(node);
+    let bytes = record_bytes(controller);
     let mut shelf = WriteBehind::new(bytes);
     let mut versions: BTreeMap<String, u64> = kept
         .found
         .iter()
         .map(|(name, f)| (name.clone(), f.1))
         .collect();
-    let mut shown = node.now();
-    stage_declared_settings(node, &mut shelf, &kept);
+    let mut shown = controller.now();
+    stage_declared_settings(controller, &mut shelf, &kept);
     // What is ahead is written before anything else, and in force when it is.
     while let Some(parcel) = shelf.next_batch(2, bytes, true) {
-        write(node, term_guard, &mut shelf, &mut versions, &parcel).await;
+        write(controller, term_guard, &mut shelf, &mut versions, &parcel).await;
         if parcel.entries.iter().any(|i| !shelf.is_durable(&i.name)) {
-            tokio::time::sleep(node.leader_lease_ttl() / 8).await;
+            tokio::time::sleep(controller.leader_lease_ttl() / 8).await;
         }
     }
     if let Some(ledger) = shelf.desired::<PriorityRules>() {
-        node.with_cluster(|c| c.set_priority_rules(ledger));
+        controller.with_cluster(|c| c.set_priority_rules(ledger));
     }
     if let Some(calendar) = shelf.desired::<CutoffSettings>() {
-        node.with_cluster(|c| calendar.apply_to(c));
+        controller.with_cluster(|c| calendar.apply_to(c));
     }
-    node.wake_scheduler.notify_one();
+    controller.wake_scheduler.notify_one();
     loop {
         tokio::time::sleep(pause).await;
-        stage_current(node, &mut shelf, bytes);
-        let most = node.settings.deployment.store.max_writes_per_transaction / 2;
+        stage_current(controller, &mut shelf, bytes);
+        let most = controller
+            .settings
+            .deployment
+            .store
+            .max_writes_per_transaction
+            / 2;
         if let Some(parcel) = shelf.next_batch(most, bytes, false) {
-            write(node, term_guard, &mut shelf, &mut versions, &parcel).await;
+            write(controller, term_guard, &mut shelf, &mut versions, &parcel).await;
         }
-        let now = node.now();
+        let now = controller.now();
         if now - shown > report * STAGE_INTERVAL * 8.0 {
             shown = now;
             let records: Vec<String> = shelf
@@ -123,12 +132,12 @@
 
 /// Puts the cutoffs and ranks that this node's settings declare on the shelf, if
 /// they are newer than those in force.
-fn stage_declared_settings(node: &Controller, shelf: &mut WriteBehind, kept: &StoredRecords) {
-    let calendar = &node.operator_settings.cutoffs;
+fn stage_declared_settings(controller: &Controller, shelf: &mut WriteBehind, kept: &StoredRecords) {
+    let calendar = &controller.operator_settings.cutoffs;
     let before = kept.calendar.as_ref();
     let in_force = before.map_or(0, |c| c.version);
     if calendar.version > in_force {
-        let put = shelf.stage(None, calendar, node.time_of_day());
+        let put = shelf.stage(None, calendar, controller.time_of_day());
         tracing::info!(version = calendar.version, ?put, "cutoffs are declared");
     } else if calendar.version == in_force && before.is_some_and(|c| c != calendar) {
         let version = in_force;
@@ -137,13 +146,13 @@
             "other cutoffs of this version are in force: raise the version"
         );
     }
-    let declared = node
+    let declared = controller
         .operator_settings
         .ranks
-        .declared(&node.operator_settings.cutoffs);
-    let at = node.time_of_day();
+        .declared(&controller.operator_settings.cutoffs);
+    let at = controller.time_of_day();
     let change = declared.ok().and_then(|d| {
-        let change = node.with_cluster(|c| c.priority_rules().declare(&d, at))?;
+        let change = controller.with_cluster(|c| c.priority_rules().declare(&d, at))?;
         Some((d.version, change))
     });
     match change {
@@ -165,12 +174,12 @@
 }
 
 /// Puts the records on the shelf as they should be now.
-fn stage_current(node: &Controller, shelf: &mut WriteBehind, bytes: usize) {
-    let at = node.time_of_day();
+fn stage_current(controller: &Controller, shelf: &mut WriteBehind, bytes: usize) {
+    let at = controller.time_of_day();
     // What the keeper adds to a record.
     let room = bytes.saturating_sub(64);
-    let least_s = node.operator_settings.locality.remember_from;
-    let Some((floor, images, calendar)) = node.with_cluster(|c| {
+    let least_s = controller.operator_settings.locality.remember_from;
+    let Some((floor, images, calendar)) = controller.with_cluster(|c| {
         let images = c.image_locations(least_s, room, IMAGE_SHARDS);
         (
             c.service_counts_record(room),
@@ -195,7 +204,7 @@
 /// Writes a parcel in one change, on condition of the term and of each record
 /// being as it was last written: a late write must not land on a newer one.
 async fn write(
-    node: &Controller,
+    controller: &Controller,
     term_guard: &Condition,
     shelf: &mut WriteBehind,
     versions: &mut BTreeMap<String, u64>,
@@ -217,7 +226,7 @@
             lease: None,
         });
     }
-    match node
+    match controller
         .store
         .transact(RequestPriority::Maintenance, &txn)
         .await
@@ -226,11 +235,15 @@
             for item in &parcel.entries {
                 versions.insert(item.name.clone(), revision);
             }
-            shelf.mark_written(parcel, node.now());
+            shelf.mark_written(parcel, controller.now());
         }
         // An unanswered write may have been made: what is there is read again.
         Ok(TransactionOutcome::Conflict(_)) | Err(StoreError::Unknown) => {
-            if let Ok((rows, _)) = node.store.list(RequestPriority::Maintenance, PREFIX).await {
+            if let Ok((rows, _)) = controller
+                .store
+                .list(RequestPriority::Maintenance, PREFIX)
+                .await
+            {
                 *versions = rows
                     .into_iter()
                     .filter_map(|r| Some((r.key.strip_prefix(PREFIX)?.to_string(), r.version)))
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -34,20 +34,20 @@
 
 /// The parts that run without being asked: leadership, questions, catalogue.
 pub async fn background(
-    node: Arc<Controller>,
+    controller: Arc<Controller>,
     questions: mpsc::Receiver<controller::VersionCheck>,
 ) {
-    let pause = Duration::from_secs_f64(2.0 / node.settings.deployment.cloud.rps);
+    let pause = Duration::from_secs_f64(2.0 / controller.settings.deployment.cloud.rps);
     let catalogue = async {
-        while !cloud::refresh_catalogue(&node).await {
-            tokio::time::sleep(pause + node.jitter(pause)).await;
+        while !cloud::refresh_catalogue(&controller).await {
+            tokio::time::sleep(pause + controller.jitter(pause)).await;
         }
     };
     tokio::join!(
         catalogue,
-        leader::run(node.clone()),
-        user_api::serve_version_checks(node.clone(), questions),
-        user_api::refresh_active_jobs(node.clone()),
+        leader::run(controller.clone()),
+        user_api::serve_version_checks(controller.clone(), questions),
+        user_api::refresh_active_jobs(controller.clone()),
     );
 }
 
@@ -65,16 +65,17 @@
     let idle = Duration::from_secs_f64(settings.deployment.workers.lease_s);
     let http = HttpClient::new(connect, idle, limit);
     let (state, connections) = HttpClient::with_driver(connect, idle, limit);
-    let (node, questions) = Controller::new(settings, tuning, state, http, Arc::new(SystemClock));
-    tracing::info!(node = node.settings.node_name, "starts");
-    tokio::spawn(server::serve(node.clone()));
-    tokio::spawn(peers::run(node.clone()));
-    tokio::spawn(node.clone().measure_scheduling_delay());
-    let peers = tokio::spawn(peers::serve(node.clone()));
+    let (controller, questions) =
+        Controller::new(settings, tuning, state, http, Arc::new(SystemClock));
+    tracing::info!(node = controller.settings.node_name, "starts");
+    tokio::spawn(server::serve(controller.clone()));
+    tokio::spawn(peers::run(controller.clone()));
+    tokio::spawn(controller.clone().measure_scheduling_delay());
+    let peers = tokio::spawn(peers::serve(controller.clone()));
     // What is not spawned does not queue behind hundreds of workers' requests:
     // the runtime looks at it first. A lease that waits its turn is lost.
     tokio::select! {
-        () = background(node, questions) => Ok(()),
+        () = background(controller, questions) => Ok(()),
         () = connections.run() => Ok(()),
         served = peers => Ok(served??),
     }
--- a/crates/tallygauge/src/peers.rs
+++ b/crates/tallygauge/src/peers.rs
@@ -27,7 +27,7 @@
 
 /// The other nodes, as takers of users' requests.
 struct Peers {
-    node: Weak<Controller>,
+    controller: Weak<Controller>,
     clients: Vec<(String, PeerClient<Channel>)>,
     /// Bounds the requests that are under way.
     turns: Semaphore,
@@ -40,7 +40,7 @@
     fn relay<'a>(&'a self, method: &'a Method, path: &'a str, body: &'a [u8]) -> RelayFuture<'a> {
         Box::pin(async move {
             let _turn = self.turns.try_acquire().ok()?;
-            let leader = self.node.upgrade()?;
+            let leader = self.controller.upgrade()?;
             let leader = leader.lock(&leader.leader_view).leader.clone();
             // The leader is served by the state service, or soon another leads.
             let (first, others): (Vec<_>, Vec<_>) = self
@@ -119,11 +119,11 @@
 ///
 /// # Errors
 /// When the address can't be taken.
-pub async fn serve(node: Arc<Controller>) -> Result<(), tonic::transport::Error> {
-    let addr = node.settings.peer_listen;
+pub async fn serve(controller: Arc<Controller>) -> Result<(), tonic::transport::Error> {
+    let addr = controller.settings.peer_listen;
     Server::builder()
         .http2_keepalive_interval(Some(Duration::from_secs(20)))
-        .add_service(PeerServer::new(Service(node)))
+        .add_service(PeerServer::new(Service(controller)))
         .serve(addr)
         .await
 }
@@ -138,26 +138,29 @@
 
 /// Tells the peers who leads whenever that changes, and reads task counts from
 /// the leader while users ask for them.
-pub async fn run(node: Arc<Controller>) {
+pub async fn run(controller: Arc<Controller>) {
     let timeout =
-        Duration::from_secs_f64(node.settings.deployment.workers.heartbeat_interval_s / 2.0);
-    let clients: Vec<(String, PeerClient<Channel>)> = node
+        Duration::from_secs_f64(controller.settings.deployment.workers.heartbeat_interval_s / 2.0);
+    let clients: Vec<(String, PeerClient<Channel>)> = controller
         .settings
         .peers
         .iter()
         .filter_map(|p| Some((p.node_name.clone(), client(p.addr, timeout)?)))
         .collect();
     let peers = Peers {
-        node: Arc::downgrade(&node),
+        controller: Arc::downgrade(&controller),
         clients: clients.clone(),
-        turns: Semaphore::new(node.settings.deployment.resource_limits.connections as usize / 16),
+        turns: Semaphore::new(
+            controller.settings.deployment.resource_limits.connections as usize / 16,
+        ),
     };
-    *node.lock(&node.relay) = Some(Arc::new(peers));
+    *controller.lock(&controller.relay) = Some(Arc::new(peers));
     let mut told = 0;
     loop {
-        let _ = tokio::time::timeout(Duration::from_secs(1), node.leader_changed.notified()).await;
-        let role = node.lock(&node.leader_view).clone();
-        let mine = role.leader.as_deref() == Some(node.settings.node_name.as_str());
+        let _ = tokio::time::timeout(Duration::from_secs(1), controller.leader_changed.notified())
+            .await;
+        let role = controller.lock(&controller.leader_view).clone();
+        let mine = role.leader.as_deref() == Some(controller.settings.node_name.as_str());
         let announcement = Announcement {
             term: role.term,
             leader: role.leader.clone().unwrap_or_default(),
@@ -167,41 +170,41 @@
             told = role.term;
             for (_, client) in &clients {
                 let mut client = client.clone();
-                let node = node.clone();
+                let controller = controller.clone();
                 let announcement = announcement.clone();
                 tokio::spawn(async move {
                     if let Ok(answer) = client.announce(announcement).await {
                         let answer = answer.into_inner();
                         let leader = (!answer.leader.is_empty()).then_some(answer.leader.as_str());
-                        node.observe_term(answer.term, leader);
+                        controller.observe_term(answer.term, leader);
                     }
                 });
             }
         }
-        if mine && worker_api::lacks_heartbeats(&node) {
+        if mine && worker_api::lacks_heartbeats(&controller) {
             for (_, client) in &clients {
                 let answer = client.clone().announce(announcement.clone()).await;
                 if answer.is_ok_and(|a| a.into_inner().workers_call) {
-                    leader::yield_leadership(&node);
+                    leader::yield_leadership(&controller);
                     break;
                 }
             }
         }
         // Old answers do not count when it lags the next time.
         let mut up = 0;
-        if mine && node.now() < *node.lock(&node.sheds_user_load_until) {
+        if mine && controller.now() < *controller.lock(&controller.sheds_user_load_until) {
             up = count_reachable(&clients, &announcement).await;
         }
-        *node.lock(&node.reachable_peers) = up;
+        *controller.lock(&controller.reachable_peers) = up;
         // A node that the state service does not serve finds out if it is apart.
-        let served = node.store.failing_since().is_none();
+        let served = controller.store.failing_since().is_none();
         if served || count_reachable(&clients, &announcement).await > 0 {
-            *node.lock(&node.peer_reached_at) = node.now();
+            *controller.lock(&controller.peer_reached_at) = controller.now();
         }
         if !mine {
             let leader = clients.iter().find(|c| Some(&c.0) == role.leader.as_ref());
             if let Some((_, client)) = leader {
-                refresh_task_counts(&node, client.clone()).await;
+                refresh_task_counts(&controller, client.clone()).await;
             }
         }
     }
@@ -216,17 +219,17 @@
     join_all(asked).await.into_iter().filter(|up| *up).count()
 }
 
-async fn refresh_task_counts(node: &Controller, mut client: PeerClient<Channel>) {
+async fn refresh_task_counts(controller: &Controller, mut client: PeerClient<Channel>) {
     let ids: Vec<String> = {
-        let mut counts = node.lock(&node.task_counts);
+        let mut counts = controller.lock(&controller.task_counts);
         std::mem::take(&mut counts.asked).into_iter().collect()
     };
     if ids.is_empty() {
         return;
     }
     if let Ok(reply) = client.progress(ProgressRequest { ids }).await {
-        let now = node.now();
-        let mut counts = node.lock(&node.task_counts);
+        let now = controller.now();
+        let mut counts = controller.lock(&controller.task_counts);
         for job in reply.into_inner().jobs {
             counts.known.insert(job.id, (job.done, job.running, now));
         }
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -22,7 +22,7 @@
 /// Batches that a leader is making durable. One in doubt holds its own tasks,
 /// capacity and quota, and nothing else: rounds go on over the rest.
 pub struct PlacementWriter<'a> {
-    node: &'a Arc<Controller>,
+    controller: &'a Arc<Controller>,
     term_guard: &'a Condition,
     /// Planned and not sent yet, for want of a turn.
     waiting: VecDeque<PlacementBatch>,
@@ -33,10 +33,10 @@
 impl<'a> PlacementWriter<'a> {
     /// None under way.
     #[must_use]
-    pub fn new(node: &'a Arc<Controller>, term_guard: &'a Condition) -> Self {
-        let writes = node.settings.deployment.store.writes_per_s;
+    pub fn new(controller: &'a Arc<Controller>, term_guard: &'a Condition) -> Self {
+        let writes = controller.settings.deployment.store.writes_per_s;
         Self {
-            node,
+            controller,
             term_guard,
             waiting: VecDeque::new(),
             in_flight: FuturesUnordered::new(),
@@ -60,9 +60,9 @@
         while self.in_flight.len() < self.max_in_flight
             && let Some(batch) = self.waiting.pop_front()
         {
-            let (node, term_guard) = (self.node, self.term_guard);
+            let (controller, term_guard) = (self.controller, self.term_guard);
             self.in_flight
-                .push(Box::pin(commit_batch(node, term_guard, batch)));
+                .push(Box::pin(commit_batch(controller, term_guard, batch)));
         }
     }
 
@@ -79,7 +79,7 @@
                 Some(()) = self.in_flight.next(), if !self.in_flight.is_empty() => {
                     self.send();
                     if !had_turn && self.has_capacity() {
-                        self.node.wake_scheduler.notify_one();
+                        self.controller.wake_scheduler.notify_one();
                     }
                 }
             }
@@ -118,28 +118,28 @@
 /// Unanswered, the same transaction is sent until it is answered: it can be
 /// made once at most, and a refusal on its conditions is final, since neither
 /// a removed job nor a term comes back.
-async fn commit_batch(node: &Arc<Controller>, term_guard: &Condition, batch: PlacementBatch) {
+async fn commit_batch(controller: &Arc<Controller>, term_guard: &Condition, batch: PlacementBatch) {
     let txn = transaction(term_guard, &batch);
-    let settled = node
+    let settled = controller
         .store
         .commit_with_retries(RequestPriority::Placement, &txn, None)
         .await;
     let made = match settled.outcome {
         Ok(TransactionOutcome::Committed(_)) => {
-            if let Some(lead) = node.lock(&node.leadership).as_mut() {
-                let asked = node.instant_to_seconds(settled.sent_at);
+            if let Some(lead) = controller.lock(&controller.leadership).as_mut() {
+                let asked = controller.instant_to_seconds(settled.sent_at);
                 lead.term_confirmed_at = lead.term_confirmed_at.max(asked);
             }
             true
         }
         Ok(TransactionOutcome::Conflict(failed)) => {
             if failed.iter().any(|k| k == TERM_KEY) {
-                node.step_down("a write found another term");
+                controller.step_down("a write found another term");
                 return;
             }
-            let now = node.now();
+            let now = controller.now();
             // The jobs are over; the watch will say how.
-            node.with_cluster(|c| {
+            controller.with_cluster(|c| {
                 for (id, _) in &batch.jobs {
                     if failed.contains(&active_job_key(id)) {
                         c.remove_job(id, now);
@@ -147,12 +147,12 @@
                 }
             });
             // Made by an earlier copy, it is there now; else it never will be.
-            settled.in_doubt && exists(node, &batch).await
+            settled.in_doubt && exists(controller, &batch).await
         }
         Ok(TransactionOutcome::LeaseExpired) | Err(_) => false,
     };
-    let now = node.now();
-    node.with_cluster(|c| {
+    let now = controller.now();
+    controller.with_cluster(|c| {
         if made {
             c.record_batch_committed(&batch, now);
         } else {
@@ -161,17 +161,17 @@
     });
     tracing::debug!(batch = &*batch.name, made, "placements");
     if !made {
-        node.wake_scheduler.notify_one();
+        controller.wake_scheduler.notify_one();
     }
-    worker_api::send_direct_messages(node);
+    worker_api::send_direct_messages(controller);
 }
 
 /// Whether a batch is on record.
-async fn exists(node: &Controller, batch: &PlacementBatch) -> bool {
+async fn exists(controller: &Controller, batch: &PlacementBatch) -> bool {
     let key = placement_batch_key(&batch.name);
-    let pause: Duration = node.leader_lease_ttl() / 8;
+    let pause: Duration = controller.leader_lease_ttl() / 8;
     loop {
-        if let Ok(row) = node.store.get(RequestPriority::Placement, &key).await {
+        if let Ok(row) = controller.store.get(RequestPriority::Placement, &key).await {
             return row.is_some();
         }
         tokio::time::sleep(pause).await;
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -27,16 +27,21 @@
 
 /// Makes the ends of jobs durable, as long as this node leads. A transaction in
 /// doubt keeps only its own jobs waiting.
-pub async fn complete_jobs(node: &Controller, term_guard: &Condition) {
-    let report = node.settings.deployment.workers.heartbeat_interval_s;
+pub async fn complete_jobs(controller: &Controller, term_guard: &Condition) {
+    let report = controller.settings.deployment.workers.heartbeat_interval_s;
     let pause = Duration::from_secs_f64(report * PAUSE);
     let between = Duration::from_secs_f64(report * FLUSH_EVERY);
-    let most = node.settings.deployment.store.max_writes_per_transaction / 2;
+    let most = controller
+        .settings
+        .deployment
+        .store
+        .max_writes_per_transaction
+        / 2;
     let mut under_way = FuturesUnordered::new();
     let mut sent: BTreeSet<String> = BTreeSet::new();
     loop {
         let wait = async {
-            let _ = tokio::time::timeout(between, node.wake_completions.notified()).await;
+            let _ = tokio::time::timeout(between, controller.wake_completions.notified()).await;
             tokio::time::sleep(pause).await;
         };
         tokio::pin!(wait);
@@ -54,31 +59,35 @@
             }
         }
         while under_way.len() < MOST_UNDER_WAY {
-            let due = node.with_cluster(|c| c.completions(most, &sent));
+            let due = controller.with_cluster(|c| c.completions(most, &sent));
             let due = due.unwrap_or_default();
             if due.is_empty() {
                 break;
             }
             sent.extend(due.iter().map(|j| j.job.clone()));
-            under_way.push(complete(node, term_guard, due));
+            under_way.push(complete(controller, term_guard, due));
         }
     }
 }
 
 /// Makes finished tasks of other jobs durable now and then, as long as this node
 /// leads. One flush at a time: a page is guarded on its version.
-pub async fn flush_pages(node: &Arc<Controller>, term_guard: &Condition) {
-    let report = node.settings.deployment.workers.heartbeat_interval_s;
+pub async fn flush_pages(controller: &Arc<Controller>, term_guard: &Condition) {
+    let report = controller.settings.deployment.workers.heartbeat_interval_s;
     let between = Duration::from_secs_f64(report * FLUSH_EVERY);
-    let ops = node.settings.deployment.store.max_writes_per_transaction;
+    let ops = controller
+        .settings
+        .deployment
+        .store
+        .max_writes_per_transaction;
     loop {
         tokio::time::sleep(between).await;
-        resolve_pages_in_doubt(node).await;
-        let due = node
+        resolve_pages_in_doubt(controller).await;
+        let due = controller
             .with_cluster(|c| c.next_flush(ops, VALUE_BYTES))
             .flatten();
         if let Some(due) = due {
-            commit_pages(node, term_guard, &due).await;
+            commit_pages(controller, term_guard, &due).await;
         }
     }
 }
@@ -87,7 +96,7 @@
 /// only one of them comes true; for the same reason a copy of it does no harm. Returns
 /// the jobs that it was about.
 async fn complete(
-    node: &Controller,
+    controller: &Controller,
     term_guard: &Condition,
     due: Vec<Completion>,
 ) -> Vec<Completion> {
@@ -112,24 +121,24 @@
             lease: None,
         });
     }
-    let settled = node
+    let settled = controller
         .store
         .commit_with_retries(RequestPriority::Users, &txn, None)
         .await;
-    let now = node.now();
+    let now = controller.now();
     match settled.outcome {
         Ok(TransactionOutcome::Committed(_)) => {
             for job in &due {
-                node.with_cluster(|c| c.remove_job(&job.job, now));
+                controller.with_cluster(|c| c.remove_job(&job.job, now));
                 let known = CachedJob::Terminal(JobStatus::Done, job.tasks);
-                node.lock(&node.jobs).insert(&job.job, known);
+                controller.lock(&controller.jobs).insert(&job.job, known);
                 tracing::debug!(job = job.job, "done");
             }
-            node.wake_scheduler.notify_one();
+            controller.wake_scheduler.notify_one();
         }
         Ok(TransactionOutcome::Conflict(failed)) => {
             if failed.iter().any(|k| k == TERM_KEY) {
-                node.step_down("a write found another term");
+                controller.step_down("a write found another term");
                 return due;
             }
             // Cancelled first, or an unanswered try was made after all.
@@ -137,7 +146,7 @@
                 .iter()
                 .filter(|j| failed.contains(&active_job_key(&j.job)));
             for job in over {
-                node.with_cluster(|c| c.remove_job(&job.job, now));
+                controller.with_cluster(|c| c.remove_job(&job.job, now));
             }
         }
         Ok(TransactionOutcome::LeaseExpired) | Err(_) => {}
@@ -166,7 +175,7 @@
     }
 }
 
-async fn commit_pages(node: &Controller, term_guard: &Condition, flush: &Flush) {
+async fn commit_pages(controller: &Controller, term_guard: &Condition, flush: &Flush) {
     if flush.pages.writes.is_empty() {
         return;
     }
@@ -175,7 +184,7 @@
         writes: Vec::new(),
     };
     page_writes(&mut txn, &flush.pages.writes);
-    let settled = node
+    let settled = controller
         .store
         .commit_with_retries(RequestPriority::Progress, &txn, None)
         .await;
@@ -183,10 +192,10 @@
     if let Ok(TransactionOutcome::Conflict(failed)) = &outcome
         && failed.iter().any(|k| k == TERM_KEY)
     {
-        node.step_down("a write found another term");
+        controller.step_down("a write found another term");
         return;
     }
-    node.with_cluster(|c| match outcome {
+    controller.with_cluster(|c| match outcome {
         Ok(TransactionOutcome::Committed(revision)) => c.record_flushed(flush, revision),
         Ok(TransactionOutcome::Conflict(_)) | Err(StoreError::Unknown) => {
             c.completion_pages.mark_flush_failed(&flush.pages, true)
@@ -198,12 +207,12 @@
 }
 
 /// Reads the versions of pages again that an unanswered write may have changed.
-async fn resolve_pages_in_doubt(node: &Controller) {
-    let unsure = node
+async fn resolve_pages_in_doubt(controller: &Controller) {
+    let unsure = controller
         .with_cluster(|c| c.completion_pages.pages_in_doubt())
         .unwrap_or_default();
     for page in unsure {
-        let Ok(row) = node
+        let Ok(row) = controller
             .store
             .get(RequestPriority::Progress, &completion_page_key(page))
             .await
@@ -211,6 +220,6 @@
             return;
         };
         let version = row.map_or(0, |r| r.version);
-        node.with_cluster(|c| c.completion_pages.resolve_version(page, version));
+        controller.with_cluster(|c| c.completion_pages.resolve_version(page, version));
     }
 }
--- a/crates/tallygauge/src/reconciliation.rs
+++ b/crates/tallygauge/src/reconciliation.rs
@@ -14,23 +14,25 @@
 
 /// Sweeps as long as this node leads: a step of the picture now and then, all
 /// records of open jobs once a lease.
-pub async fn run(node: &Controller) {
-    let w = &node.settings.deployment.workers;
+pub async fn run(controller: &Controller) {
+    let w = &controller.settings.deployment.workers;
     let pause = Duration::from_secs_f64(w.heartbeat_interval_s / STEPS);
-    let mut listed = node.now();
+    let mut listed = controller.now();
     loop {
         tokio::time::sleep(pause).await;
-        let found = node.with_cluster(|c| c.reconcile(STEP)).unwrap_or_default();
+        let found = controller
+            .with_cluster(|c| c.reconcile(STEP))
+            .unwrap_or_default();
         for text in &found {
             tracing::warn!(found = text, "the sweep mends");
         }
         if !found.is_empty() {
-            node.wake_scheduler.notify_one();
+            controller.wake_scheduler.notify_one();
         }
-        let now = node.now();
+        let now = controller.now();
         if now - listed > w.lease_s {
             listed = now;
-            reconcile_with_store(node).await;
+            reconcile_with_store(controller).await;
         }
     }
 }
@@ -41,9 +43,9 @@
 /// What the picture had followed up to `followed` it must show: an open job that
 /// is older than that and was not in it before the records were listed was
 /// lost. One that was in it, and is not on record at a later time, is over.
-pub async fn reconcile_with_store(node: &Controller) -> (usize, usize) {
+pub async fn reconcile_with_store(controller: &Controller) -> (usize, usize) {
     let before = {
-        let lead = node.lock(&node.leadership);
+        let lead = controller.lock(&controller.leadership);
         lead.as_ref().and_then(|l| {
             let cluster = l.cluster.as_ref()?;
             Some((l.term, l.watched_revision, cluster.active_job_ids()))
@@ -52,14 +54,18 @@
     let Some((term, followed, known)) = before else {
         return (0, 0);
     };
-    let Ok((rows, _)) = node.store.list(RequestPriority::Maintenance, "o/").await else {
+    let Ok((rows, _)) = controller
+        .store
+        .list(RequestPriority::Maintenance, "o/")
+        .await
+    else {
         return (0, 0);
     };
     let (missing, over) = differences(&known, rows, followed);
-    let (now, time_of_day) = (node.now(), node.time_of_day());
+    let (now, time_of_day) = (controller.now(), controller.time_of_day());
     let mut counts = (0, 0);
     {
-        let mut lead = node.lock(&node.leadership);
+        let mut lead = controller.lock(&controller.leadership);
         let lead = lead.as_mut().filter(|l| l.term == term);
         let Some(cluster) = lead.and_then(|l| l.cluster.as_mut()) else {
             return (0, 0);
@@ -86,7 +92,7 @@
         }
     }
     if counts != (0, 0) {
-        node.wake_scheduler.notify_one();
+        controller.wake_scheduler.notify_one();
     }
     counts
 }
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -20,8 +20,8 @@
 
 /// Bytes of one record.
 #[must_use]
-pub fn record_bytes(node: &Controller) -> usize {
-    let limit = node.settings.deployment.store.max_value_kib * 1024.0;
+pub fn record_bytes(controller: &Controller) -> usize {
+    let limit = controller.settings.deployment.store.max_value_kib * 1024.0;
     ((limit * VALUE_USED) as usize).min(VALUE_BYTES)
 }
 
@@ -29,48 +29,48 @@
 /// sooner after the last than the gap; else the interval does. The gap follows
 /// what a round takes, so that reports and users are never starved by rounds.
 /// Nothing here waits for an outside answer: placements are driven beside it.
-pub async fn run(node: &Arc<Controller>, term_guard: &Condition) {
-    let report = node.settings.deployment.workers.heartbeat_interval_s;
-    let gap = report * node.operator_settings.min_round_interval;
-    let interval = node.operator_settings.round_interval.min(report);
+pub async fn run(controller: &Arc<Controller>, term_guard: &Condition) {
+    let report = controller.settings.deployment.workers.heartbeat_interval_s;
+    let gap = report * controller.operator_settings.min_round_interval;
+    let interval = controller.operator_settings.round_interval.min(report);
     let mut ticked = f64::NEG_INFINITY;
-    let mut placements = PlacementWriter::new(node, term_guard);
+    let mut placements = PlacementWriter::new(controller, term_guard);
     loop {
-        let wake = node
+        let wake = controller
             .with_cluster(|c| c.next_wake())
             .flatten()
-            .map_or(interval, |t| (t - node.now()).clamp(0.01, interval));
+            .map_or(interval, |t| (t - controller.now()).clamp(0.01, interval));
         let wake = Duration::from_secs_f64(wake);
         let event = async {
-            let _ = tokio::time::timeout(wake, node.wake_scheduler.notified()).await;
+            let _ = tokio::time::timeout(wake, controller.wake_scheduler.notified()).await;
         };
         placements.run_until(event).await;
-        let now = node.now();
+        let now = controller.now();
         if now - ticked > report * TICK_EVERY {
             ticked = now;
-            node.with_cluster(|c| {
+            controller.with_cluster(|c| {
                 c.advance_time(now);
                 c.select_underserved(now);
                 c.find_overdue_starts(now);
                 c.update_deadline_risk(now);
             });
         }
-        let batches = plan(node, now, placements.has_capacity());
+        let batches = plan(controller, now, placements.has_capacity());
         // Nothing of this round is written yet: no number is used twice.
-        if node.with_cluster(|c| c.attempts_exhausted()) == Some(true) {
-            node.step_down("the term's attempts are used up");
+        if controller.with_cluster(|c| c.attempts_exhausted()) == Some(true) {
+            controller.step_down("the term's attempts are used up");
             return;
         }
-        let took = node.now() - now;
+        let took = controller.now() - now;
         {
-            let mut longest = node.lock(&node.longest_round_s);
+            let mut longest = controller.lock(&controller.longest_round_s);
             *longest = longest.max(took);
         }
-        log_events(node);
+        log_events(controller);
         // Stops need nothing durable and go out first.
-        worker_api::send_direct_messages(node);
+        worker_api::send_direct_messages(controller);
         placements.push(batches);
-        node.wake_cloud.notify_one();
+        controller.wake_cloud.notify_one();
         let pause = Duration::from_secs_f64(gap.max(took * (1.0 / ROUND_SHARE - 1.0)));
         placements.run_until(tokio::time::sleep(pause)).await;
     }
@@ -78,29 +78,39 @@
 
 /// One round. Without a term confirmed of late nothing new is placed: it could
 /// not be made durable.
-fn plan(node: &Controller, now: f64, has_turn: bool) -> Vec<PlacementBatch> {
-    let ttl = node.leader_lease_ttl().as_secs_f64();
-    let sure = node
-        .lock(&node.leadership)
+fn plan(controller: &Controller, now: f64, has_turn: bool) -> Vec<PlacementBatch> {
+    let ttl = controller.leader_lease_ttl().as_secs_f64();
+    let sure = controller
+        .lock(&controller.leadership)
         .as_ref()
         .is_some_and(|l| now - l.term_confirmed_at < ttl * 1.5);
     if !sure || !has_turn {
         return Vec::new();
     }
-    let most_jobs = node.settings.deployment.store.max_writes_per_transaction * 4 - 2;
-    let batches = node.with_cluster(|c| {
+    let most_jobs = controller
+        .settings
+        .deployment
+        .store
+        .max_writes_per_transaction
+        * 4
+        - 2;
+    let batches = controller.with_cluster(|c| {
         let (placed, stopped) = c.run_round(now, true);
         if placed + stopped > 0 {
             tracing::debug!(placed, stopped, "round");
         }
-        c.take_placement_batches(record_bytes(node), most_jobs, node.time_of_day())
+        c.take_placement_batches(
+            record_bytes(controller),
+            most_jobs,
+            controller.time_of_day(),
+        )
     });
     batches.unwrap_or_default()
 }
 
 /// Logs what happened in the picture.
-fn log_events(node: &Controller) {
-    let events = node.with_cluster(|c| std::mem::take(&mut c.events));
+fn log_events(controller: &Controller) {
+    let events = controller.with_cluster(|c| std::mem::take(&mut c.events));
     for (weighs, text) in events.unwrap_or_default() {
         if weighs {
             tracing::info!("{text}");
--- a/crates/tallygauge/src/server.rs
+++ b/crates/tallygauge/src/server.rs
@@ -33,13 +33,13 @@
 }
 
 /// A user's connection is closed after the answer where connections are short.
-fn user(node: &Controller, reply: &Reply) -> Answer {
+fn user(controller: &Controller, reply: &Reply) -> Answer {
     let retry = match reply {
         Reply::RetryLater(_, seconds) => Some(*seconds),
         _ => None,
     };
     let mut answer = respond(reply.status(), reply.body(), retry);
-    if node.connection_limits.is_critical() {
+    if controller.connection_limits.is_critical() {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(CONNECTION, close);
     }
@@ -59,18 +59,18 @@
     }
 }
 
-async fn route(node: Arc<Controller>, method: Method, path: String, body: Vec<u8>) -> Answer {
+async fn route(controller: Arc<Controller>, method: Method, path: String, body: Vec<u8>) -> Answer {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     let get = method == Method::GET;
     let post = method == Method::POST;
     match parts.as_slice() {
-        ["work", ..] => match user_api::serve(&node, &method, &path, &body).await {
-            Some(reply) => user(&node, &reply),
+        ["work", ..] => match user_api::serve(&controller, &method, &path, &body).await {
+            Some(reply) => user(&controller, &reply),
             None => error(405, "no such request about jobs"),
         },
-        ["checkin"] if post => worker(&worker_api::handle_heartbeat(&node, &body)),
+        ["checkin"] if post => worker(&worker_api::handle_heartbeat(&controller, &body)),
         ["ready"] if get => {
-            if ready(&node) {
+            if ready(&controller) {
                 respond(200, b"{}".to_vec(), None)
             } else {
                 error(503, "not ready")
@@ -84,26 +84,26 @@
 /// Whether the node can judge submissions and tell the state of jobs, and is
 /// not better left to its work by users. It answers them all the same. One that
 /// is apart can tell them nothing: their connections must not stay with it.
-fn ready(node: &Controller) -> bool {
-    node.lock(&node.catalogue).is_some()
-        && *node.lock(&node.store_reached)
-        && !node.sheds_user_load()
-        && !node.is_isolated()
+fn ready(controller: &Controller) -> bool {
+    controller.lock(&controller.catalogue).is_some()
+        && *controller.lock(&controller.store_reached)
+        && !controller.sheds_user_load()
+        && !controller.is_isolated()
 }
 
 /// Serves users, workers and health checks. Never returns.
-pub async fn serve(node: Arc<Controller>) {
-    let addr = node.settings.client_listen;
-    let lease_s = node.settings.deployment.workers.lease_s;
-    let callers = node.connection_limits.callers.clone();
+pub async fn serve(controller: Arc<Controller>) {
+    let addr = controller.settings.client_listen;
+    let lease_s = controller.settings.deployment.workers.lease_s;
+    let callers = controller.connection_limits.callers.clone();
     let routes = warp::method()
         .and(warp::path::full())
         .and(warp::body::stream())
         .then(move |method, path: warp::path::FullPath, body| {
-            let node = node.clone();
+            let controller = controller.clone();
             async move {
                 match bounded_body(body).await {
-                    Some(body) => route(node, method, path.as_str().to_string(), body).await,
+                    Some(body) => route(controller, method, path.as_str().to_string(), body).await,
                     None => error(400, "the body is over 64 KiB or broke off"),
                 }
             }
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -8,27 +8,30 @@
 const EVERY: f64 = 4.0;
 
 /// Logs a summary now and then, as long as this node leads, whatever else waits.
-pub async fn run(node: &Controller) {
-    let report = node.settings.deployment.workers.heartbeat_interval_s;
+pub async fn run(controller: &Controller) {
+    let report = controller.settings.deployment.workers.heartbeat_interval_s;
     let pause = Duration::from_secs_f64(report * EVERY);
     loop {
         tokio::time::sleep(pause).await;
-        let longest_round_s = std::mem::take(&mut *node.lock(&node.longest_round_s));
-        summarize(node, longest_round_s);
+        let longest_round_s = std::mem::take(&mut *controller.lock(&controller.longest_round_s));
+        summarize(controller, longest_round_s);
     }
 }
 
-fn summarize(node: &Controller, longest_round_s: f64) {
-    let backlog = node.store.budget().waiting();
-    let lag = *node.lock(&node.scheduling_delay);
-    let (now, memory_s) = (node.now(), node.caller_expiry_s());
+fn summarize(controller: &Controller, longest_round_s: f64) {
+    let backlog = controller.store.budget().waiting();
+    let lag = *controller.lock(&controller.scheduling_delay);
+    let (now, memory_s) = (controller.now(), controller.caller_expiry_s());
     let unanswered_s = {
-        let unanswered = node.lock(&node.pending_callers);
+        let unanswered = controller.lock(&controller.pending_callers);
         unanswered.longest(now, memory_s).map_or(0.0, |l| l.1)
     };
-    let (writes_in_doubt, in_doubt) = node.store.in_doubt_writes();
-    let (sockets, sockets_free) = (node.connection_limits.used(), node.connection_limits.free());
-    node.with_cluster(|c| {
+    let (writes_in_doubt, in_doubt) = controller.store.in_doubt_writes();
+    let (sockets, sockets_free) = (
+        controller.connection_limits.used(),
+        controller.connection_limits.free(),
+    );
+    controller.with_cluster(|c| {
         let held = |w: &tallygauge_scheduler::Worker| {
             w.attempts.iter().filter(|h| h.occupies_capacity()).count()
         };
--- a/crates/tallygauge/src/user_api.rs
+++ b/crates/tallygauge/src/user_api.rs
@@ -104,18 +104,28 @@
 
 /// Answers a user, through another node where the state service does not serve
 /// this one. Nothing is kept waiting: who can't be answered is told at once.
-pub async fn serve(node: &Controller, method: &Method, path: &str, body: &[u8]) -> Option<Reply> {
-    let over = path_id(path)
-        .is_some_and(|id| matches!(node.lock(&node.jobs).get(id), Some(CachedJob::Terminal(..))));
-    let passed = !over && node.store.failing_since().is_some();
-    if passed && let Some(reply) = pass(node, method, path, body).await {
+pub async fn serve(
+    controller: &Controller,
+    method: &Method,
+    path: &str,
+    body: &[u8],
+) -> Option<Reply> {
+    let over = path_id(path).is_some_and(|id| {
+        matches!(
+            controller.lock(&controller.jobs).get(id),
+            Some(CachedJob::Terminal(..))
+        )
+    });
+    let passed = !over && controller.store.failing_since().is_some();
+    if passed && let Some(reply) = pass(controller, method, path, body).await {
         return Some(reply);
     }
-    let reply = local(node, method, path, body).await?;
-    let unserved = matches!(reply, Reply::RetryLater(..)) && node.store.failing_since().is_some();
+    let reply = local(controller, method, path, body).await?;
+    let unserved =
+        matches!(reply, Reply::RetryLater(..)) && controller.store.failing_since().is_some();
     if unserved
         && !passed
-        && let Some(reply) = pass(node, method, path, body).await
+        && let Some(reply) = pass(controller, method, path, body).await
     {
         return Some(reply);
     }
@@ -128,35 +138,40 @@
 
 /// Answers a user from what this node knows and the state service says; `None`
 /// for what is no request of users.
-pub async fn local(node: &Controller, method: &Method, path: &str, body: &[u8]) -> Option<Reply> {
+pub async fn local(
+    controller: &Controller,
+    method: &Method,
+    path: &str,
+    body: &[u8],
+) -> Option<Reply> {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     match parts.as_slice() {
-        ["work"] if method == Method::POST => Some(submit(node, body).await),
-        ["work", id] if method == Method::GET => Some(job_status(node, id).await),
-        ["work", id, "abort"] if method == Method::POST => Some(cancel(node, id).await),
+        ["work"] if method == Method::POST => Some(submit(controller, body).await),
+        ["work", id] if method == Method::GET => Some(job_status(controller, id).await),
+        ["work", id, "abort"] if method == Method::POST => Some(cancel(controller, id).await),
         _ => None,
     }
 }
 
 /// Passes a request on, unless that was of no use a moment ago.
-async fn pass(node: &Controller, method: &Method, path: &str, body: &[u8]) -> Option<Reply> {
-    let relay = node.lock(&node.relay).clone()?;
-    if node.now() < *node.lock(&node.relay_backoff_until) {
+async fn pass(controller: &Controller, method: &Method, path: &str, body: &[u8]) -> Option<Reply> {
+    let relay = controller.lock(&controller.relay).clone()?;
+    if controller.now() < *controller.lock(&controller.relay_backoff_until) {
         return None;
     }
     let most = Duration::from_secs_f64(RELAY_WAIT_S);
-    let asked = node.now();
+    let asked = controller.now();
     let answer = tokio::time::timeout(most, relay.relay(method, path, body)).await;
     // An answer that lay there while this process stood still may be out of
     // date: the timeout above lets it pass.
-    let late = node.now() - asked > FRESH_S;
+    let late = controller.now() - asked > FRESH_S;
     match answer {
         Ok(Some((status, body))) if !late => {
-            apply_relayed_cancellation(node, &body);
+            apply_relayed_cancellation(controller, &body);
             Some(Reply::Relayed(status, body))
         }
         Ok(_) | Err(_) => {
-            *node.lock(&node.relay_backoff_until) = node.now() + RELAY_PAUSE_S;
+            *controller.lock(&controller.relay_backoff_until) = controller.now() + RELAY_PAUSE_S;
             None
         }
     }
@@ -165,15 +180,15 @@
 /// A leader that the state service does not serve hears of a cancellation as it
 /// passes the answer on: the job's tasks are stopped at once. This serves sooner;
 /// the fence holds without it.
-fn apply_relayed_cancellation(node: &Controller, body: &[u8]) {
+fn apply_relayed_cancellation(controller: &Controller, body: &[u8]) {
     let Ok(answer) = serde_json::from_slice::<JobResponse>(body) else {
         return;
     };
-    let now = node.now();
+    let now = controller.now();
     if answer.status == JobStatus::Cancelled
-        && node.with_cluster(|c| c.remove_job(&answer.id, now)) == Some(true)
+        && controller.with_cluster(|c| c.remove_job(&answer.id, now)) == Some(true)
     {
-        node.wake_scheduler.notify_one();
+        controller.wake_scheduler.notify_one();
     }
 }
 
@@ -202,10 +217,15 @@
 /// those first that have gone without an answer for longest. Whoever has waited
 /// for as long as a user does is let go.
 pub async fn serve_version_checks(
-    node: Arc<Controller>,
+    controller: Arc<Controller>,
     mut questions: mpsc::Receiver<VersionCheck>,
 ) {
-    let most = node.settings.deployment.store.max_writes_per_transaction * 4;
+    let most = controller
+        .settings
+        .deployment
+        .store
+        .max_writes_per_transaction
+        * 4;
     let turns = Arc::new(Semaphore::new(3));
     let mut pool: Vec<VersionCheck> = Vec::new();
     loop {
@@ -216,7 +236,7 @@
             pool.push(first);
         }
         // Whoever asks meanwhile shares the request.
-        let window = WINDOW / node.store.budget().request_rate().max(1.0);
+        let window = WINDOW / controller.store.budget().request_rate().max(1.0);
         tokio::time::sleep(Duration::from_secs_f64(window.min(0.1))).await;
         let Ok(turn) = turns.clone().acquire_owned().await else {
             return;
@@ -224,15 +244,15 @@
         while let Ok(query) = questions.try_recv() {
             pool.push(query);
         }
-        let now = node.now();
+        let now = controller.now();
         pool.retain(|q| !q.reply.is_closed() && now - q.requested_at < POLL_TIMEOUT_S);
         let batch = take_most_urgent(&mut pool, most);
         if batch.is_empty() {
             continue;
         }
-        let node = node.clone();
+        let controller = controller.clone();
         tokio::spawn(async move {
-            run_version_checks(&node, batch).await;
+            run_version_checks(&controller, batch).await;
             drop(turn);
         });
     }
@@ -255,7 +275,7 @@
     pool.drain(..fits).collect()
 }
 
-async fn run_version_checks(node: &Controller, batch: Vec<VersionCheck>) {
+async fn run_version_checks(controller: &Controller, batch: Vec<VersionCheck>) {
     // The most important takes the others along.
     let classes = batch.iter().map(|q| q.priority);
     let class = classes.min().unwrap_or(RequestPriority::Polls);
@@ -265,7 +285,7 @@
             guards.push(guard.clone());
         }
     }
-    let verdict = failed_conditions(node, class, guards).await;
+    let verdict = failed_conditions(controller, class, guards).await;
     for query in batch {
         let verdict = verdict.as_ref().map(|(broken, as_of)| VersionCheckResult {
             holds: query
@@ -283,13 +303,13 @@
 /// can't be known in the time that users wait. A comparison writes nothing, so
 /// one whose answer is lost is asked again at will.
 async fn failed_conditions(
-    node: &Controller,
+    controller: &Controller,
     class: RequestPriority,
     mut guards: Vec<Condition>,
 ) -> Option<(Vec<String>, f64)> {
     let mut broken: Vec<String> = Vec::new();
     let mut as_of = f64::INFINITY;
-    let until = node.now() + COMPARE_PATIENCE_S;
+    let until = controller.now() + COMPARE_PATIENCE_S;
     // A conflict names keys that failed, perhaps not all: the rest is asked
     // again until it holds.
     while !guards.is_empty() {
@@ -297,12 +317,12 @@
             conditions: guards.clone(),
             writes: Vec::new(),
         };
-        let patience = Duration::from_secs_f64((until - node.now()).max(0.0));
-        let settled = node
+        let patience = Duration::from_secs_f64((until - controller.now()).max(0.0));
+        let settled = controller
             .store
             .commit_with_retries(class, &txn, Some(patience))
             .await;
-        as_of = as_of.min(node.instant_to_seconds(settled.sent_at));
+        as_of = as_of.min(controller.instant_to_seconds(settled.sent_at));
         match settled.outcome {
             Ok(TransactionOutcome::Committed(_)) => break,
             Ok(TransactionOutcome::Conflict(keys)) if !keys.is_empty() => {
@@ -316,7 +336,7 @@
 }
 
 async fn check_versions(
-    node: &Controller,
+    controller: &Controller,
     (class, since): (RequestPriority, f64),
     guards: Vec<Condition>,
 ) -> Option<VersionCheckResult> {
@@ -324,18 +344,18 @@
     let query = VersionCheck {
         priority: class,
         unanswered_since: since,
-        requested_at: node.now(),
+        requested_at: controller.now(),
         conditions: guards,
         reply,
     };
-    node.version_checks.try_send(query).ok()?;
+    controller.version_checks.try_send(query).ok()?;
     answer.await.ok()?
 }
 
 /// What is true of a job now; `None` if that can't be known. Between the last
 /// look at the clock and the caller's answer there is no await.
 async fn lookup(
-    node: &Controller,
+    controller: &Controller,
     class: RequestPriority,
     since: f64,
     id: &str,
@@ -343,27 +363,27 @@
     let guard = |key: String, version| Condition { key, version };
     // Once for each turn that a job's state may take, and once more.
     for _ in 0..4 {
-        let fresh = |as_of: f64| node.now() - as_of <= FRESH_S;
-        let known = node.lock(&node.jobs).get(id);
+        let fresh = |as_of: f64| controller.now() - as_of <= FRESH_S;
+        let known = controller.lock(&controller.jobs).get(id);
         match known {
             Some(CachedJob::Terminal(status, done)) => return Some(JobLookup::Over(status, done)),
             Some(CachedJob::Active(version)) => {
                 let guards = vec![guard(active_job_key(id), version)];
-                let verdict = check_versions(node, (class, since), guards).await?;
+                let verdict = check_versions(controller, (class, since), guards).await?;
                 if verdict.holds[0] {
                     if fresh(verdict.as_of) {
                         return Some(JobLookup::Open);
                     }
                     continue;
                 }
-                node.lock(&node.jobs).mark_stale(id, version);
+                controller.lock(&controller.jobs).mark_stale(id, version);
             }
             Some(CachedJob::Stale) | None => {
                 if known.is_none() {
-                    node.record_unknown_job();
+                    controller.record_unknown_job();
                 }
                 let guards = vec![guard(active_job_key(id), 0), guard(terminal_job_key(id), 0)];
-                let verdict = check_versions(node, (class, since), guards).await?;
+                let verdict = check_versions(controller, (class, since), guards).await?;
                 let [open, over] = [!verdict.holds[0], !verdict.holds[1]];
                 if !open && !over {
                     if fresh(verdict.as_of) {
@@ -371,18 +391,31 @@
                     }
                     continue;
                 }
-                let asked = node.now();
-                if open && let Some(row) = node.store.get(class, &active_job_key(id)).await.ok()? {
-                    node.lock(&node.jobs)
+                let asked = controller.now();
+                if open
+                    && let Some(row) = controller
+                        .store
+                        .get(class, &active_job_key(id))
+                        .await
+                        .ok()?
+                {
+                    controller
+                        .lock(&controller.jobs)
                         .insert(id, CachedJob::Active(row.version));
                     if fresh(asked) {
                         return Some(JobLookup::Open);
                     }
                     continue;
                 }
-                if let Some(row) = node.store.get(class, &terminal_job_key(id)).await.ok()? {
+                if let Some(row) = controller
+                    .store
+                    .get(class, &terminal_job_key(id))
+                    .await
+                    .ok()?
+                {
                     let record: TerminalJobRecord = serde_json::from_value(row.value).ok()?;
-                    node.lock(&node.jobs)
+                    controller
+                        .lock(&controller.jobs)
                         .insert(id, CachedJob::Terminal(record.status, record.done));
                 }
             }
@@ -393,37 +426,38 @@
 
 /// Reads a job's records: what a transaction about it met. `None` if that can't be
 /// known, or the job has no record.
-async fn read_job_records(node: &Controller, id: &str) -> Option<JobLookup> {
-    let asked = node.now();
-    if let Some(row) = node
+async fn read_job_records(controller: &Controller, id: &str) -> Option<JobLookup> {
+    let asked = controller.now();
+    if let Some(row) = controller
         .store
         .get(RequestPriority::Users, &active_job_key(id))
         .await
         .ok()?
     {
-        node.lock(&node.jobs)
+        controller
+            .lock(&controller.jobs)
             .insert(id, CachedJob::Active(row.version));
-        return (node.now() - asked <= FRESH_S).then_some(JobLookup::Open);
+        return (controller.now() - asked <= FRESH_S).then_some(JobLookup::Open);
     }
-    let row = node
+    let row = controller
         .store
         .get(RequestPriority::Users, &terminal_job_key(id))
         .await
         .ok()??;
     let record: TerminalJobRecord = serde_json::from_value(row.value).ok()?;
     let known = CachedJob::Terminal(record.status, record.done);
-    node.lock(&node.jobs).insert(id, known);
+    controller.lock(&controller.jobs).insert(id, known);
     Some(JobLookup::Over(record.status, record.done))
 }
 
-fn job_response(node: &Controller, id: &str, found: JobLookup) -> Option<JobResponse> {
+fn job_response(controller: &Controller, id: &str, found: JobLookup) -> Option<JobResponse> {
     let (status, done, running) = match found {
         JobLookup::Unknown => return None,
         JobLookup::Over(status, done) => (status, done, 0),
         JobLookup::Open => {
-            let own = node.with_cluster(|c| c.task_counts(id)).flatten();
+            let own = controller.with_cluster(|c| c.task_counts(id)).flatten();
             let (done, running) = own.unwrap_or_else(|| {
-                let mut counts = node.lock(&node.task_counts);
+                let mut counts = controller.lock(&controller.task_counts);
                 counts.asked.insert(id.to_string());
                 counts.known.get(id).map_or((0, 0), |c| (c.0, c.1))
             });
@@ -445,25 +479,32 @@
 /// Reads all open jobs' versions whenever this node has been asked about several
 /// that it knows nothing of, as after a start: one request for hundreds, where
 /// each would cost two and a failed comparison. No oftener than once a lease.
-pub async fn refresh_active_jobs(node: Arc<Controller>) {
-    let pause = Duration::from_secs_f64(node.settings.deployment.workers.lease_s);
+pub async fn refresh_active_jobs(controller: Arc<Controller>) {
+    let pause = Duration::from_secs_f64(controller.settings.deployment.workers.lease_s);
     loop {
-        node.wake_job_refresh.notified().await;
-        if let Ok((rows, _)) = node.store.list(RequestPriority::Maintenance, "o/").await {
-            cache_active_jobs(&node, rows.iter().map(|r| (r.key.as_str(), r.version)));
-            *node.lock(&node.unknown_job_requests) = 0;
+        controller.wake_job_refresh.notified().await;
+        if let Ok((rows, _)) = controller
+            .store
+            .list(RequestPriority::Maintenance, "o/")
+            .await
+        {
+            cache_active_jobs(
+                &controller,
+                rows.iter().map(|r| (r.key.as_str(), r.version)),
+            );
+            *controller.lock(&controller.unknown_job_requests) = 0;
             tokio::time::sleep(pause).await;
         } else {
             tokio::time::sleep(pause / 16).await;
-            node.wake_job_refresh.notify_one();
+            controller.wake_job_refresh.notify_one();
         }
     }
 }
 
 /// Takes up versions of open jobs' records, as far as nothing is known of them.
 /// Before a user is told, the state service is asked whether they still hold.
-pub fn cache_active_jobs<'a>(node: &Controller, rows: impl Iterator<Item = (&'a str, u64)>) {
-    let mut jobs = node.lock(&node.jobs);
+pub fn cache_active_jobs<'a>(controller: &Controller, rows: impl Iterator<Item = (&'a str, u64)>) {
+    let mut jobs = controller.lock(&controller.jobs);
     for (key, version) in rows {
         if let Some(id) = key.strip_prefix("o/")
             && jobs.get(id).is_none()
@@ -474,26 +515,28 @@
 }
 
 /// `GET /work/{id}`
-pub async fn job_status(node: &Controller, id: &str) -> Reply {
+pub async fn job_status(controller: &Controller, id: &str) -> Reply {
     if !is_valid_job_id(id) {
         return Reply::Rejected(404, "no such job".into());
     }
-    let (now, memory_s) = (node.now(), node.caller_expiry_s());
-    let since = node
-        .lock(&node.pending_callers)
+    let (now, memory_s) = (controller.now(), controller.caller_expiry_s());
+    let since = controller
+        .lock(&controller.pending_callers)
         .record_request(id, now, memory_s);
-    let Some(what) = lookup(node, RequestPriority::Polls, since, id).await else {
+    let Some(what) = lookup(controller, RequestPriority::Polls, since, id).await else {
         return retry_later();
     };
-    node.lock(&node.pending_callers).record_response(id);
-    match job_response(node, id, what) {
+    controller
+        .lock(&controller.pending_callers)
+        .record_response(id);
+    match job_response(controller, id, what) {
         Some(answer) => Reply::Job(200, answer),
         None => Reply::Rejected(404, "no such job".into()),
     }
 }
 
 /// `POST /work`
-pub async fn submit(node: &Controller, body: &[u8]) -> Reply {
+pub async fn submit(controller: &Controller, body: &[u8]) -> Reply {
     let value: Value = match serde_json::from_slice(body) {
         Ok(value) => value,
         Err(error) => return Reply::Rejected(400, format!("not JSON: {error}")),
@@ -506,8 +549,8 @@
         _ => return Reply::Rejected(400, "nameId must be 'req-' followed by digits".into()),
     };
     // A known job is answered for before anything else is looked at.
-    if node.lock(&node.jobs).get(&id).is_some() {
-        match resubmit_idempotently(node, &id).await {
+    if controller.lock(&controller.jobs).get(&id).is_some() {
+        match resubmit_idempotently(controller, &id).await {
             Ok(Some(reply)) | Err(reply) => return reply,
             Ok(None) => {}
         }
@@ -517,15 +560,15 @@
         Ok(spec) => match spec.validate() {
             Err(error) => Err((400, error)),
             Ok(()) => {
-                let types = node.lock(&node.catalogue).clone();
+                let types = controller.lock(&controller.catalogue).clone();
                 match types {
                     None => {
-                        return match resubmit_idempotently(node, &id).await {
+                        return match resubmit_idempotently(controller, &id).await {
                             Ok(Some(reply)) => reply,
                             _ => Reply::RetryLater("the machine types are not known yet".into(), 1),
                         };
                     }
-                    Some(types) => check_feasible(&spec, &node.settings.teams(), &types)
+                    Some(types) => check_feasible(&spec, &controller.settings.teams(), &types)
                         .map(|()| spec)
                         .map_err(|error| (422, error)),
                 }
@@ -533,32 +576,33 @@
         },
     };
     match refusal {
-        Err((status, error)) => match resubmit_idempotently(node, &id).await {
+        Err((status, error)) => match resubmit_idempotently(controller, &id).await {
             Ok(Some(reply)) | Err(reply) => reply,
             Ok(None) => Reply::Rejected(status, error),
         },
-        Ok(spec) => accept(node, &id, spec).await,
+        Ok(spec) => accept(controller, &id, spec).await,
     }
 }
 
-async fn resubmit_idempotently(node: &Controller, id: &str) -> Result<Option<Reply>, Reply> {
-    match lookup(node, RequestPriority::Users, node.now(), id).await {
+async fn resubmit_idempotently(controller: &Controller, id: &str) -> Result<Option<Reply>, Reply> {
+    match lookup(controller, RequestPriority::Users, controller.now(), id).await {
         None => Err(retry_later()),
         Some(what) => {
-            Ok(job_response(node, id, what).map(|a| Reply::Job(200, answer(id, a.status))))
+            Ok(job_response(controller, id, what).map(|a| Reply::Job(200, answer(id, a.status))))
         }
     }
 }
 
-async fn accept(node: &Controller, id: &str, spec: JobSpec) -> Reply {
+async fn accept(controller: &Controller, id: &str, spec: JobSpec) -> Reply {
     let record = ActiveJobRecord {
         spec,
-        at: node.time_of_day(),
+        at: controller.time_of_day(),
     };
     let Ok(value) = serde_json::to_value(&record) else {
         return Reply::Rejected(400, "the submission can't be kept".into());
     };
-    if value.to_string().len() as f64 > node.settings.deployment.store.max_value_kib * 1024.0 * 0.9
+    if value.to_string().len() as f64
+        > controller.settings.deployment.store.max_value_kib * 1024.0 * 0.9
     {
         return Reply::Rejected(400, "the submission is too long to be kept".into());
     }
@@ -573,20 +617,22 @@
     };
     // The guards make it safe to send it again when no answer came: the record
     // of a job is made once, and never again after the job is over.
-    let settled = node
+    let settled = controller
         .store
         .commit_with_retries(RequestPriority::Users, &txn, Some(PATIENCE))
         .await;
     match settled.outcome {
         Ok(TransactionOutcome::Committed(version)) => {
-            node.lock(&node.jobs).insert(id, CachedJob::Active(version));
+            controller
+                .lock(&controller.jobs)
+                .insert(id, CachedJob::Active(version));
             return Reply::Job(201, answer(id, JobStatus::Pending));
         }
         // Known already, perhaps by an earlier copy of this submission.
         Ok(TransactionOutcome::Conflict(_)) => {
-            return match read_job_records(node, id)
+            return match read_job_records(controller, id)
                 .await
-                .and_then(|w| job_response(node, id, w))
+                .and_then(|w| job_response(controller, id, w))
             {
                 Some(known) => Reply::Job(200, answer(id, known.status)),
                 None => retry_later(),
@@ -598,18 +644,18 @@
 }
 
 /// `POST /work/{id}/abort`
-pub async fn cancel(node: &Controller, id: &str) -> Reply {
+pub async fn cancel(controller: &Controller, id: &str) -> Reply {
     if !is_valid_job_id(id) {
         return Reply::Rejected(404, "no such job".into());
     }
     for _ in 0..3 {
-        match lookup(node, RequestPriority::Users, node.now(), id).await {
+        match lookup(controller, RequestPriority::Users, controller.now(), id).await {
             None => return retry_later(),
             Some(JobLookup::Unknown) => return Reply::Rejected(404, "no such job".into()),
             Some(JobLookup::Over(status, _)) => return Reply::Job(200, answer(id, status)),
             Some(JobLookup::Open) => {}
         }
-        let row = match node
+        let row = match controller
             .store
             .get(RequestPriority::Users, &active_job_key(id))
             .await
@@ -621,7 +667,7 @@
         let Ok(record) = serde_json::from_value::<ActiveJobRecord>(row.value) else {
             return retry_later();
         };
-        let done = node
+        let done = controller
             .with_cluster(|c| c.task_counts(id))
             .flatten()
             .map_or(0, |c| c.0);
@@ -652,22 +698,23 @@
                 },
             ],
         };
-        let settled = node
+        let settled = controller
             .store
             .commit_with_retries(RequestPriority::Users, &txn, Some(PATIENCE))
             .await;
         match settled.outcome {
             Ok(TransactionOutcome::Committed(_)) => {
-                node.lock(&node.jobs)
+                controller
+                    .lock(&controller.jobs)
                     .insert(id, CachedJob::Terminal(JobStatus::Cancelled, over.done));
-                let now = node.now();
-                node.with_cluster(|c| c.remove_job(id, now));
-                node.wake_scheduler.notify_one();
+                let now = controller.now();
+                controller.with_cluster(|c| c.remove_job(id, now));
+                controller.wake_scheduler.notify_one();
                 return Reply::Job(200, answer(id, JobStatus::Cancelled));
             }
             // Over by now, perhaps by an earlier copy of this cancellation.
             Ok(_) => {
-                if let Some(JobLookup::Over(status, _)) = read_job_records(node, id).await {
+                if let Some(JobLookup::Over(status, _)) = read_job_records(controller, id).await {
                     return Reply::Job(200, answer(id, status));
                 }
             }
--- a/crates/tallygauge/src/worker_api.rs
+++ b/crates/tallygauge/src/worker_api.rs
@@ -21,33 +21,36 @@
 
 /// Whether workers have called on this node of late, though it does not lead.
 #[must_use]
-pub fn has_recent_heartbeats(node: &Controller) -> bool {
-    let at = *node.lock(&node.follower_heartbeat_at);
-    node.now() - at < node.settings.deployment.workers.heartbeat_interval_s * 2.0
+pub fn has_recent_heartbeats(controller: &Controller) -> bool {
+    let at = *controller.lock(&controller.follower_heartbeat_at);
+    controller.now() - at < controller.settings.deployment.workers.heartbeat_interval_s * 2.0
 }
 
 /// Whether this node leads and workers that should call on it do not, for long
 /// enough that their leases are in danger.
 #[must_use]
-pub fn lacks_heartbeats(node: &Controller) -> bool {
-    let now = node.now();
-    let patience = node.settings.deployment.workers.lease_s * 0.3;
-    node.lock(&node.leadership).as_ref().is_some_and(|lead| {
-        let expected = lead.cluster.as_ref().is_some_and(|c| {
-            c.workers
-                .values()
-                .any(|w| w.is_up() || !w.attempts.is_empty())
-        });
-        expected && now - lead.last_heartbeat_at > patience
-    })
+pub fn lacks_heartbeats(controller: &Controller) -> bool {
+    let now = controller.now();
+    let patience = controller.settings.deployment.workers.lease_s * 0.3;
+    controller
+        .lock(&controller.leadership)
+        .as_ref()
+        .is_some_and(|lead| {
+            let expected = lead.cluster.as_ref().is_some_and(|c| {
+                c.workers
+                    .values()
+                    .any(|w| w.is_up() || !w.attempts.is_empty())
+            });
+            expected && now - lead.last_heartbeat_at > patience
+        })
 }
 
 /// `POST /checkin`
-pub fn handle_heartbeat(node: &Controller, body: &[u8]) -> HeartbeatReply {
+pub fn handle_heartbeat(controller: &Controller, body: &[u8]) -> HeartbeatReply {
     // Who does not lead has no use for the report: when a leader is gone, all
     // workers call on the others at once, and are refused before it costs.
-    if node.lock(&node.leadership).is_none() {
-        return redirect_to_leader(node);
+    if controller.lock(&controller.leadership).is_none() {
+        return redirect_to_leader(controller);
     }
     let report: Heartbeat = match serde_json::from_slice(body) {
         Ok(report) => report,
@@ -58,12 +61,12 @@
             return HeartbeatReply::Malformed(error.to_string());
         }
     };
-    let now = node.now();
-    let fence = node.fence_s();
+    let now = controller.now();
+    let fence = controller.fence_s();
     let mut deposed = None;
     let mut changed = false;
     let answer = {
-        let mut lead = node.lock(&node.leadership);
+        let mut lead = controller.lock(&controller.leadership);
         match lead.as_mut() {
             None => None,
             Some(lead) if report.token > lead.term => {
@@ -102,26 +105,26 @@
         }
     };
     if let Some(term) = deposed {
-        node.observe_term(term, None);
+        controller.observe_term(term, None);
     }
     match answer {
         Some(answer) => {
             if changed {
-                node.wake_scheduler.notify_one();
-                node.wake_completions.notify_one();
+                controller.wake_scheduler.notify_one();
+                controller.wake_completions.notify_one();
             }
             HeartbeatReply::Accepted(answer)
         }
-        None => redirect_to_leader(node),
+        None => redirect_to_leader(controller),
     }
 }
 
 /// The answer of a node that does not lead.
-fn redirect_to_leader(node: &Controller) -> HeartbeatReply {
-    *node.lock(&node.follower_heartbeat_at) = node.now();
-    let leader = node.lock(&node.leader_view).leader.clone();
+fn redirect_to_leader(controller: &Controller) -> HeartbeatReply {
+    *controller.lock(&controller.follower_heartbeat_at) = controller.now();
+    let leader = controller.lock(&controller.leader_view).leader.clone();
     match leader {
-        Some(name) if name != node.settings.node_name => {
+        Some(name) if name != controller.settings.node_name => {
             HeartbeatReply::Redirected(Redirect { leader: Some(name) })
         }
         _ => HeartbeatReply::Unavailable,
@@ -131,39 +134,42 @@
 /// Sends all direct messages that are due, each in a task of its own; a worker
 /// has one under way at most, so their number is bounded. A leader that may not
 /// answer workers sends them nothing either.
-pub fn send_direct_messages(node: &Arc<Controller>) {
-    let (now, fence) = (node.now(), node.fence_s());
+pub fn send_direct_messages(controller: &Arc<Controller>) {
+    let (now, fence) = (controller.now(), controller.fence_s());
     let (term, messages) = {
-        let mut lead = node.lock(&node.leadership);
+        let mut lead = controller.lock(&controller.leadership);
         let Some(lead) = lead.as_mut().filter(|l| !l.is_fenced(now, fence)) else {
             return;
         };
-        let (term, spare) = (lead.term, node.direct_message_fraction());
+        let (term, spare) = (lead.term, controller.direct_message_fraction());
         let Some(cluster) = lead.cluster.as_mut() else {
             return;
         };
         (term, cluster.take_direct_messages(now, spare))
     };
     for message in messages {
-        let node = node.clone();
-        tokio::spawn(async move { deliver_direct_message(&node, term, message).await });
+        let controller = controller.clone();
+        tokio::spawn(async move { deliver_direct_message(&controller, term, message).await });
     }
 }
 
-async fn deliver_direct_message(node: &Controller, term: u64, message: DirectMessage) {
+async fn deliver_direct_message(controller: &Controller, term: u64, message: DirectMessage) {
     let body = DirectCommands {
         token: term,
         session: message.incarnation,
         commands: message.commands.clone(),
     };
     let url = format!("http://{}/orders", message.endpoint);
-    let timeout = Duration::from_secs_f64(node.settings.deployment.workers.lease_s / 6.0);
+    let timeout = Duration::from_secs_f64(controller.settings.deployment.workers.lease_s / 6.0);
     // The task may have had to wait, or the process may have stood still, since
     // the message was made up.
-    let result = if node.may_command() {
+    let result = if controller.may_command() {
         let post = warp::http::Method::POST;
-        let keep = !node.connection_limits.is_low();
-        node.http.send(post, &url, Some(&body), timeout, keep).await
+        let keep = !controller.connection_limits.is_low();
+        controller
+            .http
+            .send(post, &url, Some(&body), timeout, keep)
+            .await
     } else {
         Err(RequestError::NotSent)
     };
@@ -173,10 +179,10 @@
         }
         _ => None,
     };
-    let now = node.now();
+    let now = controller.now();
     let mut deposed = None;
     {
-        let mut lead = node.lock(&node.leadership);
+        let mut lead = controller.lock(&controller.leadership);
         let Some(lead) = lead.as_mut().filter(|l| l.term == term) else {
             return;
         };
@@ -194,8 +200,8 @@
         }
     }
     if let Some(term) = deposed {
-        node.observe_term(term, None);
+        controller.observe_term(term, None);
     }
-    node.wake_scheduler.notify_one();
-    node.wake_completions.notify_one();
+    controller.wake_scheduler.notify_one();
+    controller.wake_completions.notify_one();
 }
