--- a/crates/tallygauge-sim/src/lib.rs
+++ b/crates/tallygauge-sim/src/lib.rs
@@ -313,7 +313,7 @@
         });
         let (node, questions) = Controller::new(settings, tuning, http.clone(), http, clock);
         let seed = self.state.lock().unwrap().random.random();
-        *node.lock(&node.random) = StdRng::seed_from_u64(seed);
+        node.seed_jitter(seed);
         node.store.seed_jitter(seed);
         self.controllers.lock().unwrap().push(Some(node.clone()));
         let background = tallygauge::background(node.clone(), questions);
--- a/crates/tallygauge-sim/src/users.rs
+++ b/crates/tallygauge-sim/src/users.rs
@@ -138,7 +138,8 @@
 
 /// Whether a node leads and has its picture.
 pub fn leads(node: &Controller) -> bool {
-    node.lock(&node.leadership)
+    node.leadership
+        .lock()
         .as_ref()
         .is_some_and(|l| l.cluster.is_some())
 }
--- a/crates/tallygauge-sim/tests/troubles.rs
+++ b/crates/tallygauge-sim/tests/troubles.rs
@@ -240,7 +240,7 @@
     let (id, body) = world.job(1, 1, 1.0, 3.0);
     accepted(&a, &body).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
-    *b.lock(&b.peer_reached_at) = b.now();
+    b.peer_reachability.record_contact(b.now());
     assert!(!b.is_isolated());
     let path = format!("/work/{id}");
     let method = warp::http::Method::GET;
--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -1,9 +1,6 @@
 //! Removal of records that nobody needs any more.
 
-use crate::{
-    controller::{Controller, placement_batch_key},
-    progress::page_writes,
-};
+use crate::{controller::Controller, progress::page_writes, store_keys::placement_batch_key};
 use std::{sync::Arc, time::Duration};
 use tallygauge_protocol::state::{Condition, Transaction, Write};
 use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
--- a/crates/tallygauge/src/cloud.rs
+++ b/crates/tallygauge/src/cloud.rs
@@ -62,7 +62,7 @@
     match call::<(), Catalogue>(controller, Method::GET, "/catalog", None).await {
         Ok(catalogue) if !catalogue.types.is_empty() => {
             let types: Arc<Vec<MachineType>> = Arc::new(catalogue.types);
-            *controller.lock(&controller.catalogue) = Some(types.clone());
+            controller.catalogue.set(types.clone());
             controller.with_cluster(|c| c.set_machine_types(&types));
             true
         }
--- /dev/null
+++ b/crates/tallygauge/src/job_watch_loop.rs
@@ -0,0 +1,98 @@
+//! The leader's watch of the active jobs: submissions and cancellations made
+//! through any controller.
+
+use crate::{
+    controller::Controller,
+    job_watch,
+    store_keys::{ACTIVE_JOB_PREFIX, active_job_key},
+};
+use std::time::Duration;
+use tallygauge_protocol::state::{KeyValue, WatchEvent, WatchResponse};
+use tallygauge_scheduler::ClusterState;
+use tallygauge_store::{RequestPriority, StoreError, WatchOutcome};
+
+/// Watches for as long as the term lasts, from `revision` on.
+pub async fn run(controller: &Controller, mut revision: u64) {
+    let timeout = Duration::from_secs_f64(controller.fence_s() / 6.0);
+    loop {
+        let sent_at = controller.now();
+        let outcome = controller
+            .store
+            .watch(ACTIVE_JOB_PREFIX, revision, timeout)
+            .await;
+        let followed = match outcome {
+            Ok(WatchOutcome::Events(response)) => {
+                revision = revision.max(response.revision);
+                apply_events(controller, response, revision, sent_at);
+                Ok(())
+            }
+            Ok(WatchOutcome::Compacted) => relist(controller)
+                .await
+                .map(|listed_at| revision = listed_at),
+            Err(error) => Err(error),
+        };
+        if followed.is_err() {
+            tokio::time::sleep(controller.leader_lease_ttl() / 8).await;
+        }
+    }
+}
+
+/// Applies a watch's events, and records that the cluster state contains every
+/// change up to when the watch was sent.
+fn apply_events(controller: &Controller, response: WatchResponse, revision: u64, sent_at: f64) {
+    let (now, time_of_day) = (controller.now(), controller.time_of_day());
+    let has_events = !response.events.is_empty();
+    if let Some(leadership) = controller.leadership.lock().as_mut() {
+        leadership.watch_confirmed_at = sent_at;
+        leadership.watched_revision = revision;
+        if let Some(cluster) = leadership.cluster.as_mut() {
+            for event in response.events {
+                job_watch::apply_event(cluster, event, now, time_of_day);
+            }
+        }
+    }
+    if has_events {
+        controller.wake_scheduler.notify_one();
+    }
+}
+
+/// Lists the active jobs when the store no longer has the events since the last
+/// watch. Returns the revision of the list.
+async fn relist(controller: &Controller) -> Result<u64, StoreError> {
+    let (rows, revision) = controller
+        .store
+        .list(RequestPriority::Leadership, ACTIVE_JOB_PREFIX)
+        .await?;
+    let (now, time_of_day) = (controller.now(), controller.time_of_day());
+    controller.with_cluster(|cluster| replace_jobs(cluster, rows, now, time_of_day));
+    if let Some(leadership) = controller.leadership.lock().as_mut() {
+        leadership.watched_revision = revision;
+    }
+    controller.wake_scheduler.notify_one();
+    Ok(revision)
+}
+
+/// Removes the jobs that are not listed, and adds those that are.
+fn replace_jobs(cluster: &mut ClusterState, rows: Vec<KeyValue>, now: f64, time_of_day: f64) {
+    let is_listed = |id: &str| {
+        let key = active_job_key(id);
+        rows.iter().any(|row| row.key == key)
+    };
+    let terminal: Vec<String> = cluster
+        .jobs
+        .keys()
+        .filter(|id| !is_listed(id))
+        .cloned()
+        .collect();
+    for id in terminal {
+        cluster.remove_job(&id, now);
+    }
+    for row in rows {
+        let event = WatchEvent::Set {
+            key: row.key,
+            value: row.value,
+            version: row.version,
+        };
+        job_watch::apply_event(cluster, event, now, time_of_day);
+    }
+}
--- /dev/null
+++ b/crates/tallygauge/src/leader/duties.rs
@@ -0,0 +1,41 @@
+//! The background loops of a term.
+
+use super::recovery::{self, RecoveredTerm};
+use crate::{
+    cleanup, cloud, controller::Controller, job_watch_loop, leader_records, progress,
+    reconciliation, scheduling_loop, summary, worker_api,
+};
+use std::sync::Arc;
+use tallygauge_protocol::state::Condition;
+
+/// Recovers the cluster state and then runs every background loop of the term. The
+/// loops end with the term, when the caller drops this future: they run in the
+/// caller's task and spawn none of their own, but for messages in flight.
+pub(super) async fn run(controller: &Arc<Controller>, term: u64, term_condition: &Condition) {
+    let RecoveredTerm { revision, records } = recover_with_retries(controller, term).await;
+    worker_api::send_direct_messages(controller);
+    controller.wake_scheduler.notify_one();
+    tokio::join!(
+        job_watch_loop::run(controller, revision),
+        scheduling_loop::run(controller, term_condition),
+        progress::complete_jobs(controller, term_condition),
+        progress::flush_pages(controller, term_condition),
+        cleanup::run(controller, term_condition),
+        summary::run(controller),
+        leader_records::run(controller, term_condition, records),
+        reconciliation::run(controller),
+        cloud::run(controller, term),
+    );
+}
+
+async fn recover_with_retries(controller: &Controller, term: u64) -> RecoveredTerm {
+    loop {
+        match recovery::recover_cluster_state(controller, term).await {
+            Ok(recovered) => return recovered,
+            Err(error) => {
+                tracing::warn!(%error, "cluster state not recovered, will retry");
+                tokio::time::sleep(controller.leader_lease_ttl() / 8).await;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/tallygauge/src/leader/election.rs
@@ -0,0 +1,175 @@
+//! Leader election: the leader key is held under a lease, the term key counts up
+//! with each election and is a condition of every write of the leader.
+
+use super::stored_value::{ReadError, decode_value};
+use crate::{
+    controller::Controller,
+    leadership::Leadership,
+    store_keys::{ELECTION_PREFIX, LEADER_KEY, TERM_KEY},
+};
+use serde::{Deserialize, Serialize};
+use tallygauge_protocol::state::{Condition, Transaction, Write};
+use tallygauge_store::{RequestPriority, TransactionOutcome, WatchOutcome};
+
+/// Value of the leader key, which is removed with the lease.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+struct LeaderRecord {
+    node: String,
+    term: u64,
+    lease: u64,
+}
+
+/// Value of the term key, which outlives every lease.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+struct TermRecord {
+    term: u64,
+    node: String,
+}
+
+/// The current term, as read from the store.
+pub(super) struct ObservedTerm {
+    leader: Option<LeaderRecord>,
+    /// The term; 0 before the first election.
+    pub(super) term: u64,
+    term_version: u64,
+    /// Revision at which the term was read.
+    pub(super) revision: u64,
+}
+
+impl ObservedTerm {
+    /// Whether a controller holds the leader key.
+    pub(super) fn has_leader(&self) -> bool {
+        self.leader.is_some()
+    }
+
+    /// Name of the controller that holds the leader key.
+    pub(super) fn leader_name(&self) -> Option<&str> {
+        self.leader.as_ref().map(|leader| leader.node.as_str())
+    }
+}
+
+/// Reads the term and its leader.
+///
+/// # Errors
+/// When the store does not answer, or the term record is malformed. A malformed
+/// leader record is taken as no leader: a campaign fails while its key exists.
+pub(super) async fn read_term(controller: &Controller) -> Result<ObservedTerm, ReadError> {
+    let (rows, revision) = controller
+        .store
+        .list(RequestPriority::Leadership, ELECTION_PREFIX)
+        .await?;
+    let mut observed = ObservedTerm {
+        leader: None,
+        term: 0,
+        term_version: 0,
+        revision,
+    };
+    for row in rows {
+        if row.key == LEADER_KEY {
+            observed.leader = serde_json::from_value(row.value).ok();
+        } else if row.key == TERM_KEY {
+            observed.term_version = row.version;
+            observed.term = decode_value::<TermRecord>(row)?.term;
+        }
+    }
+    Ok(observed)
+}
+
+/// Waits until the leader or the term changes after `revision`.
+pub(super) async fn wait_for_term_change(controller: &Controller, revision: u64) {
+    let ttl = controller.leader_lease_ttl();
+    // A watch that is lost silently must not delay an election for long.
+    let timeout = ttl * 2;
+    match controller
+        .store
+        .watch(ELECTION_PREFIX, revision, timeout)
+        .await
+    {
+        Ok(WatchOutcome::Events(_) | WatchOutcome::Compacted) => {}
+        Err(_) => tokio::time::sleep(controller.jitter(ttl / 4)).await,
+    }
+}
+
+/// Tries to win the term after the observed one, under a lease that was requested
+/// at `lease_requested_at`. `None` when another controller was faster, or when the
+/// outcome can't be known.
+pub(super) async fn campaign(
+    controller: &Controller,
+    observed: &ObservedTerm,
+    lease: u64,
+    lease_requested_at: f64,
+) -> Option<Leadership> {
+    let leader = LeaderRecord {
+        node: controller.settings.node_name.clone(),
+        term: observed.term + 1,
+        lease,
+    };
+    let started_at = controller.now();
+    let transaction = election_transaction(observed, &leader)?;
+    let patience = Some(controller.leader_lease_ttl() / 2);
+    let result = controller
+        .store
+        .commit_with_retries(RequestPriority::Leadership, &transaction, patience)
+        .await;
+    let term_version = match result.outcome {
+        Ok(TransactionOutcome::Committed(version)) => version,
+        _ if !result.in_doubt => return None,
+        // An earlier attempt may have been executed: then the records say so.
+        _ => confirm_election(controller, &leader).await?,
+    };
+    tracing::info!(term = leader.term, "elected leader");
+    Some(Leadership {
+        term: leader.term,
+        term_condition: Condition {
+            key: TERM_KEY.into(),
+            version: term_version,
+        },
+        cluster: None,
+        term_confirmed_at: started_at,
+        lease_renewed_at: lease_requested_at,
+        watch_confirmed_at: started_at,
+        watched_revision: 0,
+        last_heartbeat_at: controller.now(),
+    })
+}
+
+/// Takes the leader key, if it is free, and counts up the term, if it is still the
+/// observed one.
+fn election_transaction(observed: &ObservedTerm, leader: &LeaderRecord) -> Option<Transaction> {
+    let term = TermRecord {
+        term: leader.term,
+        node: leader.node.clone(),
+    };
+    let leader_is_absent = Condition {
+        key: LEADER_KEY.into(),
+        version: 0,
+    };
+    let term_is_unchanged = Condition {
+        key: TERM_KEY.into(),
+        version: observed.term_version,
+    };
+    let set_leader = Write::Set {
+        key: LEADER_KEY.into(),
+        value: serde_json::to_value(leader).ok()?,
+        lease: Some(leader.lease),
+    };
+    let set_term = Write::Set {
+        key: TERM_KEY.into(),
+        value: serde_json::to_value(term).ok()?,
+        lease: None,
+    };
+    Some(Transaction {
+        conditions: vec![leader_is_absent, term_is_unchanged],
+        writes: vec![set_leader, set_term],
+    })
+}
+
+/// The version of the term record, if this controller's election is on record.
+async fn confirm_election(controller: &Controller, leader: &LeaderRecord) -> Option<u64> {
+    let current = read_term(controller).await.ok()?;
+    let is_elected = current.leader.as_ref() == Some(leader) && current.term == leader.term;
+    is_elected.then_some(current.term_version)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/tallygauge/src/leader/tests.rs
+++ b/crates/tallygauge/src/leader/election/tests.rs
@@ -1,6 +1,7 @@
 //! Golden records of leadership: stored values and keys must stay as they are.
 
 use super::*;
+use serde::de::DeserializeOwned;
 
 fn rewrite<T: DeserializeOwned + Serialize>(text: &str) -> String {
     let record: T = serde_json::from_str(text).unwrap();
@@ -9,7 +10,7 @@
 
 #[test]
 fn leadership_records_are_read_and_written_unchanged_under_their_keys() {
-    let lines = include_str!("../../tests/golden/terms.txt").lines();
+    let lines = include_str!("../../../tests/golden/terms.txt").lines();
     let rows: Vec<Vec<&str>> = lines.map(|line| line.splitn(3, ' ').collect()).collect();
     assert_eq!(rows.len(), 2);
     assert_eq!((rows[0][0], rows[1][0]), (LEADER_KEY, TERM_KEY));
--- /dev/null
+++ b/crates/tallygauge/src/leader/recovery.rs
@@ -0,0 +1,213 @@
+//! Recovery of the cluster state from the store when a term begins.
+
+use super::stored_value::{ReadError, decode_value};
+use crate::{
+    controller::Controller,
+    job_watch,
+    leader_records::{self, StoredRecords},
+    scheduler_config::scheduler_config,
+    scheduling_loop,
+    store_keys::{ACTIVE_JOB_PREFIX, COMPLETION_PAGE_PREFIX, PLACEMENT_BATCH_PREFIX},
+    user_api::{self, ActiveJobRecord},
+};
+use std::collections::HashMap;
+use tallygauge_protocol::state::KeyValue;
+use tallygauge_scheduler::{
+    ClusterState, CompletionPageRecord, ImagesPart, PlacementBatchRecord, RangeSet,
+};
+use tallygauge_store::RequestPriority;
+
+/// What the background loops of a term start from.
+pub(super) struct RecoveredTerm {
+    /// Revision after which active jobs must be watched.
+    pub(super) revision: u64,
+    /// Records of earlier leaders, as found.
+    pub(super) records: StoredRecords,
+}
+
+/// All records from which the cluster state is rebuilt.
+struct DurableState {
+    active_jobs: Vec<KeyValue>,
+    completion_pages: Vec<KeyValue>,
+    placement_batches: Vec<KeyValue>,
+    records: StoredRecords,
+    /// Revision at which the active jobs were listed. They are listed first, and
+    /// the watch goes on from there, so that no change is missed.
+    revision: u64,
+}
+
+/// When the records were read.
+#[derive(Clone, Copy)]
+struct RecoveryTime {
+    /// Seconds of the process's clock.
+    now: f64,
+    /// Seconds since the Unix epoch.
+    time_of_day: f64,
+}
+
+/// Completed tasks of each job, by the job's id.
+type CompletedTasks = HashMap<String, RangeSet>;
+
+/// Rebuilds the cluster state from jobs, completed tasks and placements, and
+/// installs it in the term.
+///
+/// # Errors
+/// When the store does not answer or a record is malformed; nothing is installed.
+pub(super) async fn recover_cluster_state(
+    controller: &Controller,
+    term: u64,
+) -> Result<RecoveredTerm, ReadError> {
+    let durable = read_durable_state(controller).await?;
+    let time = RecoveryTime {
+        now: controller.now(),
+        time_of_day: controller.time_of_day(),
+    };
+    let mut cluster = new_cluster_state(controller, term, time);
+    restore_leader_records(&mut cluster, &durable.records);
+    let completed = restore_completion_pages(&mut cluster, durable.completion_pages)?;
+    restore_active_jobs(&mut cluster, durable.active_jobs, &completed, time)?;
+    restore_placements(&mut cluster, durable.placement_batches, time).await?;
+    install_cluster_state(controller, term, cluster, durable.revision);
+    Ok(RecoveredTerm {
+        revision: durable.revision,
+        records: durable.records,
+    })
+}
+
+async fn read_durable_state(controller: &Controller) -> Result<DurableState, ReadError> {
+    let store = &controller.store;
+    let priority = RequestPriority::Leadership;
+    let (active_jobs, revision) = store.list(priority, ACTIVE_JOB_PREFIX).await?;
+    let versions = active_jobs
+        .iter()
+        .map(|row| (row.key.as_str(), row.version));
+    user_api::cache_active_jobs(controller, versions);
+    let (completion_pages, _) = store.list(priority, COMPLETION_PAGE_PREFIX).await?;
+    let (placement_batches, records) = tokio::join!(
+        store.list(priority, PLACEMENT_BATCH_PREFIX),
+        leader_records::load(controller)
+    );
+    let (placement_batches, _) = placement_batches?;
+    Ok(DurableState {
+        active_jobs,
+        completion_pages,
+        placement_batches,
+        records,
+        revision,
+    })
+}
+
+fn new_cluster_state(controller: &Controller, term: u64, time: RecoveryTime) -> ClusterState {
+    let mut cluster = ClusterState::new(
+        scheduler_config(controller, term),
+        time.now,
+        controller.tasks_per_chunk(),
+        scheduling_loop::record_bytes(controller),
+    );
+    if let Some(types) = controller.catalogue.get() {
+        cluster.set_machine_types(&types);
+    }
+    cluster.set_time_of_day(time.now, time.time_of_day);
+    cluster
+}
+
+/// Restores what earlier leaders recorded. What is missing is rebuilt in time.
+fn restore_leader_records(cluster: &mut ClusterState, records: &StoredRecords) {
+    if let Some(service_counts) = records.decode(None) {
+        cluster.restore_service_counts(service_counts);
+    }
+    for shard in records.decode_shards::<ImagesPart>() {
+        cluster.restore_image_locations(&shard);
+    }
+    if let Some(cutoffs) = &records.calendar {
+        cutoffs.apply_to(cluster);
+    }
+    if let Some(deadline_tracker) = records.decode(None) {
+        cluster.restore_deadline_tracker(deadline_tracker);
+    }
+    if let Some(priority_rules) = records.decode(None) {
+        cluster.set_priority_rules(priority_rules);
+    }
+}
+
+fn restore_completion_pages(
+    cluster: &mut ClusterState,
+    rows: Vec<KeyValue>,
+) -> Result<CompletedTasks, ReadError> {
+    let mut completed = CompletedTasks::new();
+    for row in rows {
+        let number = row.key.strip_prefix(COMPLETION_PAGE_PREFIX);
+        let Some(page) = number.and_then(|number| number.parse().ok()) else {
+            continue;
+        };
+        let version = row.version;
+        let record: CompletionPageRecord = decode_value(row)?;
+        for ((job, _), tasks) in cluster.completion_pages.restore(page, version, record) {
+            completed.entry(job).or_default().extend(&tasks, u32::MAX);
+        }
+    }
+    Ok(completed)
+}
+
+/// Adds the active jobs, and drops the completed tasks of all others.
+fn restore_active_jobs(
+    cluster: &mut ClusterState,
+    rows: Vec<KeyValue>,
+    completed: &CompletedTasks,
+    time: RecoveryTime,
+) -> Result<(), ReadError> {
+    let none_completed = RangeSet::default();
+    for row in rows {
+        let version = row.version;
+        let record: ActiveJobRecord = decode_value(row)?;
+        let tasks = completed.get(&record.spec.id).unwrap_or(&none_completed);
+        job_watch::add_job(
+            cluster,
+            record,
+            version,
+            (time.now, time.time_of_day),
+            tasks,
+        );
+    }
+    let jobs = &cluster.jobs;
+    cluster
+        .completion_pages
+        .retain_jobs(|id| jobs.contains_key(id));
+    Ok(())
+}
+
+async fn restore_placements(
+    cluster: &mut ClusterState,
+    rows: Vec<KeyValue>,
+    time: RecoveryTime,
+) -> Result<(), ReadError> {
+    for row in rows {
+        let key = row.key.clone();
+        let record: PlacementBatchRecord = decode_value(row)?;
+        if let Some(name) = key.strip_prefix(PLACEMENT_BATCH_PREFIX) {
+            cluster.restore_placements(name, &record, time.now, time.time_of_day);
+        }
+        // There may be many: requests of users and workers go in between.
+        tokio::task::yield_now().await;
+    }
+    Ok(())
+}
+
+/// Makes the recovered state that of the term, if the term has not ended meanwhile.
+fn install_cluster_state(
+    controller: &Controller,
+    term: u64,
+    mut cluster: ClusterState,
+    revision: u64,
+) {
+    let (jobs, machines) = (cluster.jobs.len(), cluster.workers.len());
+    cluster.term_started_at = controller.now();
+    let mut leadership = controller.leadership.lock();
+    if let Some(leadership) = leadership.as_mut().filter(|own| own.term == term) {
+        leadership.cluster = Some(cluster);
+        leadership.watched_revision = revision;
+        // No heartbeat could be answered until now.
+        leadership.last_heartbeat_at = controller.now();
+    }
+    tracing::info!(term, jobs, machines, "recovered cluster state");
+}
--- /dev/null
+++ b/crates/tallygauge/src/leadership.rs
@@ -0,0 +1,176 @@
+//! Leadership as this controller knows it: its own term, if it is the leader, and
+//! the highest term that it has observed.
+
+use crate::locking::lock;
+use std::sync::{Mutex, MutexGuard};
+use tallygauge_protocol::state::Condition;
+use tallygauge_scheduler::ClusterState;
+use tokio::sync::Notify;
+
+/// The highest term that this controller has observed, and its leader.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct LeaderView {
+    /// Highest term observed.
+    pub term: u64,
+    /// Name of the controller that leads it, while it is known to hold its lease.
+    pub leader: Option<String>,
+}
+
+/// The term that this controller leads. All times are seconds of
+/// [`Controller::now`](crate::controller::Controller::now).
+pub struct Leadership {
+    /// The term, which is also the fencing token of every command.
+    pub term: u64,
+    /// The term record's version: a condition of every write of this term.
+    pub term_condition: Condition,
+    /// The cluster state; `None` until it is recovered from the store.
+    pub cluster: Option<ClusterState>,
+    /// When the term was last confirmed to be the current one.
+    pub term_confirmed_at: f64,
+    /// When the last acknowledged renewal of the lease was sent: no other
+    /// controller can win a term before the lease's time to live from then is over.
+    pub lease_renewed_at: f64,
+    /// When the last answered watch of jobs was sent: the cluster state contains
+    /// every cancellation up to then.
+    pub watch_confirmed_at: f64,
+    /// Revision up to which the cluster state has followed active jobs.
+    pub watched_revision: u64,
+    /// When a worker last sent a heartbeat.
+    pub last_heartbeat_at: f64,
+}
+
+impl Leadership {
+    /// Whether the leader must neither answer nor command workers: its cluster
+    /// state may lack a cancellation that was acknowledged more than `fence_s` ago,
+    /// or its term may have been superseded that long ago. A leader that has not
+    /// recovered its cluster state is always fenced.
+    #[must_use]
+    pub fn is_fenced(&self, now: f64, fence_s: f64) -> bool {
+        let confirmed_at = self.term_confirmed_at.min(self.watch_confirmed_at);
+        self.cluster.is_none() || now - confirmed_at > fence_s
+    }
+}
+
+/// Own leadership, the observed leader, and whether this controller may campaign.
+pub struct LeadershipState {
+    node_name: String,
+    own: Mutex<Option<Leadership>>,
+    view: Mutex<LeaderView>,
+    candidacy_suspended_until: Mutex<f64>,
+    follower_heartbeat_at: Mutex<f64>,
+    stepped_down: Notify,
+    view_changed: Notify,
+}
+
+impl LeadershipState {
+    /// A follower that has not observed any term. `node_name` is the name under
+    /// which this controller is elected.
+    #[must_use]
+    pub fn new(node_name: String) -> Self {
+        Self {
+            node_name,
+            own: Mutex::default(),
+            view: Mutex::default(),
+            candidacy_suspended_until: Mutex::new(f64::NEG_INFINITY),
+            follower_heartbeat_at: Mutex::new(f64::NEG_INFINITY),
+            stepped_down: Notify::new(),
+            view_changed: Notify::new(),
+        }
+    }
+
+    /// Locks the term that this controller leads; `None` while it is a follower.
+    pub fn lock(&self) -> MutexGuard<'_, Option<Leadership>> {
+        lock(&self.own)
+    }
+
+    /// Whether this controller is the leader, as far as it knows.
+    #[must_use]
+    pub fn is_leader(&self) -> bool {
+        self.lock().is_some()
+    }
+
+    /// The term that this controller leads.
+    #[must_use]
+    pub fn own_term(&self) -> Option<u64> {
+        self.lock().as_ref().map(|leadership| leadership.term)
+    }
+
+    /// The highest term observed and its leader.
+    #[must_use]
+    pub fn view(&self) -> LeaderView {
+        lock(&self.view).clone()
+    }
+
+    /// Starts the term that this controller has won.
+    pub fn begin_term(&self, leadership: Leadership) {
+        let term = leadership.term;
+        *self.lock() = Some(leadership);
+        self.observe_term(term, Some(&self.node_name));
+    }
+
+    /// Records that a term exists, and its leader if it is known. Steps down from
+    /// any lower term.
+    pub fn observe_term(&self, term: u64, leader: Option<&str>) {
+        {
+            let mut view = lock(&self.view);
+            if term < view.term || (term == view.term && leader == view.leader.as_deref()) {
+                return;
+            }
+            if term > view.term || leader.is_some() {
+                view.leader = leader.map(str::to_string);
+            }
+            view.term = term;
+        }
+        self.view_changed.notify_waiters();
+        if self.own_term().is_some_and(|own_term| own_term < term) {
+            self.step_down("observed a higher term");
+        }
+    }
+
+    /// Ends own leadership, if any; `cause` is for the log.
+    pub fn step_down(&self, cause: &str) {
+        if let Some(leadership) = self.lock().take() {
+            tracing::info!(term = leadership.term, cause, "stepped down");
+            let mut view = lock(&self.view);
+            if view.leader.as_deref() == Some(self.node_name.as_str()) {
+                view.leader = None;
+            }
+        }
+        self.stepped_down.notify_waiters();
+        self.stepped_down.notify_one();
+    }
+
+    /// Waits until this controller no longer leads the given term.
+    pub async fn wait_until_deposed(&self, term: u64) {
+        while self.own_term() == Some(term) {
+            self.stepped_down.notified().await;
+        }
+    }
+
+    /// Waits until another term or another leader is observed.
+    pub async fn wait_for_view_change(&self) {
+        self.view_changed.notified().await;
+    }
+
+    /// Stops this controller from campaigning before the given time.
+    pub fn suspend_candidacy_until(&self, time: f64) {
+        *lock(&self.candidacy_suspended_until) = time;
+    }
+
+    /// Whether this controller must not campaign now.
+    #[must_use]
+    pub fn is_candidacy_suspended(&self, now: f64) -> bool {
+        now < *lock(&self.candidacy_suspended_until)
+    }
+
+    /// Records that a worker sent a heartbeat while this controller is a follower.
+    pub fn record_follower_heartbeat(&self, now: f64) {
+        *lock(&self.follower_heartbeat_at) = now;
+    }
+
+    /// When a worker last sent a heartbeat while this controller was a follower.
+    #[must_use]
+    pub fn follower_heartbeat_at(&self) -> f64 {
+        *lock(&self.follower_heartbeat_at)
+    }
+}
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -10,17 +10,25 @@
 pub mod deadline_settings;
 pub mod fairness_summary;
 pub mod job_watch;
+pub mod job_watch_loop;
 pub mod leader;
 pub mod leader_records;
+pub mod leadership;
+mod locking;
+pub mod machine_catalogue;
 pub mod operator_settings;
+pub mod peer_reachability;
 pub mod peers;
 pub mod placements;
+pub mod process_load;
 pub mod progress;
 pub mod reconciliation;
 pub mod relay;
+pub mod scheduler_config;
 pub mod scheduling_loop;
 pub mod server;
 pub mod settings;
+pub mod store_keys;
 pub mod summary;
 pub mod user_api;
 pub mod wall_clock;
@@ -70,7 +78,7 @@
     tracing::info!(node = controller.settings.node_name, "starts");
     tokio::spawn(server::serve(controller.clone()));
     tokio::spawn(peers::run(controller.clone()));
-    tokio::spawn(controller.clone().measure_scheduling_delay());
+    tokio::spawn(process_load::measure_scheduling_delay(controller.clone()));
     let peers = tokio::spawn(peers::serve(controller.clone()));
     // What is not spawned does not queue behind hundreds of workers' requests:
     // the runtime looks at it first. A lease that waits its turn is lost.
--- a/crates/tallygauge/src/peers.rs
+++ b/crates/tallygauge/src/peers.rs
@@ -41,7 +41,7 @@
         Box::pin(async move {
             let _turn = self.turns.try_acquire().ok()?;
             let leader = self.controller.upgrade()?;
-            let leader = leader.lock(&leader.leader_view).leader.clone();
+            let leader = leader.leadership.view().leader;
             // The leader is served by the state service, or soon another leads.
             let (first, others): (Vec<_>, Vec<_>) = self
                 .clients
@@ -87,7 +87,7 @@
         let told = request.into_inner();
         let leader = (!told.leader.is_empty()).then_some(told.leader.as_str());
         self.0.observe_term(told.term, leader);
-        let role = self.0.lock(&self.0.leader_view).clone();
+        let role = self.0.leadership.view();
         Ok(Response::new(Announcement {
             term: role.term,
             leader: role.leader.unwrap_or_default(),
@@ -157,9 +157,12 @@
     *controller.lock(&controller.relay) = Some(Arc::new(peers));
     let mut told = 0;
     loop {
-        let _ = tokio::time::timeout(Duration::from_secs(1), controller.leader_changed.notified())
-            .await;
-        let role = controller.lock(&controller.leader_view).clone();
+        let _ = tokio::time::timeout(
+            Duration::from_secs(1),
+            controller.leadership.wait_for_view_change(),
+        )
+        .await;
+        let role = controller.leadership.view();
         let mine = role.leader.as_deref() == Some(controller.settings.node_name.as_str());
         let announcement = Announcement {
             term: role.term,
@@ -192,14 +195,16 @@
         }
         // Old answers do not count when it lags the next time.
         let mut up = 0;
-        if mine && controller.now() < *controller.lock(&controller.sheds_user_load_until) {
+        if mine && controller.load.should_shed_user_load(controller.now()) {
             up = count_reachable(&clients, &announcement).await;
         }
-        *controller.lock(&controller.reachable_peers) = up;
+        controller.peer_reachability.record_reachable(up);
         // A node that the state service does not serve finds out if it is apart.
         let served = controller.store.failing_since().is_none();
         if served || count_reachable(&clients, &announcement).await > 0 {
-            *controller.lock(&controller.peer_reached_at) = controller.now();
+            controller
+                .peer_reachability
+                .record_contact(controller.now());
         }
         if !mine {
             let leader = clients.iter().find(|c| Some(&c.0) == role.leader.as_ref());
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -1,7 +1,8 @@
 //! Durable placements: batches whose transactions are under way at the same time.
 
 use crate::{
-    controller::{Controller, TERM_KEY, active_job_key, placement_batch_key},
+    controller::Controller,
+    store_keys::{TERM_KEY, active_job_key, placement_batch_key},
     worker_api,
 };
 use futures_util::{
@@ -126,7 +127,7 @@
         .await;
     let made = match settled.outcome {
         Ok(TransactionOutcome::Committed(_)) => {
-            if let Some(lead) = controller.lock(&controller.leadership).as_mut() {
+            if let Some(lead) = controller.leadership.lock().as_mut() {
                 let asked = controller.instant_to_seconds(settled.sent_at);
                 lead.term_confirmed_at = lead.term_confirmed_at.max(asked);
             }
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -1,10 +1,9 @@
 //! Durable progress: the ends of whole jobs, and pages of finished tasks.
 
 use crate::{
-    controller::{
-        CachedJob, Controller, TERM_KEY, active_job_key, completion_page_key, terminal_job_key,
-    },
+    controller::{CachedJob, Controller},
     scheduling_loop::VALUE_BYTES,
+    store_keys::{TERM_KEY, active_job_key, completion_page_key, terminal_job_key},
     user_api::TerminalJobRecord,
 };
 use futures_util::stream::{FuturesUnordered, StreamExt};
--- a/crates/tallygauge/src/reconciliation.rs
+++ b/crates/tallygauge/src/reconciliation.rs
@@ -45,7 +45,7 @@
 /// lost. One that was in it, and is not on record at a later time, is over.
 pub async fn reconcile_with_store(controller: &Controller) -> (usize, usize) {
     let before = {
-        let lead = controller.lock(&controller.leadership);
+        let lead = controller.leadership.lock();
         lead.as_ref().and_then(|l| {
             let cluster = l.cluster.as_ref()?;
             Some((l.term, l.watched_revision, cluster.active_job_ids()))
@@ -65,7 +65,7 @@
     let (now, time_of_day) = (controller.now(), controller.time_of_day());
     let mut counts = (0, 0);
     {
-        let mut lead = controller.lock(&controller.leadership);
+        let mut lead = controller.leadership.lock();
         let lead = lead.as_mut().filter(|l| l.term == term);
         let Some(cluster) = lead.and_then(|l| l.cluster.as_mut()) else {
             return (0, 0);
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -62,10 +62,7 @@
             return;
         }
         let took = controller.now() - now;
-        {
-            let mut longest = controller.lock(&controller.longest_round_s);
-            *longest = longest.max(took);
-        }
+        controller.load.record_round(took);
         log_events(controller);
         // Stops need nothing durable and go out first.
         worker_api::send_direct_messages(controller);
@@ -81,7 +78,8 @@
 fn plan(controller: &Controller, now: f64, has_turn: bool) -> Vec<PlacementBatch> {
     let ttl = controller.leader_lease_ttl().as_secs_f64();
     let sure = controller
-        .lock(&controller.leadership)
+        .leadership
+        .lock()
         .as_ref()
         .is_some_and(|l| now - l.term_confirmed_at < ttl * 1.5);
     if !sure || !has_turn {
--- a/crates/tallygauge/src/server.rs
+++ b/crates/tallygauge/src/server.rs
@@ -85,8 +85,8 @@
 /// not better left to its work by users. It answers them all the same. One that
 /// is apart can tell them nothing: their connections must not stay with it.
 fn ready(controller: &Controller) -> bool {
-    controller.lock(&controller.catalogue).is_some()
-        && *controller.lock(&controller.store_reached)
+    controller.catalogue.is_loaded()
+        && controller.has_reached_store()
         && !controller.sheds_user_load()
         && !controller.is_isolated()
 }
--- /dev/null
+++ b/crates/tallygauge/src/store_keys.rs
@@ -0,0 +1,41 @@
+//! Keys of the records in the consensus-backed key-value store.
+
+/// Prefix of the leader key and the term key.
+pub const ELECTION_PREFIX: &str = "t/";
+/// Key of the leader record, which is removed with the leader's lease.
+pub const LEADER_KEY: &str = "t/leader";
+/// Key of the term record, which outlives every lease.
+pub const TERM_KEY: &str = "t/term";
+/// Prefix of the records of active jobs.
+pub const ACTIVE_JOB_PREFIX: &str = "o/";
+/// Prefix of the pages of completed tasks.
+pub const COMPLETION_PAGE_PREFIX: &str = "f/";
+/// Prefix of the placement batches.
+pub const PLACEMENT_BATCH_PREFIX: &str = "p/";
+
+/// Prefix of the records of terminal jobs.
+const TERMINAL_JOB_PREFIX: &str = "j/";
+
+/// Key of an active (pending or running) job.
+#[must_use]
+pub fn active_job_key(id: &str) -> String {
+    format!("{ACTIVE_JOB_PREFIX}{id}")
+}
+
+/// Key of a job in a terminal state.
+#[must_use]
+pub fn terminal_job_key(id: &str) -> String {
+    format!("{TERMINAL_JOB_PREFIX}{id}")
+}
+
+/// Key of a page of completed tasks.
+#[must_use]
+pub fn completion_page_key(page: u32) -> String {
+    format!("{COMPLETION_PAGE_PREFIX}{page}")
+}
+
+/// Key of a placement batch.
+#[must_use]
+pub fn placement_batch_key(name: &str) -> String {
+    format!("{PLACEMENT_BATCH_PREFIX}{name}")
+}
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -13,14 +13,14 @@
     let pause = Duration::from_secs_f64(report * EVERY);
     loop {
         tokio::time::sleep(pause).await;
-        let longest_round_s = std::mem::take(&mut *controller.lock(&controller.longest_round_s));
+        let longest_round_s = controller.load.take_longest_round_s();
         summarize(controller, longest_round_s);
     }
 }
 
 fn summarize(controller: &Controller, longest_round_s: f64) {
     let backlog = controller.store.budget().waiting();
-    let lag = *controller.lock(&controller.scheduling_delay);
+    let lag = controller.load.scheduling_delay_s();
     let (now, memory_s) = (controller.now(), controller.caller_expiry_s());
     let unanswered_s = {
         let unanswered = controller.lock(&controller.pending_callers);
--- a/crates/tallygauge/src/user_api.rs
+++ b/crates/tallygauge/src/user_api.rs
@@ -2,8 +2,9 @@
 
 pub use crate::relay::{Relay, RelayFuture};
 
-use crate::controller::{
-    CachedJob, Controller, VersionCheck, VersionCheckResult, active_job_key, terminal_job_key,
+use crate::{
+    controller::{CachedJob, Controller, VersionCheck, VersionCheckResult},
+    store_keys::{active_job_key, terminal_job_key},
 };
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -560,7 +561,7 @@
         Ok(spec) => match spec.validate() {
             Err(error) => Err((400, error)),
             Ok(()) => {
-                let types = controller.lock(&controller.catalogue).clone();
+                let types = controller.catalogue.get();
                 match types {
                     None => {
                         return match resubmit_idempotently(controller, &id).await {
--- a/crates/tallygauge/src/worker_api.rs
+++ b/crates/tallygauge/src/worker_api.rs
@@ -22,7 +22,7 @@
 /// Whether workers have called on this node of late, though it does not lead.
 #[must_use]
 pub fn has_recent_heartbeats(controller: &Controller) -> bool {
-    let at = *controller.lock(&controller.follower_heartbeat_at);
+    let at = controller.leadership.follower_heartbeat_at();
     controller.now() - at < controller.settings.deployment.workers.heartbeat_interval_s * 2.0
 }
 
@@ -32,24 +32,21 @@
 pub fn lacks_heartbeats(controller: &Controller) -> bool {
     let now = controller.now();
     let patience = controller.settings.deployment.workers.lease_s * 0.3;
-    controller
-        .lock(&controller.leadership)
-        .as_ref()
-        .is_some_and(|lead| {
-            let expected = lead.cluster.as_ref().is_some_and(|c| {
-                c.workers
-                    .values()
-                    .any(|w| w.is_up() || !w.attempts.is_empty())
-            });
-            expected && now - lead.last_heartbeat_at > patience
-        })
+    controller.leadership.lock().as_ref().is_some_and(|lead| {
+        let expected = lead.cluster.as_ref().is_some_and(|c| {
+            c.workers
+                .values()
+                .any(|w| w.is_up() || !w.attempts.is_empty())
+        });
+        expected && now - lead.last_heartbeat_at > patience
+    })
 }
 
 /// `POST /checkin`
 pub fn handle_heartbeat(controller: &Controller, body: &[u8]) -> HeartbeatReply {
     // Who does not lead has no use for the report: when a leader is gone, all
     // workers call on the others at once, and are refused before it costs.
-    if controller.lock(&controller.leadership).is_none() {
+    if controller.leadership.lock().is_none() {
         return redirect_to_leader(controller);
     }
     let report: Heartbeat = match serde_json::from_slice(body) {
@@ -66,7 +63,7 @@
     let mut deposed = None;
     let mut changed = false;
     let answer = {
-        let mut lead = controller.lock(&controller.leadership);
+        let mut lead = controller.leadership.lock();
         match lead.as_mut() {
             None => None,
             Some(lead) if report.token > lead.term => {
@@ -121,8 +118,10 @@
 
 /// The answer of a node that does not lead.
 fn redirect_to_leader(controller: &Controller) -> HeartbeatReply {
-    *controller.lock(&controller.follower_heartbeat_at) = controller.now();
-    let leader = controller.lock(&controller.leader_view).leader.clone();
+    controller
+        .leadership
+        .record_follower_heartbeat(controller.now());
+    let leader = controller.leadership.view().leader;
     match leader {
         Some(name) if name != controller.settings.node_name => {
             HeartbeatReply::Redirected(Redirect { leader: Some(name) })
@@ -137,7 +136,7 @@
 pub fn send_direct_messages(controller: &Arc<Controller>) {
     let (now, fence) = (controller.now(), controller.fence_s());
     let (term, messages) = {
-        let mut lead = controller.lock(&controller.leadership);
+        let mut lead = controller.leadership.lock();
         let Some(lead) = lead.as_mut().filter(|l| !l.is_fenced(now, fence)) else {
             return;
         };
@@ -182,7 +181,7 @@
     let now = controller.now();
     let mut deposed = None;
     {
-        let mut lead = controller.lock(&controller.leadership);
+        let mut lead = controller.leadership.lock();
         let Some(lead) = lead.as_mut().filter(|l| l.term == term) else {
             return;
         };
