--- a/crates/tallygauge-sim/tests/failures.rs
+++ b/crates/tallygauge-sim/tests/failures.rs
@@ -281,7 +281,7 @@
     let (world, a, _ta) = start_with_leader().await;
     let (b, _tb) = world.start_controller("n-b");
     assert!(eventually(30.0, async || b.lock(&b.catalogue).is_some()).await);
-    *b.lock(&b.relay) = Some(Arc::new(To(a.clone())));
+    b.relay.set(Arc::new(To(a.clone())));
     world.state.lock().unwrap().partitioned.insert("n-b".into());
     let (id, body) = world.job(1, 2, 8.0, 5.0);
     let path = format!("/work/{id}");
--- a/crates/tallygauge-sim/tests/freezes.rs
+++ b/crates/tallygauge-sim/tests/freezes.rs
@@ -157,7 +157,8 @@
     world.state.lock().unwrap().partitioned.insert("n-b".into());
     // It has to find out that it is refused.
     let _ = user_api::job_status(&b, &id).await;
-    *b.lock(&b.relay) = Some(Arc::new(ThenStill(To(a.clone()), world.clone(), "n-b")));
+    b.relay
+        .set(Arc::new(ThenStill(To(a.clone()), world.clone(), "n-b")));
     let (w, n, path) = (world.clone(), b.clone(), format!("/work/{id}"));
     let poll = tokio::spawn(async move {
         let poll = async {
--- a/crates/tallygauge-sim/tests/meetings.rs
+++ b/crates/tallygauge-sim/tests/meetings.rs
@@ -66,7 +66,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_leader_refused_alone_stops_what_it_hears_is_cancelled() {
     let (world, [(a, _ta), (b, _tb)], id) = two_long_tasks().await;
-    *a.lock(&a.relay) = Some(Arc::new(To(b.clone())));
+    a.relay.set(Arc::new(To(b.clone())));
     world.set_store_refuses("n-a", true);
     let path = format!("/work/{id}/abort");
     let told = eventually(5.0, async || {
--- a/crates/tallygauge-sim/tests/meetings_answers.rs
+++ b/crates/tallygauge-sim/tests/meetings_answers.rs
@@ -26,7 +26,7 @@
     }
     for n in 0..3 {
         let peer = nodes[(n + 1) % 3].clone();
-        *nodes[n].lock(&nodes[n].relay) = Some(Arc::new(To(peer)));
+        nodes[n].relay.set(Arc::new(To(peer)));
     }
     (world, nodes, tasks)
 }
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -1,22 +1,26 @@
 //! What the parts of a controller share.
 
 use crate::{
-    connection_limits::ConnectionLimits, operator_settings::OperatorSettings, relay::Relay,
-    settings::Settings, wall_clock::WallClock,
+    connection_limits::ConnectionLimits,
+    job_cache::JobCache,
+    operator_settings::OperatorSettings,
+    pending_callers::PendingCallers,
+    relay::PeerRelay,
+    settings::Settings,
+    task_counts::TaskCounts,
+    user_api::JobRefresh,
+    version_checks::{VersionCheckQueue, VersionChecks},
+    wall_clock::WallClock,
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::{
-    collections::{BTreeSet, HashMap, VecDeque},
     sync::{Arc, Mutex, MutexGuard},
     time::Duration,
 };
-use tallygauge_protocol::{cloud::MachineType, state::Condition, users::JobStatus};
+use tallygauge_protocol::{cloud::MachineType, state::Condition};
 use tallygauge_scheduler::{ClusterState, Config, MinimumShareConfig, ReplicaSpread};
-use tallygauge_store::{RequestBudget, RequestPriority, StoreClient, http::HttpClient};
-use tokio::{
-    sync::{Notify, mpsc, oneshot},
-    time::Instant,
-};
+use tallygauge_store::{RequestBudget, StoreClient, http::HttpClient};
+use tokio::{sync::Notify, time::Instant};
 
 /// Key of the leased leader record.
 pub const LEADER_KEY: &str = "t/leader";
@@ -61,64 +65,6 @@
     format!("p/{name}")
 }
 
-/// What a node knows of a job.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CachedJob {
-    /// Open, its record having this version when last read.
-    Active(u64),
-    /// It was open, and its record is not as it was.
-    Stale,
-    /// Over; this never changes again.
-    Terminal(JobStatus, u32),
-}
-
-/// Jobs that were asked about, the longest known dropped first.
-pub struct JobCache {
-    jobs: HashMap<String, CachedJob>,
-    order: VecDeque<String>,
-    capacity: usize,
-}
-
-impl JobCache {
-    fn new(most: usize) -> Self {
-        Self {
-            jobs: HashMap::new(),
-            order: VecDeque::new(),
-            capacity: most,
-        }
-    }
-
-    /// What is known of a job.
-    #[must_use]
-    pub fn get(&self, id: &str) -> Option<CachedJob> {
-        self.jobs.get(id).copied()
-    }
-
-    /// Notes what is known. What is over stays over.
-    pub fn insert(&mut self, id: &str, what: CachedJob) {
-        match self.jobs.get_mut(id) {
-            Some(CachedJob::Terminal(..)) => {}
-            Some(known) => *known = what,
-            None => {
-                self.jobs.insert(id.to_string(), what);
-                self.order.push_back(id.to_string());
-                if self.order.len() > self.capacity
-                    && let Some(old) = self.order.pop_front()
-                {
-                    self.jobs.remove(&old);
-                }
-            }
-        }
-    }
-
-    /// Forgets an open job that is not as it was.
-    pub fn mark_stale(&mut self, id: &str, version: u64) {
-        if self.jobs.get(id) == Some(&CachedJob::Active(version)) {
-            self.jobs.insert(id.to_string(), CachedJob::Stale);
-        }
-    }
-}
-
 /// Who leads, as far as this node knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LeaderView {
@@ -161,87 +107,6 @@
     }
 }
 
-/// Task counts of open jobs, for display.
-#[derive(Default)]
-pub struct TaskCounts {
-    /// Counts and when they were read.
-    pub known: HashMap<String, (u32, u32, f64)>,
-    /// Jobs asked about since the last refresh.
-    pub asked: BTreeSet<String>,
-}
-
-/// A question whether keys have the given versions.
-pub struct VersionCheck {
-    /// What it is for.
-    pub priority: RequestPriority,
-    /// Since when whoever asks has had no answer: the longest come first.
-    pub unanswered_since: f64,
-    /// When it was asked.
-    pub requested_at: f64,
-    /// Keys and versions.
-    pub conditions: Vec<Condition>,
-    /// Where the answer goes; `None`: can't know.
-    pub reply: oneshot::Sender<Option<VersionCheckResult>>,
-}
-
-/// What the state service said of a question.
-#[derive(Debug, Clone, PartialEq)]
-pub struct VersionCheckResult {
-    /// For each key, whether it has the version.
-    pub holds: Vec<bool>,
-    /// When the state service was asked for it: it is no older than that.
-    pub as_of: f64,
-}
-
-/// Jobs whose users have had no answer, for how long, and since when nobody asked
-/// again: bounded, those asked about longest ago are dropped first.
-#[derive(Default)]
-pub struct PendingCallers {
-    since: HashMap<String, (f64, f64)>,
-}
-
-/// Jobs that a node knows nothing of, asked about since it last read all open
-/// ones, from which on it reads them again.
-const UNKNOWN_JOBS_BEFORE_REFRESH: usize = 8;
-
-/// Jobs that are remembered as unanswered, at most.
-const MAX_PENDING_CALLERS: usize = 4096;
-
-impl PendingCallers {
-    /// A job is asked about: since when it has gone without an answer.
-    pub fn record_request(&mut self, id: &str, now: f64, memory_s: f64) -> f64 {
-        if let Some(entry) = self.since.get_mut(id) {
-            // Who did not ask again was answered elsewhere.
-            if now - entry.1 > memory_s {
-                entry.0 = now;
-            }
-            entry.1 = now;
-            return entry.0;
-        }
-        if self.since.len() >= MAX_PENDING_CALLERS {
-            self.since.retain(|_, e| now - e.1 <= memory_s);
-        }
-        if self.since.len() < MAX_PENDING_CALLERS {
-            self.since.insert(id.to_string(), (now, now));
-        }
-        now
-    }
-
-    /// It was answered.
-    pub fn record_response(&mut self, id: &str) {
-        self.since.remove(id);
-    }
-
-    /// The job that has gone without an answer for longest, of those asked about
-    /// within the last so many seconds, and for how long.
-    #[must_use]
-    pub fn longest(&self, now: f64, memory_s: f64) -> Option<(&str, f64)> {
-        let asked = self.since.iter().filter(|(_, e)| now - e.1 <= memory_s);
-        let longest = asked.min_by(|a, b| a.1.0.total_cmp(&b.1.0).then(a.0.cmp(b.0)));
-        longest.map(|(id, e)| (id.as_str(), now - e.0))
-    }
-}
-
 /// One controller.
 pub struct Controller {
     /// Platform's settings.
@@ -260,16 +125,16 @@
     pub wall_clock: Arc<dyn WallClock>,
     /// Machine types, once known.
     pub catalogue: Mutex<Option<Arc<Vec<MachineType>>>>,
-    /// Jobs.
-    pub jobs: Mutex<JobCache>,
+    /// Jobs as last read from the key-value store.
+    pub jobs: JobCache,
     /// Who leads.
     pub leader_view: Mutex<LeaderView>,
     /// Own leadership.
     pub leadership: Mutex<Option<Leadership>>,
-    /// Task counts.
-    pub task_counts: Mutex<TaskCounts>,
-    /// Questions for the state service.
-    pub version_checks: mpsc::Sender<VersionCheck>,
+    /// Task counts of active jobs as read from the leader.
+    pub task_counts: TaskCounts,
+    /// Checks of versions against the key-value store.
+    pub version_checks: VersionChecks,
     /// Something changed that a round should look at.
     pub wake_scheduler: Notify,
     /// Tasks ended: progress should be made durable.
@@ -286,10 +151,8 @@
     pub candidacy_suspended_until: Mutex<f64>,
     /// The state service has been reached.
     pub store_reached: Mutex<bool>,
-    /// How users' requests are passed on to other nodes.
-    pub relay: Mutex<Option<Arc<dyn Relay>>>,
-    /// Requests are not passed on before this time.
-    pub relay_backoff_until: Mutex<f64>,
+    /// Relays users' requests to other controllers.
+    pub relay: PeerRelay,
     /// How late ordinary tasks of this process are of late, seconds.
     pub scheduling_delay: Mutex<f64>,
     /// Until when this node, leading and behind with its work, leaves users to
@@ -297,13 +160,10 @@
     pub sheds_user_load_until: Mutex<f64>,
     /// Other nodes that answered when last asked, while this node leads.
     pub reachable_peers: Mutex<usize>,
-    /// Jobs whose users wait for an answer.
-    pub pending_callers: Mutex<PendingCallers>,
-    /// Jobs asked about that this node knows nothing of, since it last read all
-    /// that are open.
-    pub unknown_job_requests: Mutex<usize>,
-    /// All open jobs should be read.
-    pub wake_job_refresh: Notify,
+    /// Users that poll without an answer.
+    pub pending_callers: PendingCallers,
+    /// Decides when all active jobs are read into the cache.
+    pub job_refresh: JobRefresh,
     /// The longest round since the last summary, seconds.
     pub longest_round_s: Mutex<f64>,
     /// Deals out chance, so that nodes don't act in step.
@@ -314,7 +174,7 @@
 }
 
 impl Controller {
-    /// A node, and the other end of its questions. `state` reaches the state
+    /// A node, and the queue of its version checks, to be served. `state` reaches the state
     /// service, `http` cloud and workers; `wall_clock` tells the time of day.
     #[must_use]
     pub fn new(
@@ -323,7 +183,7 @@
         state: HttpClient,
         http: HttpClient,
         wall_clock: Arc<dyn WallClock>,
-    ) -> (Arc<Self>, mpsc::Receiver<VersionCheck>) {
+    ) -> (Arc<Self>, VersionCheckQueue) {
         let limits = &settings.deployment.store;
         let ours = vec![
             state.connection_count().clone(),
@@ -344,8 +204,8 @@
         let state = StoreClient::new(state, &addr, budget, floor.min(timeout), timeout);
         // A job known takes about a kilobyte at most; a tenth of the memory.
         let most = (settings.deployment.resource_limits.memory_mb * 100.0) as usize;
-        let (queries, questions) =
-            mpsc::channel(settings.deployment.resource_limits.connections as usize);
+        let (version_checks, version_check_queue) =
+            VersionChecks::new(settings.deployment.resource_limits.connections as usize);
         let controller = Self {
             settings,
             operator_settings: tuning,
@@ -355,11 +215,11 @@
             started_at: Instant::now(),
             wall_clock,
             catalogue: Mutex::default(),
-            jobs: Mutex::new(JobCache::new(most.max(1000))),
+            jobs: JobCache::new(most.max(1000)),
             leader_view: Mutex::default(),
             leadership: Mutex::default(),
-            task_counts: Mutex::default(),
-            version_checks: queries,
+            task_counts: TaskCounts::default(),
+            version_checks,
             wake_scheduler: Notify::new(),
             wake_cloud: Notify::new(),
             wake_completions: Notify::new(),
@@ -368,19 +228,17 @@
             follower_heartbeat_at: Mutex::new(f64::NEG_INFINITY),
             candidacy_suspended_until: Mutex::new(f64::NEG_INFINITY),
             store_reached: Mutex::new(false),
-            relay: Mutex::default(),
-            relay_backoff_until: Mutex::new(f64::NEG_INFINITY),
+            relay: PeerRelay::default(),
             scheduling_delay: Mutex::new(0.0),
             sheds_user_load_until: Mutex::new(f64::NEG_INFINITY),
             reachable_peers: Mutex::new(0),
-            pending_callers: Mutex::default(),
-            unknown_job_requests: Mutex::new(0),
-            wake_job_refresh: Notify::new(),
+            pending_callers: PendingCallers::default(),
+            job_refresh: JobRefresh::default(),
             longest_round_s: Mutex::new(0.0),
             random: Mutex::new(StdRng::seed_from_u64(rand::random())),
             peer_reached_at: Mutex::new(f64::NEG_INFINITY),
         };
-        (Arc::new(controller), questions)
+        (Arc::new(controller), version_check_queue)
     }
 
     /// Seconds of the process's steady clock. Starts well above 0, so that
@@ -497,15 +355,6 @@
         self.settings.deployment.workers.lease_s
     }
 
-    /// A job is asked about that this node knows nothing of.
-    pub fn record_unknown_job(&self) {
-        let mut unknown = self.lock(&self.unknown_job_requests);
-        *unknown += 1;
-        if *unknown == UNKNOWN_JOBS_BEFORE_REFRESH {
-            self.wake_job_refresh.notify_one();
-        }
-    }
-
     /// Whether this node is apart: neither the state service nor any other node
     /// answers it, so that it can tell users nothing. In an outage of the state
     /// service alone the others do answer.
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -9,11 +9,13 @@
 pub mod controller;
 pub mod deadline_settings;
 pub mod fairness_summary;
+pub mod job_cache;
 pub mod job_watch;
 pub mod leader;
 pub mod leader_records;
 pub mod operator_settings;
 pub mod peers;
+pub mod pending_callers;
 pub mod placements;
 pub mod progress;
 pub mod reconciliation;
@@ -22,21 +24,20 @@
 pub mod server;
 pub mod settings;
 pub mod summary;
+pub mod task_counts;
 pub mod user_api;
+pub mod version_checks;
 pub mod wall_clock;
 pub mod worker_api;
 
 use controller::Controller;
 use std::{sync::Arc, time::Duration};
 use tallygauge_store::http::HttpClient;
-use tokio::sync::mpsc;
+use version_checks::VersionCheckQueue;
 use wall_clock::SystemClock;
 
-/// The parts that run without being asked: leadership, questions, catalogue.
-pub async fn background(
-    controller: Arc<Controller>,
-    questions: mpsc::Receiver<controller::VersionCheck>,
-) {
+/// The parts that run without being asked: leadership, version checks, catalogue.
+pub async fn background(controller: Arc<Controller>, version_checks: VersionCheckQueue) {
     let pause = Duration::from_secs_f64(2.0 / controller.settings.deployment.cloud.rps);
     let catalogue = async {
         while !cloud::refresh_catalogue(&controller).await {
@@ -46,7 +47,7 @@
     tokio::join!(
         catalogue,
         leader::run(controller.clone()),
-        user_api::serve_version_checks(controller.clone(), questions),
+        version_checks.serve(controller.clone()),
         user_api::refresh_active_jobs(controller.clone()),
     );
 }
@@ -65,7 +66,7 @@
     let idle = Duration::from_secs_f64(settings.deployment.workers.lease_s);
     let http = HttpClient::new(connect, idle, limit);
     let (state, connections) = HttpClient::with_driver(connect, idle, limit);
-    let (controller, questions) =
+    let (controller, version_checks) =
         Controller::new(settings, tuning, state, http, Arc::new(SystemClock));
     tracing::info!(node = controller.settings.node_name, "starts");
     tokio::spawn(server::serve(controller.clone()));
@@ -75,7 +76,7 @@
     // What is not spawned does not queue behind hundreds of workers' requests:
     // the runtime looks at it first. A lease that waits its turn is lost.
     tokio::select! {
-        () = background(controller, questions) => Ok(()),
+        () = background(controller, version_checks) => Ok(()),
         () = connections.run() => Ok(()),
         served = peers => Ok(served??),
     }
--- a/crates/tallygauge/src/peers.rs
+++ b/crates/tallygauge/src/peers.rs
@@ -3,6 +3,7 @@
 use crate::{
     controller::Controller,
     leader,
+    task_counts::TaskCount,
     user_api::{self, Relay, RelayFuture, Reply},
     worker_api,
 };
@@ -72,7 +73,7 @@
             .map_err(|_| Status::invalid_argument("no such method"))?;
         match user_api::local(&self.0, &method, &asked.path, &asked.body).await {
             None => Err(Status::invalid_argument("no request of users")),
-            Some(Reply::RetryLater(why, _)) => Err(Status::unavailable(why)),
+            Some(Reply::RetryLater { reason, .. }) => Err(Status::unavailable(reason)),
             Some(reply) => Ok(Response::new(RelayReply {
                 status: u32::from(reply.status()),
                 body: reply.body(),
@@ -154,7 +155,7 @@
             controller.settings.deployment.resource_limits.connections as usize / 16,
         ),
     };
-    *controller.lock(&controller.relay) = Some(Arc::new(peers));
+    controller.relay.set(Arc::new(peers));
     let mut told = 0;
     loop {
         let _ = tokio::time::timeout(Duration::from_secs(1), controller.leader_changed.notified())
@@ -220,20 +221,16 @@
 }
 
 async fn refresh_task_counts(controller: &Controller, mut client: PeerClient<Channel>) {
-    let ids: Vec<String> = {
-        let mut counts = controller.lock(&controller.task_counts);
-        std::mem::take(&mut counts.asked).into_iter().collect()
-    };
+    let ids = controller.task_counts.take_requested();
     if ids.is_empty() {
         return;
     }
     if let Ok(reply) = client.progress(ProgressRequest { ids }).await {
         let now = controller.now();
-        let mut counts = controller.lock(&controller.task_counts);
-        for job in reply.into_inner().jobs {
-            counts.known.insert(job.id, (job.done, job.running, now));
-        }
-        // Nobody asks about these any more.
-        counts.known.retain(|_, c| now - c.2 < 60.0);
+        let counts = reply.into_inner().jobs.into_iter().map(|job| {
+            let (done, running) = (job.done, job.running);
+            (job.id, TaskCount { done, running })
+        });
+        controller.task_counts.update(counts, now);
     }
 }
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -1,9 +1,7 @@
 //! Durable progress: the ends of whole jobs, and pages of finished tasks.
 
 use crate::{
-    controller::{
-        CachedJob, Controller, TERM_KEY, active_job_key, completion_page_key, terminal_job_key,
-    },
+    controller::{Controller, TERM_KEY, active_job_key, completion_page_key, terminal_job_key},
     scheduling_loop::VALUE_BYTES,
     user_api::TerminalJobRecord,
 };
@@ -117,7 +115,7 @@
         txn.writes.push(Write::Remove { key });
         txn.writes.push(Write::Set {
             key: terminal_job_key(&job.job),
-            value: serde_json::to_value(&over).unwrap_or_default(),
+            value: serde_json::to_value(over).unwrap_or_default(),
             lease: None,
         });
     }
@@ -130,8 +128,11 @@
         Ok(TransactionOutcome::Committed(_)) => {
             for job in &due {
                 controller.with_cluster(|c| c.remove_job(&job.job, now));
-                let known = CachedJob::Terminal(JobStatus::Done, job.tasks);
-                controller.lock(&controller.jobs).insert(&job.job, known);
+                let done = TerminalJobRecord {
+                    status: JobStatus::Done,
+                    done: job.tasks,
+                };
+                controller.jobs.insert_terminal(&job.job, done);
                 tracing::debug!(job = job.job, "done");
             }
             controller.wake_scheduler.notify_one();
--- a/crates/tallygauge/src/server.rs
+++ b/crates/tallygauge/src/server.rs
@@ -34,11 +34,7 @@
 
 /// A user's connection is closed after the answer where connections are short.
 fn user(controller: &Controller, reply: &Reply) -> Answer {
-    let retry = match reply {
-        Reply::RetryLater(_, seconds) => Some(*seconds),
-        _ => None,
-    };
-    let mut answer = respond(reply.status(), reply.body(), retry);
+    let mut answer = respond(reply.status(), reply.body(), reply.retry_after_s());
     if controller.connection_limits.is_critical() {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(CONNECTION, close);
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -22,10 +22,10 @@
     let backlog = controller.store.budget().waiting();
     let lag = *controller.lock(&controller.scheduling_delay);
     let (now, memory_s) = (controller.now(), controller.caller_expiry_s());
-    let unanswered_s = {
-        let unanswered = controller.lock(&controller.pending_callers);
-        unanswered.longest(now, memory_s).map_or(0.0, |l| l.1)
-    };
+    let unanswered_s = controller
+        .pending_callers
+        .longest_wait_s(now, memory_s)
+        .unwrap_or(0.0);
     let (writes_in_doubt, in_doubt) = controller.store.in_doubt_writes();
     let (sockets, sockets_free) = (
         controller.connection_limits.used(),
--- /dev/null
+++ b/crates/tallygauge/src/user_api/mod.rs
@@ -0,0 +1,80 @@
+//! The users' HTTP interface: submit a job, read its status, cancel it.
+//!
+//! No request waits for the key-value store to recover: a user whose request can't
+//! be answered now is told at once to retry.
+
+mod cancel;
+mod job_refresh;
+mod lookup;
+mod records;
+mod relay_requests;
+mod reply;
+mod status;
+mod submit;
+
+pub use crate::relay::{Relay, RelayFuture};
+pub use cancel::cancel;
+pub use job_refresh::{JobRefresh, cache_active_jobs, refresh_active_jobs};
+pub use records::{ActiveJobRecord, TerminalJobRecord};
+pub use reply::Reply;
+pub use status::job_status;
+pub use submit::submit;
+
+use crate::controller::Controller;
+use relay_requests::relay_to_peers;
+use std::time::Duration;
+use tallygauge_protocol::users::POLL_TIMEOUT_S;
+use warp::http::Method;
+
+/// Oldest answer of the key-value store, or of another controller, that a user may
+/// be told, seconds. This process may have been paused since it asked, and the job
+/// may have ended and its user been told so by another controller.
+const MAX_ANSWER_AGE_S: f64 = POLL_TIMEOUT_S / 2.0;
+
+/// How long the write of a submission or cancellation is retried before its user is
+/// told to retry.
+const WRITE_TIMEOUT: Duration = Duration::from_millis((POLL_TIMEOUT_S * 1500.0) as u64);
+
+/// Serves a user's request, relayed to another controller while the key-value store
+/// does not serve this one. `None` if there is no such request.
+pub async fn serve(
+    controller: &Controller,
+    method: &Method,
+    path: &str,
+    body: &[u8],
+) -> Option<Reply> {
+    let is_terminal = job_id_in_path(path).is_some_and(|id| controller.jobs.is_terminal(id));
+    let relay_first = !is_terminal && controller.store.failing_since().is_some();
+    if relay_first && let Some(reply) = relay_to_peers(controller, method, path, body).await {
+        return Some(reply);
+    }
+    let reply = local(controller, method, path, body).await?;
+    let relay_instead = !relay_first
+        && matches!(reply, Reply::RetryLater { .. })
+        && controller.store.failing_since().is_some();
+    if relay_instead && let Some(relayed) = relay_to_peers(controller, method, path, body).await {
+        return Some(relayed);
+    }
+    Some(reply)
+}
+
+/// Serves a user's request by this controller alone; `None` if there is no such
+/// request. Called for requests that other controllers relay, too.
+pub async fn local(
+    controller: &Controller,
+    method: &Method,
+    path: &str,
+    body: &[u8],
+) -> Option<Reply> {
+    let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
+    match segments.as_slice() {
+        ["work"] if method == Method::POST => Some(submit(controller, body).await),
+        ["work", id] if method == Method::GET => Some(job_status(controller, id).await),
+        ["work", id, "abort"] if method == Method::POST => Some(cancel(controller, id).await),
+        _ => None,
+    }
+}
+
+fn job_id_in_path(path: &str) -> Option<&str> {
+    path.trim_matches('/').split('/').nth(1)
+}
--- /dev/null
+++ b/crates/tallygauge/src/user_api/reply.rs
@@ -0,0 +1,97 @@
+//! Replies to users.
+
+use tallygauge_protocol::users::{ErrorResponse, JobResponse, JobStatus};
+
+/// Seconds after which a user whose request can't be served now should retry.
+const RETRY_AFTER_S: u64 = 1;
+
+/// Reply to a user's request.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Reply {
+    /// Status code, 200 or 201, and the state of the job.
+    Job(u16, JobResponse),
+    /// The request can't succeed, however often it is sent.
+    Rejected {
+        /// Status code: 400, 404 or 422.
+        status: u16,
+        /// Body: what is wrong with the request.
+        error: String,
+    },
+    /// 503: the request can't be served now.
+    RetryLater {
+        /// Body: why not.
+        reason: String,
+        /// Value of the `retry-after` header, seconds.
+        retry_after_s: u64,
+    },
+    /// Status code and body of another controller's reply.
+    Relayed(u16, Vec<u8>),
+}
+
+impl Reply {
+    /// The HTTP status code.
+    #[must_use]
+    pub fn status(&self) -> u16 {
+        match self {
+            Reply::Job(status, _) | Reply::Rejected { status, .. } | Reply::Relayed(status, _) => {
+                *status
+            }
+            Reply::RetryLater { .. } => 503,
+        }
+    }
+
+    /// The HTTP body.
+    #[must_use]
+    pub fn body(&self) -> Vec<u8> {
+        let body = match self {
+            Reply::Relayed(_, body) => Ok(body.clone()),
+            Reply::Job(_, response) => serde_json::to_vec(response),
+            Reply::Rejected { error, .. } | Reply::RetryLater { reason: error, .. } => {
+                serde_json::to_vec(&ErrorResponse {
+                    error: error.clone(),
+                })
+            }
+        };
+        body.unwrap_or_default()
+    }
+
+    /// Value of the HTTP `retry-after` header, seconds, if the reply has one.
+    #[must_use]
+    pub fn retry_after_s(&self) -> Option<u64> {
+        match self {
+            Reply::RetryLater { retry_after_s, .. } => Some(*retry_after_s),
+            _ => None,
+        }
+    }
+
+    /// The reply to a request that can't be served now.
+    pub(super) fn retry_later(reason: impl Into<String>) -> Self {
+        Reply::RetryLater {
+            reason: reason.into(),
+            retry_after_s: RETRY_AFTER_S,
+        }
+    }
+
+    /// The reply to a request about a job that does not exist.
+    pub(super) fn no_such_job() -> Self {
+        Reply::Rejected {
+            status: 404,
+            error: "no such job".into(),
+        }
+    }
+
+    /// The reply with a job's status and no task counts.
+    pub(super) fn job_status(status: u16, id: &str, job_status: JobStatus) -> Self {
+        Reply::Job(status, without_counts(id, job_status))
+    }
+}
+
+/// A response with a job's status and no task counts.
+pub(super) fn without_counts(id: &str, status: JobStatus) -> JobResponse {
+    JobResponse {
+        id: id.to_string(),
+        status,
+        done: None,
+        running: None,
+    }
+}
--- /dev/null
+++ b/crates/tallygauge/src/user_api/status.rs
@@ -0,0 +1,32 @@
+//! `GET /work/{id}`: the status of a job.
+
+use super::{
+    Reply,
+    lookup::{LookupRequest, job_response, lookup},
+};
+use crate::controller::Controller;
+use tallygauge_protocol::users::is_valid_job_id;
+use tallygauge_store::RequestPriority;
+
+/// `GET /work/{id}`
+pub async fn job_status(controller: &Controller, id: &str) -> Reply {
+    if !is_valid_job_id(id) {
+        return Reply::no_such_job();
+    }
+    let (now, expiry_s) = (controller.now(), controller.caller_expiry_s());
+    let unanswered_since = controller.pending_callers.record_request(id, now, expiry_s);
+    let request = LookupRequest {
+        id,
+        priority: RequestPriority::Polls,
+        unanswered_since,
+    };
+    let found = match lookup(controller, request).await {
+        Ok(found) => found,
+        Err(unavailable) => return unavailable.into(),
+    };
+    controller.pending_callers.record_response(id);
+    match job_response(controller, id, found) {
+        Some(response) => Reply::Job(200, response),
+        None => Reply::no_such_job(),
+    }
+}
--- /dev/null
+++ b/crates/tallygauge/src/user_api/submit.rs
@@ -0,0 +1,185 @@
+//! `POST /work`: the submission of a job.
+
+use super::{
+    ActiveJobRecord, Reply, WRITE_TIMEOUT,
+    lookup::{JobStateUnavailable, absent, job_response, lookup_for_write, read_job_records},
+};
+use crate::controller::{Controller, active_job_key, terminal_job_key};
+use serde_json::Value;
+use tallygauge_protocol::{
+    state::{Transaction, Write},
+    users::{JobSpec, JobStatus, is_valid_job_id},
+};
+use tallygauge_scheduler::check_feasible;
+use tallygauge_store::{RequestPriority, TransactionOutcome};
+
+/// Part of the store's largest value that the record of a job may take.
+const MAX_RECORD_FRACTION: f64 = 0.9;
+
+/// Why a submission is not accepted. The text is the body of the reply.
+#[derive(Debug, thiserror::Error)]
+enum SubmissionError {
+    #[error("not JSON: {0}")]
+    NotJson(serde_json::Error),
+    #[error("not a JSON object")]
+    NotAnObject,
+    #[error("nameId must be 'req-' followed by digits")]
+    InvalidId,
+    /// A field is missing, or has a value that it may not have.
+    #[error("{0}")]
+    InvalidField(String),
+    /// No machine type, or not the team's limit, allows for the job.
+    #[error("{0}")]
+    Infeasible(String),
+    #[error("the machine types are not known yet")]
+    CatalogueUnknown,
+    #[error("the submission can't be kept")]
+    NotEncodable,
+    #[error("the submission is too long to be kept")]
+    TooLong,
+}
+
+impl From<SubmissionError> for Reply {
+    fn from(error: SubmissionError) -> Self {
+        let status = match error {
+            SubmissionError::CatalogueUnknown => return Reply::retry_later(error.to_string()),
+            SubmissionError::Infeasible(_) => 422,
+            _ => 400,
+        };
+        Reply::Rejected {
+            status,
+            error: error.to_string(),
+        }
+    }
+}
+
+/// A submission of which only the id has been read.
+struct Submission {
+    id: String,
+    value: Value,
+}
+
+/// `POST /work`. Idempotent: a job that is known already is answered for by its
+/// state, whatever else the submission says.
+pub async fn submit(controller: &Controller, body: &[u8]) -> Reply {
+    let Submission { id, value } = match parse_submission(body) {
+        Ok(submission) => submission,
+        Err(error) => return error.into(),
+    };
+    if controller.jobs.get(&id).is_some() {
+        match resubmit_idempotently(controller, &id).await {
+            Ok(Some(reply)) => return reply,
+            Ok(None) => {}
+            Err(unavailable) => return unavailable.into(),
+        }
+    }
+    match validate_spec(controller, value) {
+        Ok(spec) => accept(controller, &id, spec).await,
+        Err(error) => match resubmit_idempotently(controller, &id).await {
+            Ok(Some(reply)) => reply,
+            Ok(None) => error.into(),
+            Err(_) if matches!(error, SubmissionError::CatalogueUnknown) => error.into(),
+            Err(unavailable) => unavailable.into(),
+        },
+    }
+}
+
+fn parse_submission(body: &[u8]) -> Result<Submission, SubmissionError> {
+    let value: Value = serde_json::from_slice(body).map_err(SubmissionError::NotJson)?;
+    let object = value.as_object().ok_or(SubmissionError::NotAnObject)?;
+    match object.get("nameId").and_then(Value::as_str) {
+        Some(id) if is_valid_job_id(id) => Ok(Submission {
+            id: id.to_string(),
+            value,
+        }),
+        _ => Err(SubmissionError::InvalidId),
+    }
+}
+
+/// Checks that a submission is well-formed and that the job can run on some machine.
+fn validate_spec(controller: &Controller, value: Value) -> Result<JobSpec, SubmissionError> {
+    let spec: JobSpec = serde_json::from_value(value)
+        .map_err(|error| SubmissionError::InvalidField(error.to_string()))?;
+    spec.validate()
+        .map_err(|error| SubmissionError::InvalidField(error.to_string()))?;
+    let catalogue = controller.lock(&controller.catalogue).clone();
+    let machine_types = catalogue.ok_or(SubmissionError::CatalogueUnknown)?;
+    check_feasible(&spec, &controller.settings.teams(), &machine_types)
+        .map_err(|error| SubmissionError::Infeasible(error.to_string()))?;
+    Ok(spec)
+}
+
+/// The reply to a submission of a job that exists; `None` if it does not.
+async fn resubmit_idempotently(
+    controller: &Controller,
+    id: &str,
+) -> Result<Option<Reply>, JobStateUnavailable> {
+    let found = lookup_for_write(controller, id).await?;
+    let response = job_response(controller, id, found);
+    Ok(response.map(|response| Reply::job_status(200, id, response.status)))
+}
+
+/// Writes the record of a new job.
+async fn accept(controller: &Controller, id: &str, spec: JobSpec) -> Reply {
+    let record = match encode_record(controller, spec) {
+        Ok(record) => record,
+        Err(error) => return error.into(),
+    };
+    let result = controller
+        .store
+        .commit_with_retries(
+            RequestPriority::Users,
+            &creation(id, record),
+            Some(WRITE_TIMEOUT),
+        )
+        .await;
+    match result.outcome {
+        Ok(TransactionOutcome::Committed(version)) => {
+            controller.jobs.insert_active(id, version);
+            Reply::job_status(201, id, JobStatus::Pending)
+        }
+        Ok(TransactionOutcome::Conflict(_)) => reply_to_conflict(controller, id).await,
+        Ok(TransactionOutcome::LeaseExpired) | Err(_) => {
+            Reply::retry_later("the job can't be kept now")
+        }
+    }
+}
+
+fn encode_record(controller: &Controller, spec: JobSpec) -> Result<Value, SubmissionError> {
+    let record = ActiveJobRecord {
+        spec,
+        at: controller.time_of_day(),
+    };
+    let value = serde_json::to_value(&record).map_err(|_| SubmissionError::NotEncodable)?;
+    let max_value_bytes = controller.settings.deployment.store.max_value_kib * 1024.0;
+    if value.to_string().len() as f64 > max_value_bytes * MAX_RECORD_FRACTION {
+        return Err(SubmissionError::TooLong);
+    }
+    Ok(value)
+}
+
+/// The transaction that creates a job. Its conditions make it safe to send again
+/// when no answer came: the record of a job is created once, and never again after
+/// the job has ended.
+fn creation(id: &str, record: Value) -> Transaction {
+    Transaction {
+        conditions: vec![absent(active_job_key(id)), absent(terminal_job_key(id))],
+        writes: vec![Write::Set {
+            key: active_job_key(id),
+            value: record,
+            lease: None,
+        }],
+    }
+}
+
+/// The reply when the job exists already, perhaps by an earlier copy of the same
+/// transaction.
+async fn reply_to_conflict(controller: &Controller, id: &str) -> Reply {
+    match read_job_records(controller, id).await {
+        Ok(found) => match job_response(controller, id, found) {
+            Some(response) => Reply::job_status(200, id, response.status),
+            None => JobStateUnavailable.into(),
+        },
+        Err(unavailable) => unavailable.into(),
+    }
+}
