--- a/crates/tallygauge-sim/src/exchanges.rs
+++ b/crates/tallygauge-sim/src/exchanges.rs
@@ -72,7 +72,7 @@
         text.unwrap_or_default()
     }
 
-    /// Digest of all that was exchanged since [`World::record_exchanges`], in
+    /// Digest of all that was exchanged since [`Simulation::record_exchanges`], in
     /// hexadecimal digits, and how many requests there were.
     pub fn exchange_digest(&self) -> Option<(String, u64)> {
         let exchanges = self.exchanges.lock().unwrap();
@@ -129,51 +129,56 @@
     }
 
     /// A worker's report reaches a controller, which answers it.
-    pub(crate) fn report_to(&self, node: &Controller, worker: &str, body: &[u8]) -> HeartbeatReply {
+    pub(crate) fn send_heartbeat(
+        &self,
+        controller: &Controller,
+        worker: &str,
+        body: &[u8],
+    ) -> HeartbeatReply {
         let number = self.record_request(&Request {
             from: worker,
-            to: &node.settings.node_name,
+            to: &controller.settings.node_name,
             method: "POST",
             path: "/checkin",
             body,
         });
-        let answer = handle_heartbeat(node, body);
+        let answer = handle_heartbeat(controller, body);
         let (status, body) = status_and_body(&answer);
         self.record_answer(number, status, &body);
         answer
     }
 
     /// A user submits a job to a controller.
-    pub async fn submit(&self, node: &Arc<Controller>, body: &[u8]) -> Reply {
-        let number = self.record_user(node, &Method::POST, "", body);
-        let reply = user_api::submit(node, body).await;
+    pub async fn submit(&self, controller: &Arc<Controller>, body: &[u8]) -> Reply {
+        let number = self.record_user(controller, &Method::POST, "", body);
+        let reply = user_api::submit(controller, body).await;
         self.record_reply(number, reply)
     }
 
     /// A user asks a controller about a job.
-    pub async fn ask_status(&self, node: &Arc<Controller>, id: &str) -> Reply {
-        let number = self.record_user(node, &Method::GET, id, b"");
-        let reply = user_api::job_status(node, id).await;
+    pub async fn request_status(&self, controller: &Arc<Controller>, id: &str) -> Reply {
+        let number = self.record_user(controller, &Method::GET, id, b"");
+        let reply = user_api::job_status(controller, id).await;
         self.record_reply(number, reply)
     }
 
     /// A user cancels a job through a controller.
-    pub async fn ask_cancel(&self, node: &Arc<Controller>, id: &str) -> Reply {
-        let number = self.record_user(node, &Method::DELETE, id, b"");
-        let reply = user_api::cancel(node, id).await;
+    pub async fn request_cancellation(&self, controller: &Arc<Controller>, id: &str) -> Reply {
+        let number = self.record_user(controller, &Method::DELETE, id, b"");
+        let reply = user_api::cancel(controller, id).await;
         self.record_reply(number, reply)
     }
 
     fn record_user(
         &self,
-        node: &Controller,
+        controller: &Controller,
         method: &Method,
         path: &str,
         body: &[u8],
     ) -> RequestNumber {
         self.record_request(&Request {
             from: "user",
-            to: &node.settings.node_name,
+            to: &controller.settings.node_name,
             method: method.as_str(),
             path,
             body,
--- a/crates/tallygauge-sim/tests/days.rs
+++ b/crates/tallygauge-sim/tests/days.rs
@@ -1,4 +1,4 @@
-//! Drawn days: controllers that fail, with every trouble the stand-ins know, one
+//! Drawn days: controllers that fail, with every fault the stand-ins know, one
 //! over the other. `TALLYGAUGE_SEEDS=500 cargo test --release -p tallygauge-sim
 //! --test days` plays more of them.
 
