--- a/crates/tallygauge-sim/src/faults.rs
+++ b/crates/tallygauge-sim/src/faults.rs
@@ -240,6 +240,17 @@
         }
     }
 
+    /// Partitions a controller from the store, or heals the partition: its requests get
+    /// no response.
+    pub fn set_store_partitioned(&self, controller: &str, partitioned: bool) {
+        let mut state = self.state.lock().unwrap();
+        if partitioned {
+            state.partitioned.insert(controller.to_string());
+        } else {
+            state.partitioned.remove(controller);
+        }
+    }
+
     /// The state service refuses a controller alone, or serves it again.
     pub fn set_store_refuses(&self, controller: &str, refuses: bool) {
         let mut state = self.state.lock().unwrap();
--- a/crates/tallygauge-sim/src/users.rs
+++ b/crates/tallygauge-sim/src/users.rs
@@ -83,6 +83,11 @@
     false
 }
 
+/// Sleeps for so many seconds of simulated time.
+pub async fn sleep_s(seconds: f64) {
+    tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
+}
+
 /// What a reply says of its job.
 pub fn reply_status(reply: &Reply) -> Option<JobStatus> {
     match reply {
--- /dev/null
+++ b/crates/tallygauge-sim/tests/message_faults.rs
@@ -0,0 +1,283 @@
+//! One-way partitions, duplicated heartbeats, immediate restarts of agents and
+//! controllers, isolated controllers and users that wait for an answer.
+
+use std::time::Duration;
+use tallygauge::{reconciliation, user_api, worker_api::has_recent_heartbeats};
+use tallygauge_protocol::users::JobStatus;
+use tallygauge_sim::{
+    CANCEL_TIMEOUT_S, HEARTBEAT_INTERVAL_S, LEASE_S, RelayTo, Simulation, count_starts, eventually,
+    is_active_leader, query_status, reply_status, sleep_s, start_with_leader,
+    submit_until_accepted,
+};
+
+#[tokio::test(start_paused = true)]
+async fn unreachable_machine_loses_its_tasks_and_gets_no_new_ones() {
+    let (simulation, controller_a, _task) = start_with_leader().await;
+    let (id, body) = simulation.job(1, 2, 8.0, 20.0);
+    submit_until_accepted(&controller_a, &body).await;
+    assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
+    let inbound_blocked = simulation.state.lock().unwrap().starts[0].2.clone();
+    simulation.set_inbound_blocked(&inbound_blocked, true);
+    // Its task ends with its lease and is started elsewhere.
+    assert!(
+        eventually(120.0, async || query_status(&controller_a, &id).await
+            == Some(JobStatus::Done))
+        .await
+    );
+    let (_, more) = simulation.job(2, 6, 8.0, 5.0);
+    let before = count_starts(&simulation);
+    submit_until_accepted(&controller_a, &more).await;
+    sleep_s(60.0).await;
+    let on_deaf = simulation.state.lock().unwrap().starts[before..]
+        .iter()
+        .filter(|s| s.2 == inbound_blocked)
+        .count();
+    assert_eq!(on_deaf, 0);
+    // It stays unreachable and is decommissioned.
+    assert!(
+        eventually(LEASE_S * 6.0, async || !simulation
+            .booted_machines()
+            .contains(&inbound_blocked))
+        .await
+    );
+    simulation.assert_rules();
+}
+
+#[tokio::test(start_paused = true)]
+async fn cancelled_task_on_unreachable_machine_stops_within_the_timeout() {
+    let (simulation, controller_a, _task) = start_with_leader().await;
+    let (id, body) = simulation.job(1, 1, 8.0, 200.0);
+    submit_until_accepted(&controller_a, &body).await;
+    assert!(eventually(60.0, async || count_starts(&simulation) == 1).await);
+    sleep_s(3.0).await;
+    let worker = simulation.state.lock().unwrap().starts[0].2.clone();
+    simulation.set_inbound_blocked(&worker, true);
+    assert_eq!(
+        reply_status(&user_api::cancel(&controller_a, &id).await),
+        Some(JobStatus::Cancelled)
+    );
+    simulation.record_cancellation(&id);
+    sleep_s(CANCEL_TIMEOUT_S + 5.0).await;
+    simulation.assert_rules();
+}
+
+#[tokio::test(start_paused = true)]
+async fn restarted_agent_reruns_its_tasks_within_three_leases() {
+    let (simulation, controller_a, _task) = start_with_leader().await;
+    let (id, body) = simulation.job(1, 2, 8.0, 8.0);
+    submit_until_accepted(&controller_a, &body).await;
+    assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
+    sleep_s(4.0).await;
+    for worker in simulation.booted_machines() {
+        simulation.restart_agent(&worker);
+    }
+    assert!(
+        eventually(LEASE_S * 3.0, async || query_status(&controller_a, &id)
+            .await
+            == Some(JobStatus::Done))
+        .await
+    );
+    simulation.assert_rules();
+}
+
+#[tokio::test(start_paused = true)]
+async fn late_duplicate_heartbeats_break_no_invariant() {
+    for seed in 0..6 {
+        let simulation = Simulation::new();
+        simulation.seed(seed);
+        simulation.state.lock().unwrap().duplicated_heartbeats = (0.4, LEASE_S * 2.5);
+        tokio::spawn(simulation.clone().run_workers());
+        let (controller_a, task) = simulation.start_controller("n-a");
+        let (controller_b, _other) = simulation.start_controller("n-b");
+        let mut jobs = Vec::new();
+        for n in 1..=6 {
+            let (id, body) = simulation.job(n, 3, 4.0, 4.0);
+            submit_until_accepted(&controller_a, &body).await;
+            jobs.push(id);
+            sleep_s(4.0).await;
+        }
+        // The leader crashes, and a machine falls silent whose copies still arrive.
+        simulation.crash_controller("n-a", &task);
+        if let Some(worker) = simulation.booted_machines().first() {
+            simulation.set_silent(worker, true);
+        }
+        for id in &jobs {
+            assert!(
+                eventually(200.0, async || query_status(&controller_b, id).await
+                    == Some(JobStatus::Done))
+                .await,
+                "{seed}"
+            );
+        }
+        simulation.assert_rules();
+    }
+}
+
+// Partitioned from store and peers, a controller used to look healthy, so that its
+// users stayed and got no answer until the partition healed.
+#[tokio::test(start_paused = true)]
+async fn isolated_controller_loses_users_and_workers_without_lease_expiry() {
+    let (simulation, controller_a, _task_a) = start_with_leader().await;
+    let (controller_b, _task_b) = simulation.start_controller("n-b");
+    let (id, body) = simulation.job(1, 2, 8.0, 90.0);
+    submit_until_accepted(&controller_a, &body).await;
+    assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
+    // The settings of the simulation name no peers: with one it would be isolated.
+    assert!(!controller_a.is_isolated());
+    simulation.set_store_partitioned("n-a", true);
+    assert!(
+        eventually(
+            controller_a.leader_lease_ttl().as_secs_f64() * 4.0,
+            async || {
+                let _ = query_status(&controller_a, &id).await;
+                controller_a.store.failing_since().is_some()
+            }
+        )
+        .await
+    );
+    // Its workers find the next leader before their leases expire.
+    assert!(eventually(LEASE_S, async || is_active_leader(&controller_b)).await);
+    assert!(
+        eventually(LEASE_S * 2.0, async || has_recent_heartbeats(&controller_b)
+            || !is_active_leader(&controller_a))
+        .await
+    );
+    sleep_s(LEASE_S).await;
+    assert_eq!(count_starts(&simulation), 2, "no lease ended");
+    // It returns without effect; then the same with the other controller.
+    simulation.state.lock().unwrap().partitioned.clear();
+    sleep_s(5.0).await;
+    simulation.set_store_partitioned("n-b", true);
+    assert!(eventually(LEASE_S * 2.0, async || is_active_leader(&controller_a)).await);
+    assert!(
+        eventually(200.0, async || query_status(&controller_a, &id).await
+            == Some(JobStatus::Done))
+        .await
+    );
+    assert_eq!(count_starts(&simulation), 2);
+    simulation.assert_rules();
+}
+
+// A controller that restarts within a fraction of a second finds its own name in the
+// leader record, with a lease that has not expired.
+#[tokio::test(start_paused = true)]
+async fn controller_restarted_at_once_reuses_no_term_or_name() {
+    for pause in [10u64, 90, 300, 900] {
+        let simulation = Simulation::new();
+        tokio::spawn(simulation.clone().run_workers());
+        let (mut controller, mut task) = simulation.start_controller("n-a");
+        let (id, body) = simulation.job(1, 12, 4.0, 3.0);
+        submit_until_accepted(&controller, &body).await;
+        for turn in 0..5u64 {
+            tokio::time::sleep(Duration::from_millis(700 * (turn + 1))).await;
+            simulation.crash_controller("n-a", &task);
+            tokio::time::sleep(Duration::from_millis(pause)).await;
+            (controller, task) = simulation.start_controller("n-a");
+        }
+        assert!(
+            eventually(200.0, async || query_status(&controller, &id).await
+                == Some(JobStatus::Done))
+            .await
+        );
+        simulation.assert_rules();
+    }
+}
+
+// A controller that has just started used to send two store requests for each job that
+// users polled, and each failed condition counted as a write.
+#[tokio::test(start_paused = true)]
+async fn new_controller_answers_for_hundreds_of_jobs_within_thirty_seconds() {
+    let (simulation, controller_a, _task) = start_with_leader().await;
+    let mut ids = Vec::new();
+    for n in 1..=300 {
+        let (id, body) = simulation.job(n, 1, 8.0, 900.0);
+        submit_until_accepted(&controller_a, &body).await;
+        ids.push(id);
+    }
+    let (controller_b, _task_b) = simulation.start_controller("n-b");
+    let began = controller_b.now();
+    let mut waiting = ids.clone();
+    let answered = eventually(75.0, async || {
+        let mut still = Vec::new();
+        for id in std::mem::take(&mut waiting) {
+            if query_status(&controller_b, &id).await.is_none() {
+                still.push(id);
+            }
+        }
+        waiting = still;
+        waiting.is_empty()
+    });
+    assert!(answered.await, "{} without an answer", waiting.len());
+    assert!(
+        controller_b.now() - began < 30.0,
+        "{:.1} s",
+        controller_b.now() - began
+    );
+    let unanswered = controller_b
+        .lock(&controller_b.pending_callers)
+        .longest(controller_b.now(), LEASE_S)
+        .map(|l| l.1);
+    assert!(
+        unanswered.is_none_or(|s| s < HEARTBEAT_INTERVAL_S),
+        "{unanswered:?}"
+    );
+}
+
+// A job missing from the leader's cluster state would otherwise never run.
+#[tokio::test(start_paused = true)]
+async fn reconciliation_restores_job_missing_from_cluster_state() {
+    let (simulation, controller_a, _task) = start_with_leader().await;
+    let (id, body) = simulation.job(1, 2, 4.0, 40.0);
+    submit_until_accepted(&controller_a, &body).await;
+    assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
+    let (lost, body) = simulation.job(2, 2, 4.0, 3.0);
+    submit_until_accepted(&controller_a, &body).await;
+    assert!(
+        eventually(10.0, async || controller_a
+            .with_cluster(|cluster| cluster.jobs.contains_key(&lost))
+            == Some(true))
+        .await
+    );
+    // A later change is applied first, so that the job watch does not restore the job.
+    let (_, third) = simulation.job(3, 1, 1.0, 1.0);
+    submit_until_accepted(&controller_a, &third).await;
+    sleep_s(2.0).await;
+    controller_a.with_cluster(|cluster| cluster.jobs.retain(|id, _| *id != lost));
+    assert_eq!(
+        reconciliation::reconcile_with_store(&controller_a).await,
+        (1, 0)
+    );
+    assert_eq!(
+        reconciliation::reconcile_with_store(&controller_a).await,
+        (0, 0)
+    );
+    for id in [&lost, &id] {
+        assert!(
+            eventually(120.0, async || query_status(&controller_a, id).await
+                == Some(JobStatus::Done))
+            .await
+        );
+    }
+    simulation.assert_rules();
+}
+
+// A peer answers through the relay for a controller that the store refuses.
+#[tokio::test(start_paused = true)]
+async fn controller_refused_by_store_is_not_isolated_while_a_peer_answers() {
+    let (simulation, controller_a, _task_a) = start_with_leader().await;
+    let (controller_b, _task_b) = simulation.start_controller("n-b");
+    *controller_b.lock(&controller_b.relay) =
+        Some(std::sync::Arc::new(RelayTo(controller_a.clone())));
+    simulation.set_store_partitioned("n-b", true);
+    let (id, body) = simulation.job(1, 1, 1.0, 3.0);
+    submit_until_accepted(&controller_a, &body).await;
+    sleep_s(5.0).await;
+    *controller_b.lock(&controller_b.peer_reached_at) = controller_b.now();
+    assert!(!controller_b.is_isolated());
+    let path = format!("/work/{id}");
+    let method = warp::http::Method::GET;
+    let reply = user_api::serve(&controller_b, &method, &path, b"")
+        .await
+        .unwrap();
+    assert_eq!(reply.status(), 200);
+}
