--- /dev/null
+++ b/crates/tallygauge-sim/tests/concurrent_faults.rs
@@ -0,0 +1,379 @@
+//! Two faults at the same time, each injected on purpose. A table in `docs/design.md`
+//! names for each of these tests the mechanism that keeps the invariants.
+
+use std::{sync::Arc, time::Duration};
+use tallygauge::{controller::Controller, user_api};
+use tallygauge_protocol::users::JobStatus;
+use tallygauge_sim::{
+    CANCEL_TIMEOUT_S, DelayedWrite, FaultPoint, HEARTBEAT_INTERVAL_S, LEASE_S, RandomDelay,
+    RelayTo, Simulation, cancel_until_confirmed, count_starts, eventually, is_active_leader,
+    query_status, sleep_s, start_with_leader, submit_until_accepted, wait_until_done,
+};
+use warp::http::Method;
+
+/// A simulation of two controllers, the first of which leads, with a job of two long
+/// tasks that run on two machines.
+async fn two_long_tasks() -> (
+    Arc<Simulation>,
+    [(Arc<Controller>, tokio::task::JoinHandle<()>); 2],
+    String,
+) {
+    let (simulation, controller_a, task_a) = start_with_leader().await;
+    let controller_b = simulation.start_controller("n-b");
+    let (id, body) = simulation.job(1, 2, 8.0, CANCEL_TIMEOUT_S * 5.0);
+    submit_until_accepted(&controller_a, &body).await;
+    assert!(eventually(60.0, async || count_starts(&simulation) == 2).await);
+    sleep_s(3.0).await;
+    (simulation, [(controller_a, task_a), controller_b], id)
+}
+
+/// Makes the store refuse everybody for one and a half cancellation timeouts.
+async fn long_outage(simulation: &Simulation) {
+    simulation.set_store_down(true);
+    sleep_s(CANCEL_TIMEOUT_S * 1.5).await;
+    simulation.set_store_down(false);
+}
+
+// Workers go on sending heartbeats to the leader, which does not know of the
+// cancellation, while nobody can win an election.
+#[tokio::test(start_paused = true)]
+async fn cancellation_during_store_outage_stops_all_tasks_within_the_timeout() {
+    for alone_ms in [20u64, 400, 1500, 2500, 6000] {
+        let (simulation, [(controller_a, _task_a), (controller_b, _task_b)], id) =
+            two_long_tasks().await;
+        simulation.set_store_refuses("n-a", true);
+        tokio::time::sleep(Duration::from_millis(alone_ms / 2)).await;
+        cancel_until_confirmed(&simulation, &controller_b, &id, 5.0).await;
+        tokio::time::sleep(Duration::from_millis(alone_ms / 2)).await;
+        long_outage(&simulation).await;
+        simulation.set_store_refuses("n-a", false);
+        // A second outage before the first is recovered from.
+        tokio::time::sleep(Duration::from_millis(300)).await;
+        simulation.set_store_refuses("n-a", true);
+        long_outage(&simulation).await;
+        simulation.set_store_refuses("n-a", false);
+        for controller in [&controller_a, &controller_b] {
+            let told = eventually(30.0, async || {
+                query_status(controller, &id).await == Some(JobStatus::Cancelled)
+            });
+            assert!(told.await, "{alone_ms} ms");
+        }
+        simulation.assert_invariants();
+    }
+}
+
+// The cancellation is relayed by the leader itself, which therefore stops the tasks
+// without waiting for its fence.
+#[tokio::test(start_paused = true)]
+async fn leader_refused_by_store_stops_tasks_of_relayed_cancellation() {
+    let (simulation, [(controller_a, _task_a), (controller_b, _task_b)], id) =
+        two_long_tasks().await;
+    controller_a
+        .relay
+        .set(Arc::new(RelayTo(controller_b.clone())));
+    simulation.set_store_refuses("n-a", true);
+    let path = format!("/work/{id}/abort");
+    let told = eventually(5.0, async || {
+        let reply = user_api::serve(&controller_a, &Method::POST, &path, b"").await;
+        reply.is_some_and(|r| r.status() == 200)
+    });
+    assert!(told.await);
+    simulation.record_cancellation(&id);
+    simulation.set_store_down(true);
+    let gone = eventually(HEARTBEAT_INTERVAL_S * 3.0, async || {
+        simulation.running_task_count(&id) == 0
+    });
+    assert!(gone.await, "it waits for the fence");
+    simulation.assert_invariants();
+}
+
+// A leader that had won its term but not recovered the cluster state used to answer
+// workers, since its job watch counted as confirmed from the start of the term. If the
+// watch of the leader before had been slow, tasks outlived the cancellation timeout.
+#[tokio::test(start_paused = true)]
+async fn store_outage_before_recovery_completes_keeps_cancelled_tasks_stopped() {
+    // How long the watch has been slow when the leader crashes, in leases.
+    for slow in [0.1, 0.2, 0.3, 0.4, 0.5] {
+        let (simulation, [(_controller_a, task_a), (controller_b, _task_b)], id) =
+            two_long_tasks().await;
+        simulation.state.lock().unwrap().faults.hang_job_watches = true;
+        cancel_until_confirmed(&simulation, &controller_b, &id, 5.0).await;
+        sleep_s(LEASE_S * slow).await;
+        // The last of the lists from which a new leader recovers.
+        simulation.state.lock().unwrap().faults.store_down_at = Some(FaultPoint {
+            controller: "n-b".into(),
+            request: "GET /store?starts=p/",
+            after_response: false,
+        });
+        simulation.crash_controller("n-a", &task_a);
+        assert!(
+            eventually(10.0, async || simulation
+                .state
+                .lock()
+                .unwrap()
+                .faults
+                .store_down)
+            .await
+        );
+        assert!(
+            !is_active_leader(&controller_b),
+            "the cluster state is not recovered"
+        );
+        simulation.state.lock().unwrap().faults.hang_job_watches = false;
+        sleep_s(CANCEL_TIMEOUT_S * 1.5).await;
+        simulation.set_store_down(false);
+        assert!(eventually(30.0, async || is_active_leader(&controller_b)).await);
+        assert_eq!(
+            query_status(&controller_b, &id).await,
+            Some(JobStatus::Cancelled)
+        );
+        simulation.assert_invariants();
+    }
+}
+
+// The stand-ins record a violation for each term, attempt, batch or booking that is
+// used again.
+#[tokio::test(start_paused = true)]
+async fn rapid_failovers_reuse_no_term_attempt_batch_or_booking() {
+    let (simulation, controller_a, mut task) = start_with_leader().await;
+    let (id, body) = simulation.job(1, 12, 4.0, 6.0);
+    submit_until_accepted(&controller_a, &body).await;
+    let mut last = controller_a;
+    for turn in 0..8u64 {
+        tokio::time::sleep(Duration::from_millis(600 + 300 * turn)).await;
+        // Either a successor is running already, or the only controller is restarted.
+        let name = ["n-b", "n-a"][turn as usize % 2];
+        let early = (turn % 3 != 0).then(|| simulation.start_controller(name));
+        simulation.crash_controller(&last.settings.node_name, &task);
+        tokio::time::sleep(Duration::from_millis(40 * turn)).await;
+        (last, task) = early.unwrap_or_else(|| simulation.start_controller(name));
+    }
+    assert!(wait_until_done(&last, &id).await);
+    simulation.assert_invariants();
+}
+
+// A transaction that the store executes after newer ones of the same controller fails
+// on its conditions: submission, cancellation, placement, completion page or election.
+#[tokio::test(start_paused = true)]
+async fn late_transactions_fail_on_their_conditions() {
+    for seed in 0..8 {
+        let (simulation, controller_a, task_a) = start_with_leader().await;
+        simulation.seed(seed);
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        simulation.state.lock().unwrap().faults.late_writes = 0.5;
+        let mut ids = Vec::new();
+        for n in 1..=5 {
+            let (id, body) = simulation.job(n, 4, 2.0, 3.0);
+            submit_until_accepted(&controller_a, &body).await;
+            ids.push(id);
+        }
+        cancel_until_confirmed(&simulation, &controller_b, &ids[4], 60.0).await;
+        tokio::time::sleep(Duration::from_secs(seed)).await;
+        simulation.crash_controller("n-a", &task_a);
+        let (controller_c, _task_c) = simulation.start_controller("n-c");
+        sleep_s(8.0).await;
+        simulation.state.lock().unwrap().faults.late_writes = 0.0;
+        for id in &ids[..4] {
+            assert!(wait_until_done(&controller_c, id).await, "{seed}: {id}");
+        }
+        let told = eventually(LEASE_S * 4.0, async || {
+            query_status(&controller_b, &ids[4]).await == Some(JobStatus::Cancelled)
+        });
+        assert!(told.await, "{seed}");
+        sleep_s(CANCEL_TIMEOUT_S).await;
+        simulation.assert_invariants();
+    }
+}
+
+// A completion page written late over a newer one of the same leader would revert
+// durable completions, and the next leader would run these tasks again.
+#[tokio::test(start_paused = true)]
+async fn late_completion_page_reverts_no_completions() {
+    let (simulation, controller_a, task_a) = start_with_leader().await;
+    // The team's quota allows two tasks at a time.
+    let (id, body) = simulation.job(1, 5, 8.0, 12.0);
+    submit_until_accepted(&controller_a, &body).await;
+    simulation.state.lock().unwrap().faults.delay_next_write = Some(DelayedWrite {
+        key_prefix: "f/",
+        delay_s: 18.0,
+    });
+    let late = eventually(60.0, async || {
+        simulation
+            .state
+            .lock()
+            .unwrap()
+            .faults
+            .delay_next_write
+            .is_none()
+    });
+    assert!(late.await);
+    // Two more tasks complete and are stored; then the delayed write is executed.
+    sleep_s(19.0).await;
+    simulation.crash_controller("n-a", &task_a);
+    let (controller_b, _task_b) = simulation.start_controller("n-b");
+    assert!(wait_until_done(&controller_b, &id).await);
+    assert_eq!(count_starts(&simulation), 5, "none runs again");
+    simulation.assert_invariants();
+}
+
+// An attempt of an earlier leader occupies its task, capacity and quota until it has
+// certainly ended, through two failovers within one lease; an attempt that is still
+// running is kept once its machine is heard from again.
+#[tokio::test(start_paused = true)]
+async fn leader_crashes_with_unreachable_machines_never_run_a_task_twice() {
+    for (inbound_blocked, back_s) in [(false, 3.0), (true, 3.0), (false, 40.0), (true, 40.0)] {
+        let (simulation, [(_controller_a, task_a), (controller_b, task_b)], id) =
+            two_long_tasks().await;
+        let machine = simulation.state.lock().unwrap().starts[0].worker.clone();
+        let set_unreachable = |on| {
+            if inbound_blocked {
+                simulation.set_inbound_blocked(&machine, on);
+            } else {
+                simulation.set_silent(&machine, on);
+            }
+        };
+        set_unreachable(true);
+        tokio::time::sleep(Duration::from_millis(500)).await;
+        simulation.crash_controller("n-a", &task_a);
+        assert!(eventually(LEASE_S, async || is_active_leader(&controller_b)).await);
+        let (controller_c, _task_c) = simulation.start_controller("n-c");
+        tokio::time::sleep(Duration::from_millis(500)).await;
+        simulation.crash_controller("n-b", &task_b);
+        sleep_s(back_s).await;
+        set_unreachable(false);
+        assert!(
+            wait_until_done(&controller_c, &id).await,
+            "inbound blocked {inbound_blocked}, {back_s} s"
+        );
+        let again = count_starts(&simulation) - 2;
+        // The task either runs on within its lease or is started again, never both.
+        assert_eq!(
+            again,
+            usize::from(back_s > LEASE_S),
+            "inbound blocked {inbound_blocked}"
+        );
+        simulation.assert_invariants();
+    }
+}
+
+// A start or stop is delayed for seconds on its way to a machine that hangs or whose
+// agent restarts; then the same attempt is cleared, or its task placed again.
+#[tokio::test(start_paused = true)]
+async fn delayed_commands_to_hung_or_restarted_machine_break_no_invariant() {
+    for seed in 0..24u64 {
+        let (simulation, controller_a, _task_a) = start_with_leader().await;
+        simulation.seed(seed);
+        let (first, body) = simulation.job(1, 4, 4.0, 2.0 + seed as f64 / 4.0);
+        submit_until_accepted(&controller_a, &body).await;
+        assert!(eventually(30.0, async || !simulation.booted_machines().is_empty()).await);
+        simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay {
+            probability: 0.7,
+            max_delay_s: LEASE_S * 0.8,
+        };
+        let (second, body) = simulation.job(2, 6, 2.0, 3.0);
+        submit_until_accepted(&controller_a, &body).await;
+        let (third, body) = simulation.job(3, 2, 8.0, 60.0);
+        submit_until_accepted(&controller_a, &body).await;
+        tokio::time::sleep(Duration::from_millis(700 + 211 * seed)).await;
+        let machine = simulation.booted_machines()
+            [seed as usize % simulation.booted_machines().len()]
+        .clone();
+        match seed % 3 {
+            0 => simulation.restart_agent(&machine),
+            1 => simulation.set_hung(&machine, true),
+            _ => cancel_until_confirmed(&simulation, &controller_a, &third, 5.0).await,
+        }
+        tokio::time::sleep(Duration::from_secs(seed % 13)).await;
+        simulation.set_hung(&machine, false);
+        if seed % 3 != 2 {
+            cancel_until_confirmed(&simulation, &controller_a, &third, 5.0).await;
+        }
+        sleep_s(CANCEL_TIMEOUT_S).await;
+        simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay::NONE;
+        for id in [&first, &second] {
+            assert!(wait_until_done(&controller_a, id).await, "{seed}");
+        }
+        simulation.assert_invariants();
+    }
+}
+
+// A job whose tasks complete far apart is done when all are, and none runs again.
+#[tokio::test(start_paused = true)]
+async fn failover_between_task_completions_reruns_no_task() {
+    for after_s in [4.0, 14.0, 17.0, 27.0] {
+        let (simulation, controller_a, task_a) = start_with_leader().await;
+        // The team's quota allows two tasks at a time.
+        let (id, body) = simulation.job(1, 3, 8.0, 12.0);
+        submit_until_accepted(&controller_a, &body).await;
+        assert!(eventually(30.0, async || count_starts(&simulation) == 2).await);
+        sleep_s(after_s).await;
+        simulation.crash_controller("n-a", &task_a);
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        let all = eventually(120.0, async || {
+            let told = query_status(&controller_b, &id).await == Some(JobStatus::Done);
+            assert!(
+                !told || simulation.all_tasks_completed(&id, 3),
+                "done too soon"
+            );
+            told
+        });
+        assert!(all.await);
+        assert_eq!(count_starts(&simulation), 3, "after {after_s} s");
+        simulation.assert_invariants();
+    }
+}
+
+// The leader crashes when it knows of completions that are not stored yet: the workers
+// must still report them to its successor.
+#[tokio::test(start_paused = true)]
+async fn leader_crash_before_completions_are_stored_reruns_no_task() {
+    let (simulation, controller_a, task_a) = start_with_leader().await;
+    let (id, body) = simulation.job(1, 3, 8.0, 12.0);
+    submit_until_accepted(&controller_a, &body).await;
+    simulation.state.lock().unwrap().faults.delay_next_write = Some(DelayedWrite {
+        key_prefix: "f/",
+        delay_s: 300.0,
+    });
+    let heard = eventually(60.0, async || {
+        controller_a
+            .with_cluster(|cluster| cluster.task_counts(&id))
+            .flatten()
+            .map(|counts| counts.0)
+            == Some(2)
+    });
+    assert!(heard.await);
+    simulation.crash_controller("n-a", &task_a);
+    let (controller_b, _task_b) = simulation.start_controller("n-b");
+    assert!(wait_until_done(&controller_b, &id).await);
+    assert_eq!(count_starts(&simulation), 3, "none runs again");
+    simulation.assert_invariants();
+}
+
+// What a partitioned leader answers its users and workers, until it is fenced and
+// after the partition heals.
+#[tokio::test(start_paused = true)]
+async fn leader_partitioned_from_store_and_peers_answers_no_stale_status() {
+    let (simulation, [(controller_a, _task_a), (controller_b, _task_b)], id) =
+        two_long_tasks().await;
+    simulation.set_store_partitioned("n-a", true);
+    assert!(eventually(LEASE_S, async || is_active_leader(&controller_b)).await);
+    cancel_until_confirmed(&simulation, &controller_b, &id, 5.0).await;
+    let asked = eventually(CANCEL_TIMEOUT_S + 5.0, async || {
+        let reply = user_api::job_status(&controller_a, &id).await;
+        assert!(reply.status() == 503, "{reply:?}");
+        false
+    });
+    assert!(!asked.await);
+    simulation.assert_invariants();
+    simulation.state.lock().unwrap().faults.partitioned.clear();
+    for controller in [&controller_a, &controller_b] {
+        let told = eventually(LEASE_S, async || {
+            let told = query_status(controller, &id).await;
+            assert!(matches!(told, None | Some(JobStatus::Cancelled)));
+            told.is_some()
+        });
+        assert!(told.await);
+    }
+    assert_eq!(count_starts(&simulation), 2);
+    simulation.assert_invariants();
+}
--- /dev/null
+++ b/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
@@ -0,0 +1,406 @@
+//! Faults that coincide with a failover.
+
+use std::{sync::Arc, time::Duration};
+use tallygauge::{controller::Controller, user_api};
+use tallygauge_protocol::users::JobStatus;
+use tallygauge_sim::{
+    CANCEL_TIMEOUT_S, FaultPoint, HEARTBEAT_INTERVAL_S, JobShape, LEASE_S, RandomDelay, Simulation,
+    cancel_until_confirmed, count_starts, eventually, is_active_leader, query_status, reply_status,
+    sleep_s, start_with_leader, submit_until_accepted, wait_until_done,
+};
+use tokio::task::JoinHandle;
+
+/// A controller and its background task.
+type RunningController = (Arc<Controller>, JoinHandle<()>);
+
+/// Crashes a controller.
+fn crash(simulation: &Simulation, (controller, task): RunningController) {
+    simulation.crash_controller(&controller.settings.node_name, &task);
+}
+
+/// Waits until a controller leads.
+async fn wait_until_leader(controller: &Arc<Controller>) {
+    assert!(eventually(LEASE_S * 4.0, async || is_active_leader(controller)).await);
+}
+
+/// Fills the quotas of both teams with long tasks, two per machine; returns the jobs' ids.
+async fn fill_team_quotas(simulation: &Simulation, controller: &Arc<Controller>) -> [String; 2] {
+    let mut ids = Vec::new();
+    for (number, team) in [(1, "t"), (2, "u")] {
+        let shape = JobShape {
+            tasks: 6,
+            cpus: 4.0,
+            run_s: CANCEL_TIMEOUT_S * 4.0,
+            team,
+            ..JobShape::default()
+        };
+        let (id, body) = simulation.job_with_shape(number, shape);
+        submit_until_accepted(controller, &body).await;
+        ids.push(id);
+    }
+    let full = eventually(90.0, async || {
+        ids.iter().all(|id| simulation.running_task_count(id) == 4)
+    })
+    .await;
+    assert!(full, "both teams run what their limit allows");
+    [ids[0].clone(), ids[1].clone()]
+}
+
+// A new term every twelve seconds, also while the store refuses everybody.
+#[tokio::test(start_paused = true)]
+async fn ten_failovers_in_two_minutes_with_store_outages_complete_all_jobs() {
+    for seed in 0..4u64 {
+        let (simulation, controller_a, task) = start_with_leader().await;
+        simulation.seed(seed);
+        let mut last: RunningController = (controller_a, task);
+        let mut ids = Vec::new();
+        for turn in 0..10u32 {
+            let (id, body) = simulation.job(turn + 1, 3, 4.0, 6.0 + f64::from(turn) * 4.0);
+            let kept = tokio::time::timeout(
+                Duration::from_secs(4),
+                submit_until_accepted(&last.0, &body),
+            );
+            if kept.await.is_ok() {
+                ids.push(id);
+            }
+            let down = turn % 4 == 2;
+            if down {
+                simulation.set_store_down(true);
+            }
+            sleep_s(1.0 + seed as f64).await;
+            crash(&simulation, last);
+            sleep_s(0.05 + 0.4 * seed as f64).await;
+            last = simulation.start_controller(["n-a", "n-b", "n-c"][turn as usize % 3]);
+            sleep_s(6.0).await;
+            if down {
+                simulation.set_store_down(false);
+            }
+        }
+        assert!(ids.len() >= 6, "{}", ids.len());
+        for id in &ids {
+            assert!(wait_until_done(&last.0, id).await, "{seed}: {id}");
+        }
+        simulation.assert_invariants();
+    }
+}
+
+// Jobs are cancelled through other controllers after the leader crashed, during each
+// step of the next leader's recovery.
+#[tokio::test(start_paused = true)]
+async fn cancellation_during_failover_stops_tasks_for_good() {
+    for wait_ms in [0u64, 40, 300, 1200, 2500, 4000] {
+        let (simulation, controller_a, task) = start_with_leader().await;
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        let (controller_c, _task_c) = simulation.start_controller("n-c");
+        let mut ids = Vec::new();
+        for n in 1..=6 {
+            let (id, body) = simulation.job(n, 2, 1.0, CANCEL_TIMEOUT_S * 3.0);
+            submit_until_accepted(&controller_a, &body).await;
+            ids.push(id);
+        }
+        assert!(eventually(60.0, async || count_starts(&simulation) == 12).await);
+        crash(&simulation, (controller_a, task));
+        tokio::time::sleep(Duration::from_millis(wait_ms)).await;
+        for (n, id) in ids[..5].iter().enumerate() {
+            cancel_until_confirmed(&simulation, [&controller_b, &controller_c][n % 2], id, 10.0)
+                .await;
+            tokio::time::sleep(Duration::from_millis(wait_ms / 4)).await;
+        }
+        sleep_s(CANCEL_TIMEOUT_S + 1.0).await;
+        for id in &ids[..5] {
+            assert_eq!(simulation.running_task_count(id), 0, "{wait_ms}: {id}");
+        }
+        assert!(wait_until_done(&controller_b, &ids[5]).await);
+        assert_eq!(count_starts(&simulation), 12, "nothing starts again");
+        simulation.assert_invariants();
+    }
+}
+
+// Copies of all heartbeats so far, of current and earlier agent incarnations, reach
+// every controller before the election, during recovery, and right after it.
+#[tokio::test(start_paused = true)]
+async fn replayed_heartbeats_during_election_break_no_invariant() {
+    for moment in ["before the term", "before the state is read", "after"] {
+        let (simulation, controller_a, task) = start_with_leader().await;
+        simulation.state.lock().unwrap().faults.capture_heartbeats = true;
+        let (id, body) = simulation.job(1, 4, 4.0, LEASE_S * 4.0);
+        submit_until_accepted(&controller_a, &body).await;
+        assert!(eventually(60.0, async || simulation.running_task_count(&id) == 4).await);
+        // The lease of one worker expires, and its task is started again.
+        let machine = simulation.state.lock().unwrap().starts[0].worker.clone();
+        simulation.set_silent(&machine, true);
+        sleep_s(LEASE_S * 1.5).await;
+        simulation.set_silent(&machine, false);
+        assert!(
+            eventually(LEASE_S * 4.0, async || simulation.running_task_count(&id)
+                == 4)
+            .await
+        );
+        simulation.state.lock().unwrap().faults.capture_heartbeats = false;
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        sleep_s(1.0).await;
+        if moment == "before the state is read" {
+            simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
+                controller: "n-b".into(),
+                request: "GET /store?starts=p/",
+                after_response: false,
+            });
+        }
+        crash(&simulation, (controller_a, task));
+        match moment {
+            "before the term" => assert!(simulation.replay_captured_heartbeats() > 10),
+            "before the state is read" => {
+                assert!(eventually(LEASE_S, async || simulation.is_paused("n-b")).await);
+                // It has not listed the placements yet, but answers its workers.
+                simulation.resume("n-b");
+                assert!(simulation.replay_captured_heartbeats() > 10);
+            }
+            _ => {
+                wait_until_leader(&controller_b).await;
+                assert!(simulation.replay_captured_heartbeats() > 10);
+            }
+        }
+        wait_until_leader(&controller_b).await;
+        assert!(wait_until_done(&controller_b, &id).await, "{moment}");
+        simulation.assert_invariants();
+    }
+}
+
+// A heartbeat of the earlier term reaches the new leader only after that has acted on
+// the recovered state: it lists tasks that have ended since and lacks newer ones.
+#[tokio::test(start_paused = true)]
+async fn heartbeat_delayed_past_recovery_reruns_no_task() {
+    for wait_s in [0.5, 3.0, LEASE_S, LEASE_S * 2.0] {
+        let (simulation, controller_a, task) = start_with_leader().await;
+        let (first, body) = simulation.job(1, 2, 8.0, 5.0);
+        submit_until_accepted(&controller_a, &body).await;
+        assert!(eventually(60.0, async || simulation.running_task_count(&first) == 2).await);
+        simulation.state.lock().unwrap().faults.capture_heartbeats = true;
+        sleep_s(HEARTBEAT_INTERVAL_S * 3.0).await;
+        simulation.state.lock().unwrap().faults.capture_heartbeats = false;
+        let (second, body) = simulation.job(2, 2, 8.0, LEASE_S * 3.0);
+        submit_until_accepted(&controller_a, &body).await;
+        crash(&simulation, (controller_a, task));
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        wait_until_leader(&controller_b).await;
+        sleep_s(wait_s).await;
+        assert!(simulation.replay_captured_heartbeats() > 0);
+        for id in [&first, &second] {
+            assert!(wait_until_done(&controller_b, id).await, "{wait_s}");
+        }
+        assert_eq!(count_starts(&simulation), 4, "none runs again");
+        simulation.assert_invariants();
+    }
+}
+
+// Direct commands of a paused or crashed leader arrive after those of its successor.
+#[tokio::test(start_paused = true)]
+async fn delayed_commands_of_deposed_leader_are_rejected() {
+    for seed in 0..8u64 {
+        let (simulation, controller_a, task) = start_with_leader().await;
+        simulation.seed(seed);
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        let (first, body) = simulation.job(1, 4, 2.0, 12.0);
+        submit_until_accepted(&controller_a, &body).await;
+        assert!(eventually(60.0, async || !simulation.booted_machines().is_empty()).await);
+        simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay {
+            probability: 0.8,
+            max_delay_s: LEASE_S * 1.4,
+        };
+        let (second, body) = simulation.job(2, 4, 2.0, 20.0);
+        submit_until_accepted(&controller_a, &body).await;
+        let (third, body) = simulation.job(3, 2, 2.0, 60.0);
+        submit_until_accepted(&controller_a, &body).await;
+        sleep_s(0.4 + 0.3 * seed as f64).await;
+        let stands = seed % 2 == 0;
+        if stands {
+            simulation.pause("n-a");
+        } else {
+            crash(&simulation, (controller_a.clone(), task));
+        }
+        wait_until_leader(&controller_b).await;
+        cancel_until_confirmed(&simulation, &controller_b, &third, 20.0).await;
+        sleep_s(LEASE_S * 0.5).await;
+        if stands {
+            simulation.resume("n-a");
+        }
+        sleep_s(CANCEL_TIMEOUT_S + 1.0).await;
+        simulation.state.lock().unwrap().faults.delayed_commands = RandomDelay::NONE;
+        assert_eq!(simulation.running_task_count(&third), 0);
+        for id in [&first, &second] {
+            assert!(wait_until_done(&controller_b, id).await, "{seed}");
+        }
+        simulation.assert_invariants();
+    }
+}
+
+// Both teams are at their quota, some machines are unreachable or hang, jobs of both
+// teams are cancelled, and the leader crashes: an attempt counts against the quota
+// until it has certainly ended.
+#[tokio::test(start_paused = true)]
+async fn failover_with_teams_at_quota_and_unreachable_machines_keeps_quotas() {
+    for (hangs, early) in [(false, false), (false, true), (true, false), (true, true)] {
+        let (simulation, controller_a, task) = start_with_leader().await;
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        let ids = fill_team_quotas(&simulation, &controller_a).await;
+        let machines = simulation.booted_machines();
+        let some: Vec<&String> = machines.iter().step_by(2).collect();
+        let unreachable = |on: bool| {
+            for machine in &some {
+                if hangs {
+                    simulation.set_hung(machine, on);
+                } else {
+                    simulation.set_silent(machine, on);
+                }
+            }
+        };
+        unreachable(true);
+        let (third, body) = simulation.job(3, 4, 4.0, 5.0);
+        submit_until_accepted(&controller_b, &body).await;
+        if early {
+            crash(&simulation, (controller_a, task));
+            cancel_until_confirmed(&simulation, &controller_b, &ids[0], 20.0).await;
+            cancel_until_confirmed(&simulation, &controller_b, &ids[1], 20.0).await;
+        } else {
+            cancel_until_confirmed(&simulation, &controller_b, &ids[0], 20.0).await;
+            sleep_s(0.3).await;
+            crash(&simulation, (controller_a, task));
+            cancel_until_confirmed(&simulation, &controller_b, &ids[1], 20.0).await;
+        }
+        wait_until_leader(&controller_b).await;
+        sleep_s(LEASE_S * 0.7).await;
+        unreachable(false);
+        sleep_s(CANCEL_TIMEOUT_S + 1.0).await;
+        for id in &ids {
+            assert_eq!(
+                simulation.running_task_count(id),
+                0,
+                "hangs {hangs}, early {early}"
+            );
+        }
+        assert!(
+            wait_until_done(&controller_b, &third).await,
+            "hangs {hangs}, early {early}"
+        );
+        simulation.assert_invariants();
+    }
+}
+
+// Nobody leads for longer than a worker lease: leases expire, and each task starts
+// again once.
+#[tokio::test(start_paused = true)]
+async fn all_controllers_down_past_worker_lease_restart_tasks_once() {
+    for away_s in [LEASE_S * 1.2, LEASE_S * 4.0] {
+        let (simulation, controller_a, task) = start_with_leader().await;
+        let ids = fill_team_quotas(&simulation, &controller_a).await;
+        crash(&simulation, (controller_a, task));
+        sleep_s(away_s).await;
+        assert_eq!(
+            simulation.running_task_count(&ids[0]),
+            0,
+            "their leases expired"
+        );
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        let (controller_c, _task_c) = simulation.start_controller("n-c");
+        cancel_until_confirmed(&simulation, &controller_c, &ids[1], LEASE_S * 3.0).await;
+        assert!(wait_until_done(&controller_b, &ids[0]).await);
+        assert_eq!(
+            query_status(&controller_b, &ids[1]).await,
+            Some(JobStatus::Cancelled)
+        );
+        simulation.assert_invariants();
+    }
+}
+
+// Tasks in the partitioned zone run until the leader there fences itself, and are not
+// started elsewhere before that.
+#[tokio::test(start_paused = true)]
+async fn zone_partition_with_leader_past_worker_lease_runs_no_task_twice() {
+    for cut_s in [LEASE_S * 1.5, LEASE_S * 4.0] {
+        let (simulation, controller_a, _task_a) = start_with_leader().await;
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        let ids = fill_team_quotas(&simulation, &controller_a).await;
+        let machines = simulation.booted_machines();
+        {
+            let mut state = simulation.state.lock().unwrap();
+            state.faults.partitioned.insert("n-a".into());
+            for (n, machine) in machines.iter().enumerate() {
+                let controller = if n % 2 == 0 { "n-a" } else { "n-b" };
+                state
+                    .faults
+                    .exclusive_links
+                    .insert(machine.clone(), controller.into());
+            }
+        }
+        wait_until_leader(&controller_b).await;
+        cancel_until_confirmed(&simulation, &controller_b, &ids[0], 10.0).await;
+        sleep_s(cut_s).await;
+        {
+            let mut state = simulation.state.lock().unwrap();
+            state.faults.partitioned.clear();
+            state.faults.exclusive_links.clear();
+        }
+        sleep_s(CANCEL_TIMEOUT_S).await;
+        assert_eq!(simulation.running_task_count(&ids[0]), 0);
+        assert!(wait_until_done(&controller_b, &ids[1]).await, "{cut_s}");
+        simulation.assert_invariants();
+    }
+}
+
+// The store answers slowly, then refuses the leader alone, then everybody for longer
+// than the cancellation timeout, while users cancel jobs and poll.
+#[tokio::test(start_paused = true)]
+async fn slow_then_refusing_store_confirms_no_unknown_cancellation() {
+    for link_delay_s in [0.1, 0.3, 0.7] {
+        let (simulation, controller_a, _task_a) = start_with_leader().await;
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        let ids = fill_team_quotas(&simulation, &controller_a).await;
+        simulation.state.lock().unwrap().faults.link_delay_s = link_delay_s;
+        sleep_s(LEASE_S * 0.5).await;
+        simulation.set_store_refuses("n-a", true);
+        cancel_until_confirmed(&simulation, &controller_b, &ids[0], 20.0).await;
+        simulation.set_store_down(true);
+        for _ in 0..30 {
+            for controller in [&controller_a, &controller_b] {
+                let reply = user_api::cancel(controller, &ids[1]).await;
+                let told = reply_status(&reply);
+                assert!(told.is_none(), "nobody can say so: {told:?}");
+                let told = query_status(controller, &ids[0]).await;
+                assert!(matches!(told, None | Some(JobStatus::Cancelled)));
+            }
+            sleep_s(CANCEL_TIMEOUT_S / 20.0).await;
+        }
+        assert_eq!(simulation.running_task_count(&ids[0]), 0);
+        simulation.set_store_down(false);
+        simulation.set_store_refuses("n-a", false);
+        simulation.state.lock().unwrap().faults.link_delay_s = 0.003;
+        cancel_until_confirmed(&simulation, &controller_a, &ids[1], 30.0).await;
+        sleep_s(CANCEL_TIMEOUT_S + 1.0).await;
+        assert_eq!(simulation.running_task_count(&ids[1]), 0);
+        simulation.assert_invariants();
+    }
+}
+
+// A leader is paused with a placement write on its way and resumes under its successor:
+// the write fails on its term condition. The stand-in records any that does not.
+#[tokio::test(start_paused = true)]
+async fn placement_write_from_previous_term_is_rejected() {
+    let (simulation, controller_a, _task_a) = start_with_leader().await;
+    let (controller_b, _task_b) = simulation.start_controller("n-b");
+    let (first, body) = simulation.job(1, 1, 1.0, 2.0);
+    submit_until_accepted(&controller_b, &body).await;
+    assert!(wait_until_done(&controller_b, &first).await);
+    let (second, body) = simulation.job(2, 2, 4.0, 5.0);
+    simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
+        controller: "n-a".into(),
+        request: "POST /multi",
+        after_response: false,
+    });
+    submit_until_accepted(&controller_b, &body).await;
+    assert!(eventually(LEASE_S, async || simulation.is_paused("n-a")).await);
+    wait_until_leader(&controller_b).await;
+    simulation.resume("n-a");
+    assert!(eventually(LEASE_S, async || !is_active_leader(&controller_a)).await);
+    assert!(wait_until_done(&controller_b, &second).await);
+    simulation.assert_invariants();
+}
--- /dev/null
+++ b/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
@@ -0,0 +1,231 @@
+//! Faults of machines that coincide with faults of the writes that place tasks on them.
+
+use tallygauge_sim::{
+    CANCEL_TIMEOUT_S, HEARTBEAT_INTERVAL_S, JobShape, LEASE_S, cancel_until_confirmed,
+    count_starts, eventually, is_active_leader, sleep_s, start_with_leader, submit_until_accepted,
+    wait_until_done,
+};
+
+// A single lost response used to keep the leader from placing anything. An in-doubt
+// batch must block its own tasks and nothing else.
+#[tokio::test(start_paused = true)]
+async fn in_doubt_batch_blocks_no_other_batch() {
+    let (simulation, controller_a, _task_a) = start_with_leader().await;
+    let (first, body) = simulation.job(1, 2, 2.0, 5.0);
+    submit_until_accepted(&controller_a, &body).await;
+    assert!(wait_until_done(&controller_a, &first).await);
+    // Neither copy of the next round's batch write is executed.
+    simulation.state.lock().unwrap().faults.hang_writes = Some("p/1-2");
+    let (second, body) = simulation.job(2, 2, 4.0, 5.0);
+    submit_until_accepted(&controller_a, &body).await;
+    let in_doubt = eventually(LEASE_S, async || controller_a.store.in_doubt_writes().0 > 0);
+    assert!(in_doubt.await);
+    let (third, body) = simulation.job(3, 2, 2.0, 5.0);
+    submit_until_accepted(&controller_a, &body).await;
+    let before = simulation.now();
+    assert!(wait_until_done(&controller_a, &third).await);
+    assert!(
+        simulation.now() - before < LEASE_S,
+        "it waits for the other"
+    );
+    assert_eq!(simulation.running_task_count(&second), 0);
+    let (count, since) = controller_a.store.in_doubt_writes();
+    assert!(count == 1 && since.as_secs_f64() > 5.0, "{count} {since:?}");
+    simulation.state.lock().unwrap().faults.hang_writes = None;
+    assert!(wait_until_done(&controller_a, &second).await);
+    assert_eq!(count_starts(&simulation), 6, "nothing is placed twice");
+    simulation.assert_invariants();
+}
+
+// Two of five store responses are lost, and the leader crashes meanwhile.
+#[tokio::test(start_paused = true)]
+async fn jobs_complete_with_forty_percent_of_store_responses_lost() {
+    for seed in 0..6 {
+        let (simulation, _a, task) = start_with_leader().await;
+        simulation.seed(seed);
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        simulation.state.lock().unwrap().faults.lost_responses = 0.4;
+        let mut ids = Vec::new();
+        for n in 1..=20 {
+            let (id, body) = simulation.job(n, 2, 2.0, 2.0);
+            submit_until_accepted(&controller_b, &body).await;
+            ids.push(id);
+            sleep_s(0.5).await;
+        }
+        simulation.crash_controller("n-a", &task);
+        let began = simulation.now();
+        for id in &ids {
+            assert!(wait_until_done(&controller_b, id).await, "{seed}: {id}");
+        }
+        let took = simulation.now() - began;
+        assert!(took < LEASE_S * 6.0, "{seed}: {took:.0} s");
+        // Batches whose responses were lost are deleted once their tasks are done.
+        let gone = eventually(LEASE_S * 3.0, async || simulation.count_keys("p/") == 0);
+        assert!(
+            gone.await,
+            "{seed}: {} batches stay",
+            simulation.count_keys("p/")
+        );
+        simulation.assert_invariants();
+    }
+}
+
+// Workers can't connect to any controller, for less and for more than a lease, while
+// direct commands still reach them.
+#[tokio::test(start_paused = true)]
+async fn workers_with_blocked_heartbeats_still_obey_direct_commands() {
+    for (mute_s, crashes) in [
+        (LEASE_S * 0.6, true),
+        (LEASE_S * 3.0, false),
+        (LEASE_S * 3.0, true),
+    ] {
+        let (simulation, controller_a, task) = start_with_leader().await;
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        let (first, body) = simulation.job(1, 2, 4.0, LEASE_S * 5.0);
+        submit_until_accepted(&controller_a, &body).await;
+        let (second, body) = simulation.job(2, 2, 4.0, LEASE_S * 9.0);
+        submit_until_accepted(&controller_a, &body).await;
+        assert!(eventually(60.0, async || count_starts(&simulation) == 4).await);
+        let machines = simulation.booted_machines();
+        machines
+            .iter()
+            .for_each(|m| simulation.set_outbound_blocked(m, true));
+        sleep_s(HEARTBEAT_INTERVAL_S * 2.0).await;
+        if crashes {
+            simulation.crash_controller("n-a", &task);
+            assert!(eventually(LEASE_S * 2.0, async || is_active_leader(&controller_b)).await);
+        }
+        cancel_until_confirmed(&simulation, &controller_b, &second, 20.0).await;
+        sleep_s(mute_s).await;
+        machines
+            .iter()
+            .for_each(|m| simulation.set_outbound_blocked(m, false));
+        assert!(
+            wait_until_done(&controller_b, &first).await,
+            "{mute_s} {crashes}"
+        );
+        sleep_s(CANCEL_TIMEOUT_S).await;
+        assert_eq!(simulation.running_task_count(&second), 0);
+        simulation.assert_invariants();
+    }
+}
+
+// Jobs constrained to a named zone, or to any single zone, lose machines there.
+#[tokio::test(start_paused = true)]
+async fn zone_constrained_jobs_complete_after_losing_machines() {
+    for seed in 0..6usize {
+        let (simulation, controller_a, task) = start_with_leader().await;
+        simulation.state.lock().unwrap().zones = vec!["a", "b"];
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        // Until the catalogue, now with both zones, is read again.
+        sleep_s(LEASE_S * 2.0).await;
+        let mut ids = Vec::new();
+        for (number, zone, one_zone) in [
+            (1, Some("b"), false),
+            (2, None, true),
+            (3, Some("a"), true),
+            (4, None, true),
+        ] {
+            let shape = JobShape {
+                tasks: 4,
+                cpus: 2.0,
+                run_s: 15.0,
+                team: if number % 2 == 0 { "t" } else { "u" },
+                zone,
+                one_zone,
+                ..JobShape::default()
+            };
+            let (id, body) = simulation.job_with_shape(number, shape);
+            submit_until_accepted(&controller_a, &body).await;
+            ids.push(id);
+        }
+        assert!(eventually(90.0, async || count_starts(&simulation) >= 8).await);
+        let machines = simulation.booted_machines();
+        for (n, machine) in machines.iter().enumerate() {
+            match (n + seed) % 3 {
+                0 => simulation.destroy(machine),
+                1 => simulation.set_silent(machine, true),
+                _ => {}
+            }
+        }
+        if seed % 2 == 0 {
+            simulation.crash_controller("n-a", &task);
+        }
+        sleep_s(LEASE_S * 0.5 * seed as f64).await;
+        for machine in simulation.booted_machines() {
+            simulation.set_silent(&machine, false);
+        }
+        for id in &ids {
+            assert!(wait_until_done(&controller_b, id).await, "{seed}: {id}");
+        }
+        simulation.assert_invariants();
+    }
+}
+
+// More work than capacity, urgent and not, while each message takes a quarter of a
+// second each way: all jobs complete, the urgent ones first.
+#[tokio::test(start_paused = true)]
+async fn urgent_jobs_complete_first_under_overload_and_slow_links() {
+    let (simulation, controller_a, _task_a) = start_with_leader().await;
+    let (controller_b, _task_b) = simulation.start_controller("n-b");
+    simulation.state.lock().unwrap().faults.link_delay_s = 0.25;
+    let mut ids = Vec::new();
+    for number in 1..=24 {
+        let urgent = number > 16;
+        let shape = JobShape {
+            tasks: 4,
+            cpus: 4.0,
+            run_s: 4.0,
+            priority: if urgent { "urgent" } else { "low" },
+            team: if number % 2 == 0 { "t" } else { "u" },
+            ..JobShape::default()
+        };
+        let (id, body) = simulation.job_with_shape(number, shape);
+        submit_until_accepted([&controller_a, &controller_b][number as usize % 2], &body).await;
+        ids.push(id);
+    }
+    let urgent_done = eventually(LEASE_S * 30.0, async || {
+        ids[16..]
+            .iter()
+            .all(|id| simulation.all_tasks_completed(id, 4))
+    });
+    assert!(urgent_done.await);
+    let others = ids[..16]
+        .iter()
+        .filter(|id| !simulation.all_tasks_completed(id, 4));
+    assert!(others.count() >= 4, "urgent work goes first");
+    for id in &ids {
+        assert!(wait_until_done(&controller_b, id).await, "{id}");
+    }
+    simulation.assert_invariants();
+}
+
+// New machines boot before the cloud lists them, get tasks at once while writes are
+// late, and the leader crashes: its successor learns of them from their heartbeats.
+#[tokio::test(start_paused = true)]
+async fn work_on_new_machines_survives_late_writes_and_leader_crash() {
+    for seed in 0..8u64 {
+        let (simulation, _a, task) = start_with_leader().await;
+        simulation.seed(seed);
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
+        {
+            let mut state = simulation.state.lock().unwrap();
+            state.boot_time_s = 0.1;
+            state.faults.late_writes = 0.4;
+        }
+        let mut ids = Vec::new();
+        for n in 1..=6 {
+            let (id, body) = simulation.job(n, 3, 2.0, 4.0 + f64::from(n));
+            submit_until_accepted(&controller_b, &body).await;
+            ids.push(id);
+        }
+        sleep_s(0.3 * seed as f64).await;
+        simulation.crash_controller("n-a", &task);
+        sleep_s(LEASE_S).await;
+        simulation.state.lock().unwrap().faults.late_writes = 0.0;
+        for id in &ids {
+            assert!(wait_until_done(&controller_b, id).await, "{seed}: {id}");
+        }
+        simulation.assert_invariants();
+    }
+}
--- /dev/null
+++ b/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
@@ -0,0 +1,359 @@
+//! Faults under which the statuses that users read must stay linearizable.
+
+use std::{
+    sync::{Arc, Mutex},
+    time::Duration,
+};
+use tallygauge::{controller::Controller, user_api};
+use tallygauge_protocol::users::JobStatus;
+use tallygauge_sim::{
+    CANCEL_TIMEOUT_S, FaultPoint, History, JobShape, RelayTo, Simulation, cancel_until_confirmed,
+    eventually, query_status, reply_status, sleep_s, start_with_leader, submit_until_accepted,
+    wait_until_done,
+};
+use tokio::task::JoinHandle;
+use warp::http::Method;
+
+/// Starts three controllers: the first leads, and each relays users to the next.
+async fn start_three_controllers() -> (Arc<Simulation>, Vec<Arc<Controller>>, Vec<JoinHandle<()>>) {
+    let (simulation, controller_a, task) = start_with_leader().await;
+    let mut controllers = vec![controller_a];
+    let mut tasks = vec![task];
+    for name in ["n-b", "n-c"] {
+        let (controller, task) = simulation.start_controller(name);
+        controllers.push(controller);
+        tasks.push(task);
+    }
+    for n in 0..3 {
+        let peer = controllers[(n + 1) % 3].clone();
+        controllers[n].relay.set(Arc::new(RelayTo(peer)));
+    }
+    (simulation, controllers, tasks)
+}
+
+/// A kind of user request.
+#[derive(Debug, Clone, Copy)]
+enum Request {
+    Status,
+    Submit,
+    Cancel,
+}
+
+/// Sends a user request to one controller and records its answer in the history. A job
+/// that is called done must be done.
+async fn send_request(
+    simulation: Arc<Simulation>,
+    controller: Arc<Controller>,
+    history: Arc<Mutex<History>>,
+    kind: Request,
+    (id, body): (String, Vec<u8>),
+) {
+    let asked = simulation.now();
+    let name = controller.settings.node_name.clone();
+    let (method, path) = match kind {
+        Request::Status => (Method::GET, format!("/work/{id}")),
+        Request::Submit => (Method::POST, "/work".to_string()),
+        Request::Cancel => (Method::POST, format!("/work/{id}/abort")),
+    };
+    let reply = simulation.run_on(&name, async move {
+        user_api::serve(&controller, &method, &path, &body).await
+    });
+    let Ok(Some(reply)) = tokio::time::timeout(Duration::from_secs(5), reply).await else {
+        return;
+    };
+    match reply_status(&reply) {
+        Some(JobStatus::Cancelled) => simulation.record_cancellation(&id),
+        Some(JobStatus::Done) => {
+            assert!(simulation.all_tasks_completed(&id, 1), "{id} is not done")
+        }
+        _ => {}
+    }
+    let told = simulation.now();
+    history.lock().unwrap().record(&id, asked, told, &reply);
+}
+
+/// Reads a job's status from all controllers every few milliseconds, from before its
+/// submission until after its end, while other users repeat the submission and, if
+/// `cancels`, cancel it. With `pauses`, one controller is paused meanwhile.
+async fn check_status_history(seed: u64, lost_responses: f64, cancels: bool, pauses: bool) {
+    let (simulation, controllers, _tasks) = start_three_controllers().await;
+    simulation.seed(seed);
+    let history = Arc::new(Mutex::new(History::default()));
+    let shape = JobShape {
+        run_s: 3.0,
+        ..JobShape::default()
+    };
+    // Beforehand a machine has booted, and every controller has a job in its cache.
+    let (first, body) = simulation.job_with_shape(1, shape);
+    submit_until_accepted(&controllers[0], &body).await;
+    assert!(wait_until_done(&controllers[0], &first).await);
+    simulation.state.lock().unwrap().faults.lost_responses = lost_responses;
+    let job = simulation.job_with_shape(2, shape);
+    let mut all = Vec::new();
+    let began = simulation.now();
+    for step in 0..900u64 {
+        let at = (step + seed) as usize % 3;
+        let kind = match step {
+            0..3 => Request::Status,
+            _ if step % 40 == 3 => Request::Submit,
+            _ if cancels && step >= 60 + seed * 37 && step % 30 == 0 => Request::Cancel,
+            _ => Request::Status,
+        };
+        if pauses && step == 100 {
+            simulation.pause("n-b");
+        }
+        if pauses && step == 300 + seed * 10 {
+            simulation.resume("n-b");
+        }
+        all.push(tokio::spawn(send_request(
+            simulation.clone(),
+            controllers[at].clone(),
+            history.clone(),
+            kind,
+            job.clone(),
+        )));
+        tokio::time::sleep(Duration::from_millis(9)).await;
+    }
+    for one in all {
+        one.await.unwrap();
+    }
+    simulation.state.lock().unwrap().faults.lost_responses = 0.0;
+    let over = eventually(60.0, async || {
+        matches!(
+            query_status(&controllers[2], &job.0).await,
+            Some(JobStatus::Done | JobStatus::Cancelled)
+        )
+    });
+    assert!(over.await, "{seed}: since {began}");
+    let history = history.lock().unwrap();
+    assert!(history.len() > 300, "{} answers", history.len());
+    assert_eq!(history.stale_reads(), Vec::<String>::new(), "{seed}");
+    simulation.assert_invariants();
+}
+
+#[tokio::test(start_paused = true)]
+async fn concurrent_status_reads_on_all_controllers_are_linearizable() {
+    for seed in 0..4 {
+        check_status_history(seed, 0.0, seed % 2 == 1, false).await;
+        check_status_history(seed, 0.0, seed % 2 == 0, true).await;
+    }
+}
+
+// A transaction is committed and only its response is lost, while other controllers
+// read what it wrote.
+#[tokio::test(start_paused = true)]
+async fn status_reads_stay_linearizable_with_lost_store_responses() {
+    for seed in 0..4 {
+        check_status_history(seed, 0.4, seed % 2 == 0, false).await;
+        check_status_history(seed, 0.4, seed % 2 == 1, true).await;
+    }
+}
+
+// A cancellation, a status request and a repeated submission race the completion of
+// the last task, without any other fault.
+#[tokio::test(start_paused = true)]
+async fn requests_racing_the_last_task_completion_are_linearizable() {
+    let (simulation, controllers, _tasks) = start_three_controllers().await;
+    let history = Arc::new(Mutex::new(History::default()));
+    let mut jobs = Vec::new();
+    for n in 1..=24u32 {
+        let job = simulation.job(n, 1, 1.0, 4.0);
+        submit_until_accepted(&controllers[n as usize % 3], &job.1).await;
+        jobs.push(job.clone());
+        let ends = eventually(60.0, async || simulation.all_tasks_completed(&job.0, 1));
+        assert!(ends.await);
+        // The leader learns late of the cancellation but not of the completion: only the
+        // store decides which came first.
+        simulation.state.lock().unwrap().faults.hang_job_watches = n % 2 == 0;
+        // From just after the completion until well after it is stored.
+        tokio::time::sleep(Duration::from_millis(u64::from(n) * 37)).await;
+        let mut all = Vec::new();
+        for (at, kind) in [Request::Cancel, Request::Status, Request::Submit]
+            .into_iter()
+            .enumerate()
+        {
+            let controller = controllers[(n as usize + at) % 3].clone();
+            let asks = send_request(
+                simulation.clone(),
+                controller,
+                history.clone(),
+                kind,
+                job.clone(),
+            );
+            all.push(tokio::spawn(asks));
+        }
+        for one in all {
+            one.await.unwrap();
+        }
+        sleep_s(2.0).await;
+        simulation.state.lock().unwrap().faults.hang_job_watches = false;
+    }
+    for job in &jobs {
+        for controller in &controllers {
+            let over = eventually(30.0, async || {
+                matches!(
+                    query_status(controller, &job.0).await,
+                    Some(JobStatus::Done | JobStatus::Cancelled)
+                )
+            });
+            assert!(over.await, "{}", job.0);
+            let (simulation, controller, job) =
+                (simulation.clone(), controller.clone(), job.clone());
+            send_request(
+                simulation,
+                controller,
+                history.clone(),
+                Request::Status,
+                job,
+            )
+            .await;
+        }
+    }
+    assert_eq!(history.lock().unwrap().stale_reads(), Vec::<String>::new());
+    simulation.assert_invariants();
+}
+
+// One-task jobs arrive four per second for minutes, a quarter is cancelled: the store is
+// written at a job's submission and end, and otherwise once per scheduling round.
+#[tokio::test(start_paused = true)]
+async fn four_jobs_per_second_with_cancellations_use_bounded_store_writes() {
+    let (simulation, controllers, _tasks) = start_three_controllers().await;
+    let jobs: u32 = 600;
+    let mut cancelled = Vec::new();
+    for n in 1..=jobs {
+        let (id, body) = simulation.job(n, 1, 1.0, 2.0);
+        submit_until_accepted(&controllers[n as usize % 3], &body).await;
+        if n % 4 == 0 {
+            let controller = controllers[(n as usize + 1) % 3].clone();
+            let simulation = simulation.clone();
+            let wait = Duration::from_millis(u64::from(n) * 7 % 1900);
+            cancelled.push(tokio::spawn(async move {
+                tokio::time::sleep(wait).await;
+                let reply = user_api::cancel(&controller, &id).await;
+                let told = reply_status(&reply).expect("told");
+                if told == JobStatus::Cancelled {
+                    simulation.record_cancellation(&id);
+                }
+                told
+            }));
+        }
+        tokio::time::sleep(Duration::from_millis(240)).await;
+    }
+    let mut cancelled_count = 0;
+    for one in cancelled {
+        cancelled_count += usize::from(one.await.unwrap() == JobStatus::Cancelled);
+    }
+    assert!(cancelled_count > 20, "{cancelled_count}");
+    for n in 1..=jobs {
+        let id = format!("req-{n:06}");
+        let over = eventually(60.0, async || {
+            matches!(
+                query_status(&controllers[1], &id).await,
+                Some(JobStatus::Done | JobStatus::Cancelled)
+            )
+        });
+        assert!(over.await, "{id}");
+    }
+    // For each job one record is set and removed, and another one stays.
+    assert_eq!(simulation.count_changes("o/"), jobs as usize * 2);
+    assert_eq!(simulation.count_changes("j/"), jobs as usize);
+    assert!(
+        simulation.count_changes("f/") <= 2,
+        "{}",
+        simulation.count_changes("f/")
+    );
+    let placements = simulation.count_changes("p/");
+    assert!(placements <= jobs as usize * 2, "{placements}");
+    simulation.assert_invariants();
+}
+
+// The controller that executes a cancellation is paused before or after its write,
+// while users read the status from the other controllers.
+#[tokio::test(start_paused = true)]
+async fn controller_paused_around_cancellation_write_gives_no_stale_reads() {
+    for (after_response, pause_s) in [(false, 3.0), (true, 3.0), (true, 12.0)] {
+        let (simulation, controllers, _tasks) = start_three_controllers().await;
+        let (id, body) = simulation.job(1, 2, 4.0, CANCEL_TIMEOUT_S * 4.0);
+        submit_until_accepted(&controllers[0], &body).await;
+        assert!(eventually(60.0, async || simulation.running_task_count(&id) == 2).await);
+        let history = Arc::new(Mutex::new(History::default()));
+        simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
+            controller: "n-b".into(),
+            request: "POST /multi",
+            after_response,
+        });
+        let job = (id.clone(), body.clone());
+        let canceller = tokio::spawn(send_request(
+            simulation.clone(),
+            controllers[1].clone(),
+            history.clone(),
+            Request::Cancel,
+            job.clone(),
+        ));
+        let until_s = simulation.now() + pause_s;
+        while simulation.now() < until_s {
+            for controller in [&controllers[0], &controllers[2]] {
+                let asks = send_request(
+                    simulation.clone(),
+                    controller.clone(),
+                    history.clone(),
+                    Request::Status,
+                    job.clone(),
+                );
+                asks.await;
+            }
+            tokio::time::sleep(Duration::from_millis(50)).await;
+        }
+        simulation.resume("n-b");
+        canceller.await.unwrap();
+        cancel_until_confirmed(&simulation, &controllers[1], &id, 20.0).await;
+        sleep_s(CANCEL_TIMEOUT_S).await;
+        assert_eq!(history.lock().unwrap().stale_reads(), Vec::<String>::new());
+        simulation.assert_invariants();
+    }
+}
+
+// The controller that executes a cancellation is paused after it has read the job's
+// record; the job completes meanwhile, a user reads so, and its status stays done.
+#[tokio::test(start_paused = true)]
+async fn cancellation_paused_past_completion_reports_done() {
+    let (simulation, controllers, _tasks) = start_three_controllers().await;
+    let job = simulation.job(1, 1, 1.0, 6.0);
+    submit_until_accepted(&controllers[0], &job.1).await;
+    assert!(eventually(60.0, async || simulation.running_task_count(&job.0) == 1).await);
+    let history = Arc::new(Mutex::new(History::default()));
+    // The job is cached, so that the next read of its record is the cancellation's.
+    assert!(query_status(&controllers[1], &job.0).await.is_some());
+    simulation.state.lock().unwrap().faults.pause_at = Some(FaultPoint {
+        controller: "n-b".into(),
+        request: "GET /store/o/",
+        after_response: true,
+    });
+    let (controller, id) = (controllers[1].clone(), job.0.clone());
+    let cancels = simulation.run_on(
+        "n-b",
+        async move { user_api::cancel(&controller, &id).await },
+    );
+    let cancels = tokio::spawn(cancels);
+    assert!(eventually(5.0, async || simulation.is_paused("n-b")).await);
+    assert!(wait_until_done(&controllers[0], &job.0).await);
+    let ask_at = |controller: &Arc<Controller>| {
+        let (simulation, controller, history) =
+            (simulation.clone(), controller.clone(), history.clone());
+        send_request(
+            simulation,
+            controller,
+            history,
+            Request::Status,
+            job.clone(),
+        )
+    };
+    ask_at(&controllers[0]).await;
+    simulation.resume("n-b");
+    assert_eq!(reply_status(&cancels.await.unwrap()), Some(JobStatus::Done));
+    for controller in &controllers {
+        ask_at(controller).await;
+    }
+    assert_eq!(history.lock().unwrap().stale_reads(), Vec::<String>::new());
+    simulation.assert_invariants();
+}
