--- a/crates/tallygauge-sim/src/scenario/checks.rs
+++ b/crates/tallygauge-sim/src/scenario/checks.rs
@@ -86,10 +86,10 @@
 
     /// Submits the job on which a violation is injected. Returns its id.
     async fn submit_violating_job(&mut self, run_s: f64) -> String {
-        let (id, body) = self.simulation.job(VIOLATING_JOB, 1, 1.0, run_s);
-        self.submit_until_accepted(0, &body).await;
-        self.jobs.push(TrackedJob::new(id.clone(), 1));
-        id
+        let job = self.simulation.job(VIOLATING_JOB, 1, 1.0, run_s);
+        self.submit_until_accepted(0, &job.body).await;
+        self.jobs.push(TrackedJob::new(job.id.clone(), 1));
+        job.id
     }
 
     /// Polls all jobs until each has a final status, a violation is found or the time is
