--- a/crates/tallygauge-scheduler/src/mapping/mod.rs
+++ b/crates/tallygauge-scheduler/src/mapping/mod.rs
@@ -101,7 +101,7 @@
 
     /// Earliest time at which a task's retry backoff ends, as of the last round.
     #[must_use]
-    pub fn next_wake(&self) -> Option<f64> {
+    pub fn next_backoff_end(&self) -> Option<f64> {
         self.next_backoff_end
     }
 
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -82,7 +82,7 @@
 /// for the round interval.
 fn time_to_next_wake(controller: &Controller, round_interval_s: f64) -> Duration {
     let next_wake = controller
-        .with_cluster(|cluster| cluster.next_wake())
+        .with_cluster(|cluster| cluster.next_backoff_end())
         .flatten();
     let wait_s = next_wake.map_or(round_interval_s, |wake_at| {
         (wake_at - controller.now()).clamp(MIN_WAKE_S, round_interval_s)
