--- a/crates/tallygauge-scheduler/src/mapping/utility.rs
+++ b/crates/tallygauge-scheduler/src/mapping/utility.rs
@@ -60,7 +60,7 @@
     /// Remaining run time of a running attempt. One that exceeds its expected run
     /// time is expected to run on for half of the time it has run, so that it
     /// does not look almost done for ever.
-    pub(crate) fn remaining_running_s(&self, attempt: &Attempt, now: f64) -> f64 {
+    pub(crate) fn attempt_remaining_s(&self, attempt: &Attempt, now: f64) -> f64 {
         let expected_s = self.expected_run_s(&attempt.spec);
         let ran_s = attempt.checkpointed_s + attempt.run_time_s(now);
         let remaining_s = expected_s - ran_s;
@@ -73,7 +73,7 @@
 
     /// Utility per time of a running attempt; 0 if its job is not open.
     pub(crate) fn upt_running(&self, attempt: &Attempt, now: f64) -> f64 {
-        let remaining_s = self.remaining_running_s(attempt, now);
+        let remaining_s = self.attempt_remaining_s(attempt, now);
         match self.jobs.get(&attempt.spec.id) {
             Some(job) => self.utility(job, now + remaining_s * 0.5) / remaining_s,
             None => 0.0,
--- a/crates/tallygauge-scheduler/src/minimum_share/reservations.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/reservations.rs
@@ -67,7 +67,7 @@
             let attempts = worker.attempts.iter().filter(|a| a.occupies_capacity());
             attempts
                 .filter(|a| !claims.contains_key(&a.spec.id))
-                .map(|a| a.spec.cpus * self.remaining_running_s(a, now))
+                .map(|a| a.spec.cpus * self.attempt_remaining_s(a, now))
                 .sum::<f64>()
         };
         let mut machines: Vec<MachineLoad> = self
--- a/crates/tallygauge-scheduler/src/start_deadline/reservations.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/reservations.rs
@@ -95,7 +95,7 @@
         let attempts = worker.attempts.iter().filter(|a| a.occupies_capacity());
         let mut ends: Vec<ExpectedEnd> = attempts
             .map(|attempt| ExpectedEnd {
-                after_s: self.remaining_running_s(attempt, now),
+                after_s: self.attempt_remaining_s(attempt, now),
                 attempt,
             })
             .collect();
