--- a/crates/tallygauge-scheduler/src/tests/minimum_share.rs
+++ b/crates/tallygauge-scheduler/src/tests/minimum_share.rs
@@ -3,11 +3,11 @@
 use super::*;
 use crate::minimum_share::state::PriorityClaim;
 
-/// Plain model with priority claims: as long as jobs with a claim may use more CPUs,
+/// Reference model with priority claims: as long as jobs with a claim may use more CPUs,
 /// scores all of them and starts a task of the class that uses the fewest; then all
 /// others by utility per time.
 fn plain_with_claims(cluster: &ClusterState, now: f64) -> Vec<(String, u32, String)> {
-    let mut model = Plain::new(cluster, now);
+    let mut model = ReferenceModel::new(cluster, now);
     let usable = || {
         cluster
             .workers
@@ -41,7 +41,7 @@
     while cpus_left > 0.0 {
         // Claims for the minimum share are before others.
         let best = model
-            .waiting
+            .pending
             .iter()
             .enumerate()
             .filter(|(_, (id, _))| !unplaceable.contains(id))
@@ -76,7 +76,7 @@
         model.start(at, name);
     }
     model.place_by_upt();
-    model.out
+    model.placements
 }
 
 /// Which jobs have a claim and whether it is for the minimum share, which machines are
@@ -96,15 +96,15 @@
     // Holds for any claims and reservations; without any the mapping is that without a
     // minimum share.
     #[test]
-    fn mapping_with_claims_equals_plain_model(
+    fn mapping_with_claims_equals_reference_model(
         jobs in prop::collection::vec(any_job(), 1..12), (claims, reserved, machine_share) in any_claims(),
     ) {
-        let names = fleet(10);
+        let names = mixed_machine_names(10);
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut cluster = cluster(&names, 100.0);
         for team in &mut cluster.config.teams { team.max_cpus = 60.0; }
         for (n, job) in jobs.into_iter().enumerate() {
-            let mut spec = spec_of(n, job, 2);
+            let mut spec = generated_spec(n, job, 2);
             spec.class = format!("class-{}", n % 3);
             cluster.add_job(spec, 1, 5.0 * n as f64, &RangeSet::default());
         }
@@ -116,7 +116,7 @@
             spec.class = format!("class-{}", n % 3);
             cluster.add_job(spec, 1, 60.0 + n as f64, &RangeSet::default());
         }
-        let without = plain(&cluster, 101.0);
+        let without = reference_placements(&cluster, 101.0);
         prop_assert_eq!(plain_with_claims(&cluster, 101.0), without);
         let ids: Vec<String> = cluster.jobs.keys().cloned().collect();
         for (order, (id, (claimed, for_min_share))) in (0..).zip(ids.iter().zip(claims)) {
--- a/crates/tallygauge-scheduler/src/tests/mod.rs
+++ b/crates/tallygauge-scheduler/src/tests/mod.rs
@@ -7,16 +7,16 @@
 mod minimum_share;
 mod pending_reasons;
 mod placement_batches;
-mod plain_model;
 mod preemption;
 mod reachability;
 mod reconciliation;
 mod recovery;
+mod reference_model;
 mod start_deadline;
 
 use crate::{mapping::TaskGroup, *};
-use plain_model::*;
 use proptest::prelude::*;
+use reference_model::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tallygauge_protocol::{
     cloud::{Machine, MachineState, MachineType},
--- a/crates/tallygauge-scheduler/src/tests/placement_batches.rs
+++ b/crates/tallygauge-scheduler/src/tests/placement_batches.rs
@@ -26,7 +26,7 @@
 fn placements_of_a_round_are_restored_from_their_batches() {
     // However they are split into records, each holds to its limits, and a new
     // leader finds every attempt where it was placed.
-    let names = fleet(30);
+    let names = mixed_machine_names(30);
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut c = cluster(&names, 100.0);
     c.config.teams[0].max_cpus = 500.0;
--- a/crates/tallygauge-scheduler/src/tests/plain_model.rs
+++ b/crates/tallygauge-scheduler/src/tests/reference_model.rs
@@ -4,29 +4,29 @@
 
 /// Greedy placement by utility per time: scores every pending task on every machine,
 /// places the best pair, and starts over.
-pub(super) fn plain(cluster: &ClusterState, now: f64) -> Vec<(String, u32, String)> {
-    let mut model = Plain::new(cluster, now);
+pub(super) fn reference_placements(cluster: &ClusterState, now: f64) -> Vec<(String, u32, String)> {
+    let mut model = ReferenceModel::new(cluster, now);
     model.place_by_upt();
-    model.out
+    model.placements
 }
 
-/// State of the plain model.
-pub(super) struct Plain<'a> {
+/// State of the reference model.
+pub(super) struct ReferenceModel<'a> {
     pub(super) cluster: &'a ClusterState,
     pub(super) now: f64,
     pub(super) free: BTreeMap<String, Resources>,
     pub(super) workers: HashMap<String, Worker>,
     /// CPUs that attempts use, by team.
     pub(super) cpus_used: Vec<f64>,
-    pub(super) waiting: Vec<(String, u32)>,
+    pub(super) pending: Vec<(String, u32)>,
     pub(super) largest: f64,
     pub(super) contended: f64,
     /// The task that is placed is the overdue first one of its job.
     pub(super) is_overdue_start: bool,
-    pub(super) out: Vec<(String, u32, String)>,
+    pub(super) placements: Vec<(String, u32, String)>,
 }
 
-impl<'a> Plain<'a> {
+impl<'a> ReferenceModel<'a> {
     pub(super) fn new(cluster: &'a ClusterState, now: f64) -> Self {
         let usable = cluster
             .workers
@@ -39,7 +39,7 @@
                 .map(|h| h.spec.cpus)
                 .sum()
         };
-        let waiting = cluster.jobs.values().flat_map(|j| {
+        let pending = cluster.jobs.values().flat_map(|j| {
             let tasks = j.pending.iter().map(|i| (j.spec.id.clone(), i));
             tasks.collect::<Vec<_>>()
         });
@@ -49,11 +49,11 @@
             free: usable.map(|w| (w.name.clone(), w.free_resources)).collect(),
             workers: cluster.workers.clone().into_iter().collect(),
             cpus_used: cluster.config.teams.iter().map(team).collect(),
-            waiting: waiting.collect(),
+            pending: pending.collect(),
             largest: types().iter().map(|t| t.cpus).fold(0.0, f64::max),
             contended: cluster.contended_cpus(&cluster.pending_groups(now).groups),
             is_overdue_start: false,
-            out: Vec::new(),
+            placements: Vec::new(),
         }
     }
 
@@ -107,7 +107,7 @@
     }
 
     pub(super) fn start(&mut self, at: usize, name: String) {
-        let (id, index) = self.waiting.remove(at);
+        let (id, index) = self.pending.remove(at);
         let job = &self.cluster.jobs[&id];
         self.cpus_used[job.team] += job.spec.cpus;
         let free = self.free.get_mut(&name).unwrap();
@@ -117,14 +117,14 @@
         let t = types();
         let t = t.iter().find(|t| t.name == w.machine_type).unwrap();
         w.images.request(&job.spec, t, self.now);
-        self.out.push((id, index, name));
+        self.placements.push((id, index, name));
     }
 
     pub(super) fn place_by_upt(&mut self) {
         let within = self.cluster.jobs_within_guarantee();
         loop {
             let mut best: Option<(bool, f64, f64, usize, String)> = None;
-            for (at, (id, _)) in self.waiting.iter().enumerate() {
+            for (at, (id, _)) in self.pending.iter().enumerate() {
                 let Some((upt, name)) = self.best_machine(id) else {
                     continue;
                 };
@@ -157,7 +157,7 @@
 pub(super) type GeneratedJob = (u32, u32, u8, u8, f64, bool, bool, Option<f64>);
 
 /// Specification of a generated job, with a multiple of its tasks.
-pub(super) fn spec_of(number: usize, job: GeneratedJob, times: u32) -> JobSpec {
+pub(super) fn generated_spec(number: usize, job: GeneratedJob, times: u32) -> JobSpec {
     let (tasks, cpus, priority, image, expected, blue, spot, deadline) = job;
     let mut s = spec(number, tasks * times, f64::from(cpus) * 0.5);
     s.priority = [
@@ -192,13 +192,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn mapping_equals_plain_model(jobs in prop::collection::vec(any_job(), 1..9), machines in 1usize..7) {
+    fn mapping_equals_reference_model(jobs in prop::collection::vec(any_job(), 1..9), machines in 1usize..7) {
         let names = ["sa", "l1a", "l2b", "ssa", "s3b", "l4a"];
         let mut cluster = cluster(&names[..machines], 100.0);
         for (n, job) in jobs.into_iter().enumerate() {
-            cluster.add_job(spec_of(n, job, 1), 1, 10.0 * n as f64, &RangeSet::default());
+            cluster.add_job(generated_spec(n, job, 1), 1, 10.0 * n as f64, &RangeSet::default());
         }
-        let expected = plain(&cluster, 100.0);
+        let expected = reference_placements(&cluster, 100.0);
         cluster.run_round(100.0, false);
         let mut real: Vec<(u64, (String, u32, String))> = cluster.workers.values().flat_map(|w| w.attempts.iter().map(|h| (h.number, (h.spec.id.clone(), h.index, w.name.clone())))).collect();
         real.sort();
@@ -258,7 +258,7 @@
 }
 
 /// Names of machines of both types and zones, spot and on-demand.
-pub(super) fn fleet(count: usize) -> Vec<String> {
+pub(super) fn mixed_machine_names(count: usize) -> Vec<String> {
     let kinds = ["s{}a", "s{}b", "l{}a", "l{}b", "ss{}a", "ls{}b"];
     (0..count)
         .map(|n| kinds[n % kinds.len()].replace("{}", &n.to_string()))
@@ -269,15 +269,15 @@
     #![proptest_config(ProptestConfig { cases: 12, rng_seed: proptest::test_runner::RngSeed::Fixed(23), failure_persistence: None, ..ProptestConfig::default() })]
     // The candidate heaps must not drift from the plain order after many placements.
     #[test]
-    fn mapping_equals_plain_model_on_larger_cluster(jobs in prop::collection::vec(any_job(), 20..30)) {
-        let names = fleet(40);
+    fn mapping_equals_reference_model_on_larger_cluster(jobs in prop::collection::vec(any_job(), 20..30)) {
+        let names = mixed_machine_names(40);
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut cluster = cluster(&names, 100.0);
         for team in &mut cluster.config.teams { team.max_cpus = 120.0; }
         for (n, job) in jobs.into_iter().enumerate() {
-            cluster.add_job(spec_of(n, job, 2), 1, 3.0 * n as f64, &RangeSet::default());
+            cluster.add_job(generated_spec(n, job, 2), 1, 3.0 * n as f64, &RangeSet::default());
         }
-        let expected = plain(&cluster, 100.0);
+        let expected = reference_placements(&cluster, 100.0);
         prop_assert!(expected.len() > 50);
         cluster.run_round(100.0, false);
         let mut real: Vec<(u64, (String, u32, String))> = cluster.workers.values().flat_map(|w| w.attempts.iter().map(|h| (h.number, (h.spec.id.clone(), h.index, w.name.clone())))).collect();
--- a/crates/tallygauge-scheduler/src/tests/start_deadline.rs
+++ b/crates/tallygauge-scheduler/src/tests/start_deadline.rs
@@ -5,11 +5,11 @@
 
 const BOUND: f64 = 240.0;
 
-/// Plain model with start claims: jobs whose first task is overdue get one task each
+/// Reference model with start claims: jobs whose first task is overdue get one task each
 /// on the best machine, in the order of their acceptance; then all others are placed
 /// by utility per time, without what is reserved.
 fn plain_with_start_claims(cluster: &ClusterState, now: f64) -> Vec<(String, u32, String)> {
-    let mut model = Plain::new(cluster, now);
+    let mut model = ReferenceModel::new(cluster, now);
     let mut claims: Vec<(&String, &crate::start_deadline::state::StartClaim)> =
         cluster.start_deadlines.claims.iter().collect();
     claims.retain(|t| {
@@ -18,7 +18,7 @@
     claims.sort_by_key(|t| t.1.order);
     for (id, _) in claims {
         let job = &cluster.jobs[id];
-        let Some(at) = model.waiting.iter().position(|w| w.0 == *id) else {
+        let Some(at) = model.pending.iter().position(|w| w.0 == *id) else {
             continue;
         };
         let max_cpus = cluster.config.teams[job.team].max_cpus;
@@ -50,7 +50,7 @@
     near.sort_by_key(|t| t.1.order);
     for (id, _) in near.into_iter().filter(|t| t.1.near_deadline) {
         while left > 0.0
-            && let Some(at) = model.waiting.iter().position(|w| w.0 == *id)
+            && let Some(at) = model.pending.iter().position(|w| w.0 == *id)
             && let Some((_, name)) = model.best_machine(id)
         {
             model.start(at, name);
@@ -58,26 +58,26 @@
         }
     }
     model.place_by_upt();
-    model.out
+    model.placements
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, rng_seed: proptest::test_runner::RngSeed::Fixed(53), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn mapping_with_start_claims_equals_plain_model(
+    fn mapping_with_start_claims_equals_reference_model(
         jobs in prop::collection::vec((any_job(), 0.0f64..200.0), 2..14),
     ) {
-        let names = fleet(6);
+        let names = mixed_machine_names(6);
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut cluster = cluster(&names, 200.0);
         for team in &mut cluster.config.teams { team.max_cpus = 24.0; }
         let (first, later) = jobs.split_at(jobs.len() / 2);
         for (n, (job, at)) in first.iter().enumerate() {
-            cluster.add_job(spec_of(n, *job, 2), 1, *at, &RangeSet::default());
+            cluster.add_job(generated_spec(n, *job, 2), 1, *at, &RangeSet::default());
         }
         round(&mut cluster, 200.0);
         for (n, (job, at)) in later.iter().enumerate() {
-            cluster.add_job(spec_of(20 + n, *job, 2), 1, *at, &RangeSet::default());
+            cluster.add_job(generated_spec(20 + n, *job, 2), 1, *at, &RangeSet::default());
         }
         cluster.select_underserved(201.0);
         cluster.minimum_share.claims.clear();
