--- a/crates/tallygauge-scheduler/src/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/image_locality.rs
@@ -1,28 +1,29 @@
-//! Image locality: which machines have which images cached, recorded for the next
-//! leader, and the spread of a service's replicas.
+//! Image locality: records for the next leader which machines have which images cached,
+//! and counts a service's replicas for their spread over machines and zones.
 
 use crate::{cluster_state::ClusterState, model::*};
 use std::collections::BTreeMap;
 use tallygauge_locality::{CachedImage, ImageIndex, ImageLocations, ReplicaCounts};
 use tallygauge_protocol::users::Shape;
 
-/// Fetch rate of a machine whose type is not known, GB/s.
+/// Assumed fetch rate of a machine whose type is not known, GB/s.
 const DEFAULT_FETCH_GB_PER_S: f64 = 1.0;
 
-/// Lowest fetch rate that is reckoned with, GB/s.
+/// Lower bound of the fetch rate in estimates, GB/s.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 impl ClusterState {
-    /// Restores a shard of the image locations that an earlier leader recorded. To be
-    /// called before machines are registered. Returns how many images could not be
-    /// read.
+    /// Restores a shard of the image locations that an earlier leader recorded. Must be
+    /// called before the machines are registered. Returns the number of images that were
+    /// skipped because their entry is corrupt.
     pub fn restore_image_locations(&mut self, shard: &ImageLocations) -> usize {
         self.image_index.restore(shard)
     }
 
-    /// The expected image locations, to be recorded for the next leader: at most
-    /// `max_shards` shards of `shard_bytes`, without images that a machine fetches in
-    /// less than `min_fetch_s`.
+    /// The images that machines are believed to have cached, to be recorded for the next
+    /// leader: at most `max_shards` shards of at most `shard_bytes` bytes each. Left out
+    /// are machines that are to be returned, images still being fetched, and images that
+    /// a machine fetches in less than `min_fetch_s` seconds.
     #[must_use]
     pub fn image_locations(
         &self,
@@ -37,8 +38,8 @@
                 .map_or(DEFAULT_FETCH_GB_PER_S, |t| t.fetch_gb_per_s)
                 .max(MIN_FETCH_GB_PER_S);
             let cached = worker.images.cached.iter();
-            let fetched = cached.filter(|i| !worker.images.fetching.contains_key(&i.0));
-            images.extend(fetched.map(|(image, gb)| CachedImage {
+            let fully_fetched = cached.filter(|i| !worker.images.fetching.contains_key(&i.0));
+            images.extend(fully_fetched.map(|(image, gb)| CachedImage {
                 machine: &worker.name,
                 image,
                 gb: *gb,
@@ -49,14 +50,14 @@
     }
 }
 
-/// Whether a job has replicas that should not fail together.
+/// Whether a job has several replicas, which should not all fail together.
 pub(crate) fn is_replicated(job: &Job) -> bool {
     job.spec.shape == Shape::Service && job.spec.tasks > 1
 }
 
-/// Replicas that a further one would share a zone with, given the replicas by zone
-/// and the number of zones that it may be in.
-pub(crate) fn replica_counts_in(
+/// Counts of a job's replicas that decide the cost of placing another one in `zone`.
+/// `zone_count` is the number of zones that the job may use.
+pub(crate) fn replica_counts_for_zone(
     replicas_by_zone: &BTreeMap<String, u32>,
     zone: &str,
     zone_count: u32,
--- a/crates/tallygauge-scheduler/src/lib.rs
+++ b/crates/tallygauge-scheduler/src/lib.rs
@@ -1,8 +1,10 @@
-//! Pure scheduling: no input or output, no clock, nothing asynchronous.
+//! The scheduler as a pure state machine: it does no I/O, reads no clock and has no
+//! asynchronous code.
 //!
-//! [`ClusterState`] is the leader's model of the cluster. Heartbeats, machine lists
-//! and responses change it, the time is an argument, and decisions are returned as
-//! values: placements to make durable, commands, machines to rent or return.
+//! [`ClusterState`] is the leader's model of the cluster. Callers feed it heartbeats,
+//! machine lists and responses, and pass the current time as an argument. It returns
+//! its decisions as values: placements to make durable, commands to send to workers,
+//! and machines to rent or return.
 
 mod attempt_accounting;
 mod batch_deadlines;
--- a/crates/tallygauge-scheduler/src/mapping/mod.rs
+++ b/crates/tallygauge-scheduler/src/mapping/mod.rs
@@ -1,12 +1,18 @@
-//! Maps pending tasks to workers (Max UPT Preempt Greedy): which task starts
-//! where, and which running tasks are preempted for it.
+//! Maps pending tasks to workers with the Max UPT Preempt Greedy heuristic: decides
+//! which task starts on which worker, and which running tasks are preempted for it.
 //!
 //! Tasks are placed in the order of their utility per time (UPT, see
-//! [`utility`]). A round is computed on the unchanged cluster state, with its
-//! own changes kept in [`round_state::Round`], and applied to the state at the
-//! end. The modules depend on each other in one direction: `round_state` holds
-//! the data, `round_setup` fills it in, `candidates` finds free slots,
-//! `preemption` frees slots, and `round` runs the phases.
+//! [`utility`]). While a scheduling round is computed, the cluster state stays
+//! unchanged and the round's own changes are kept in [`round_state::Round`]; its
+//! decisions are applied to the cluster state at the end.
+//!
+//! The modules, each of which depends only on earlier ones:
+//! - `utility` and `ordering`: utility per time, and the order of tasks and slots;
+//! - `round_state`: the data of a round;
+//! - `round_setup`: fills in that data from the cluster state;
+//! - `candidates`: finds free slots for tasks;
+//! - `preemption`: selects running attempts to stop, to free slots;
+//! - `round`: runs the phases of a round.
 
 mod candidates;
 mod ordering;
@@ -24,42 +30,44 @@
 pub struct RoundOutcome {
     /// Tasks placed.
     pub placed: usize,
-    /// Attempts marked to be preempted.
+    /// Attempts marked for preemption.
     pub preempted: usize,
 }
 
-/// Tasks of one job that are alike to the scheduler.
+/// Pending tasks of one job that are interchangeable to the scheduler.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TaskGroup<'a> {
     pub(crate) job: &'a Job,
-    /// A single task with a checkpoint or a retry restriction; `None`: all pending
-    /// tasks of the job that have neither.
+    /// The only task of the group, if it has a checkpoint or a retry restriction (a
+    /// backoff or a machine to avoid). `None`: the group consists of all pending tasks
+    /// of the job that have neither.
     pub(crate) resumable: Option<&'a ResumableTask>,
 }
 
-/// What waits to be placed.
+/// Pending tasks, as groups.
 pub(crate) struct PendingTasks<'a> {
-    /// Groups that may start now, in the order of their jobs' ids.
+    /// Groups whose tasks may start now, ordered by job id.
     pub(crate) groups: Vec<TaskGroup<'a>>,
-    /// When the next task's retry backoff ends.
+    /// Earliest end of a retry backoff among the tasks that may not start yet.
     pub(crate) next_backoff_end: Option<f64>,
 }
 
 impl TaskGroup<'_> {
-    /// Seconds of run time that are checkpointed, if a checkpoint can be used on
-    /// this machine type.
-    fn checkpoint_on(&self, machine_type: &str) -> f64 {
+    /// Run time saved in the group's checkpoint, in seconds, if the checkpoint can be
+    /// used on this machine type; otherwise 0.
+    fn checkpointed_s_on(&self, machine_type: &str) -> f64 {
         self.resumable
             .filter(|r| r.machine_type.as_deref() == Some(machine_type))
             .map_or(0.0, |r| r.checkpointed_s)
     }
 
-    /// Seconds of run time that are checkpointed, for whichever machine type.
+    /// Run time saved in the group's checkpoint, in seconds, regardless of the machine
+    /// type that the checkpoint is for.
     pub(crate) fn checkpointed_s(&self) -> f64 {
         self.resumable.map_or(0.0, |r| r.checkpointed_s)
     }
 
-    /// How many pending tasks it has.
+    /// Number of pending tasks in the group.
     pub(crate) fn task_count(&self) -> u32 {
         match self.resumable {
             Some(_) => 1,
@@ -69,7 +77,7 @@
 }
 
 impl ClusterState {
-    /// All groups of pending tasks that may start now, and when the next backoff
+    /// All groups of pending tasks that may start now, and when the next retry backoff
     /// ends.
     pub(crate) fn pending_groups(&self, now: f64) -> PendingTasks<'_> {
         let mut groups = Vec::new();
@@ -89,7 +97,8 @@
                     });
                 } else {
                     let end = resumable.not_before;
-                    next_backoff_end = Some(next_backoff_end.map_or(end, |e| e.min(end)));
+                    next_backoff_end =
+                        Some(next_backoff_end.map_or(end, |earliest| earliest.min(end)));
                 }
             }
         }
@@ -99,14 +108,15 @@
         }
     }
 
-    /// Earliest time at which a task's retry backoff ends, as of the last round.
+    /// Earliest time at which a task's retry backoff ends, as found by the last
+    /// scheduling round.
     #[must_use]
     pub fn next_backoff_end(&self) -> Option<f64> {
         self.next_backoff_end
     }
 
-    /// Runs one scheduling round: places pending tasks as `Planned`, and, if
-    /// `preempt` is set, marks running ones to be preempted.
+    /// Runs one scheduling round: adds `Planned` attempts for pending tasks, and, if
+    /// `preempt` is set, marks running attempts for preemption.
     pub fn run_round(&mut self, now: f64, preempt: bool) -> RoundOutcome {
         let PendingTasks {
             groups,
@@ -132,29 +142,33 @@
         }
     }
 
-    /// Marks an attempt to be stopped for another job.
+    /// Requests the stop of a running attempt in favor of another job.
     fn preempt(&mut self, stop: &PlannedStop, now: f64) {
         let PlannedStop {
-            worker: name,
-            attempt: number,
-            preemptor: newcomer,
+            worker: worker_name,
+            attempt: attempt_number,
+            preemptor: preemptor_job,
         } = stop;
-        let Some(worker) = self.workers.get_mut(name) else {
+        let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        for attempt in worker.attempts.iter_mut().filter(|a| a.number == *number) {
+        for attempt in worker
+            .attempts
+            .iter_mut()
+            .filter(|a| a.number == *attempt_number)
+        {
             attempt.request_stop(StopReason::Preempted, now);
             self.events.push(ClusterEvent::AttemptPreempted {
                 task: attempt.task_name(),
-                machine: name.clone(),
-                preempted_by: newcomer.clone(),
+                machine: worker_name.clone(),
+                preempted_by: preemptor_job.clone(),
             });
         }
-        self.needs_direct_message.insert(name.clone());
+        self.needs_direct_message.insert(worker_name.clone());
     }
 
-    /// Adds a planned attempt to its worker, to be made durable with the next
-    /// placement batch.
+    /// Adds a planned attempt to its worker. It becomes durable with the next placement
+    /// batch.
     fn place(&mut self, start: &PlannedStart, now: f64) {
         let number = self.next_attempt();
         let Some(job) = self.jobs.get(&start.job) else {
@@ -170,15 +184,15 @@
         let mut attempt = Attempt::new(spec, start.task, number, worker.incarnation, now);
         attempt.checkpointed_s = start.checkpointed_s;
         self.add_attempt(&start.worker, attempt);
-        self.log_if_fully_placed(&start.job, now);
+        self.record_if_fully_placed(&start.job, now);
         self.unbatched_attempts.push(UnbatchedAttempt {
             worker: start.worker.clone(),
             attempt: number,
         });
     }
 
-    /// Records an event if no task of the job is pending any more.
-    fn log_if_fully_placed(&mut self, id: &str, now: f64) {
+    /// Records a `JobPlaced` event if no task of the job is pending any more.
+    fn record_if_fully_placed(&mut self, id: &str, now: f64) {
         if let Some(job) = self.jobs.get(id)
             && !job.has_pending_tasks()
         {
--- a/crates/tallygauge-scheduler/src/mapping/ordering.rs
+++ b/crates/tallygauge-scheduler/src/mapping/ordering.rs
@@ -1,13 +1,17 @@
-//! Orders of what a round looks at: pending tasks, and slots in a heap.
+//! Sort orders of a scheduling round: of pending tasks, and of slots in a heap.
 
 use std::cmp::Ordering;
 
-/// Order in which pending tasks are placed: tasks within their team's guarantee
-/// first, then by utility per time, then by age. The greatest is placed first.
+/// Sort key of pending tasks; the task with the greatest key is placed first.
+///
+/// Compared in this order:
+/// 1. tasks of jobs within their team's guarantee come before all others;
+/// 2. the higher utility per time comes first;
+/// 3. the job accepted earlier comes first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct PlacementOrder {
     pub(crate) within_guarantee: bool,
-    /// Utility per time, in 1/s.
+    /// Utility per time, in utility units per second.
     pub(crate) upt: f64,
     pub(crate) accepted_at: f64,
 }
@@ -29,15 +33,16 @@
     }
 }
 
-/// A slot and its cost. The order is reversed, so that a heap yields the cheapest
-/// slot first.
+/// A slot and its cost. The order is reversed, so that a `BinaryHeap`, a max-heap,
+/// yields the cheapest slot first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct SlotCost {
+    /// Seconds for a candidate slot, utility per time for a preemption.
     pub(super) cost: f64,
     /// Index into the round's slots.
     pub(super) slot: usize,
-    /// The slot's version when the cost was computed; a later one means that the
-    /// cost is stale.
+    /// The slot's version when the cost was computed. The cost is stale if the slot's
+    /// version has increased since.
     pub(super) version: u32,
 }
 
--- a/crates/tallygauge-scheduler/src/mapping/preemption.rs
+++ b/crates/tallygauge-scheduler/src/mapping/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: which running attempts are stopped for a pending task.
+//! Preemption: selects running attempts to stop so that pending tasks can start.
 
 use super::{
     ordering::SlotCost,
@@ -8,17 +8,20 @@
 use std::collections::{BinaryHeap, HashSet};
 use tallygauge_protocol::{users::Shape, workers::TaskState};
 
-/// What a pending task would gain on a slot.
+/// Utility of a pending task on a slot, and the time it takes to get it.
 #[derive(Clone, Copy)]
 struct ExpectedGain {
     utility: f64,
-    /// Seconds until its end.
+    /// Seconds until the task would end if it were started now.
     time_s: f64,
 }
 
 impl ClusterState {
-    /// Whether an attempt may be preempted at all: it runs, it saves checkpoints,
-    /// and its job has no priority itself.
+    /// Whether an attempt may be preempted at all. All of these must hold:
+    /// - it runs and is not being stopped;
+    /// - it is a task of an array and saves checkpoints;
+    /// - its job has no priority claim;
+    /// - it is not protected by its job's start deadline.
     fn is_preemptible(&self, attempt: &Attempt) -> bool {
         attempt.stop.is_none()
             && attempt.phase == AttemptPhase::Observed(TaskState::Running)
@@ -28,8 +31,8 @@
             && !self.is_protected_start(attempt)
     }
 
-    /// The attempts on a worker that may be preempted, lowest utility per time
-    /// first.
+    /// The attempts on a worker that may be preempted, sorted by ascending utility per
+    /// time.
     fn victims_on<'a>(
         &self,
         worker: &'a Worker,
@@ -40,7 +43,7 @@
         let mut victims: Vec<Victim> = preemptible
             .filter_map(|attempt| {
                 Some(Victim {
-                    upt: self.upt_running(attempt, now),
+                    upt: self.running_upt(attempt, now),
                     attempt,
                     team: self.config.team_index(&attempt.spec.team)?,
                     within_guarantee: within_guarantee.contains(attempt.spec.id.as_str()),
@@ -56,7 +59,8 @@
 }
 
 impl<'a> Round<'a> {
-    /// Fills in the victims of all slots.
+    /// Fills in the victims of all slots, and the lowest utility per time among them by
+    /// priority and team.
     pub(super) fn find_victims(&mut self) {
         let within_guarantee = self.cluster.jobs_within_guarantee();
         for slot in &mut self.slots {
@@ -64,14 +68,15 @@
                 .cluster
                 .victims_on(slot.worker, &within_guarantee, self.now);
             for victim in &slot.victims {
-                let group = (victim.attempt.spec.priority, victim.team);
-                let min_upt = self.victim_groups.entry(group).or_insert(f64::MAX);
+                let key = (victim.attempt.spec.priority, victim.team);
+                let min_upt = self.min_victim_upt.entry(key).or_insert(f64::MAX);
                 *min_upt = min_upt.min(victim.upt);
             }
         }
     }
 
-    /// Whether a team uses more than its guarantee, without what is being stopped.
+    /// Whether a team uses more than its guarantee, not counting attempts that are being
+    /// stopped.
     fn exceeds_guarantee(&self, team_index: usize) -> bool {
         let team = &self.cluster.config.teams[team_index];
         let usage = &self.quota_usage[team_index];
@@ -80,8 +85,9 @@
             || usage.gpus - released.gpus > team.guaranteed_gpus + EPSILON
     }
 
-    /// Utility per time of the victims that would be preempted on a slot for a task
-    /// of the group; `None` if that would not free enough.
+    /// Sum of the utility per time of the victims that would be preempted on a slot for
+    /// a task of the group; `None` if there are no victims, the slot is not allowed, or
+    /// preemption would not free enough resources.
     fn preemption_cost(&self, pending: &PendingGroup, slot_index: usize) -> Option<f64> {
         let slot = &self.slots[slot_index];
         let spec = &pending.group.job.spec;
@@ -89,7 +95,7 @@
             return None;
         }
         let gain = self.expected_gain(pending, slot_index);
-        let mut available = slot.available_after_preemption;
+        let mut available = slot.free_after_stops;
         let mut cost = 0.0;
         for victim in &slot.victims {
             if available.can_fit(spec) {
@@ -103,64 +109,72 @@
         available.can_fit(spec).then_some(cost)
     }
 
+    /// What a task of the group would gain on a slot.
     fn expected_gain(&self, pending: &PendingGroup, slot_index: usize) -> ExpectedGain {
         let group = &pending.group;
-        let machine_type = self.types[self.slots[slot_index].type_index];
-        let checkpointed_s = group.checkpoint_on(&machine_type.name);
-        let time_s = self.completion_time_s(pending.job_index, checkpointed_s, slot_index);
+        let machine_type = self.machine_types[self.slots[slot_index].type_index];
+        let checkpointed_s = group.checkpointed_s_on(&machine_type.name);
+        let time_s = self.time_to_completion_s(pending.job_index, checkpointed_s, slot_index);
         ExpectedGain {
             utility: self.cluster.utility(group.job, self.now + time_s * 0.5),
             time_s,
         }
     }
 
-    /// Whether a victim may be preempted for a task of the group: it has a lower
-    /// priority and a lower utility per time, or it runs beyond its team's guarantee
-    /// while the task is within its own team's.
+    /// Whether a victim may be preempted for a task of the group, in one of two cases:
+    /// - the victim has a lower priority and a lower utility per time than the task;
+    /// - the task is within its own team's guarantee, and the victim belongs to another
+    ///   team that exceeds its guarantee.
+    ///
+    /// In both cases, a victim of another team is protected if its job is within its
+    /// team's guarantee or its team does not exceed the guarantee.
     fn may_preempt(&self, pending: &PendingGroup, victim: &Victim, gain: ExpectedGain) -> bool {
         let job = pending.group.job;
         let is_same_team = victim.team == job.team;
-        let is_borrowing = self.exceeds_guarantee(victim.team);
-        // The victim writes a checkpoint first.
+        let exceeds_guarantee = self.exceeds_guarantee(victim.team);
+        // The task can start only after the victim has written a checkpoint.
         let upt = gain.utility / (gain.time_s + victim.attempt.spec.checkpoint_s);
-        let is_protected = !is_same_team && (victim.within_guarantee || !is_borrowing);
-        let is_lower = victim.attempt.spec.priority < job.spec.priority && victim.upt < upt;
+        let is_protected = !is_same_team && (victim.within_guarantee || !exceeds_guarantee);
+        let is_less_valuable = victim.attempt.spec.priority < job.spec.priority && victim.upt < upt;
         let reclaims_guarantee = self.jobs[pending.job_index].within_guarantee
             && !is_same_team
-            && is_borrowing
+            && exceeds_guarantee
             && !victim.within_guarantee;
-        !is_protected && (is_lower || reclaims_guarantee)
+        !is_protected && (is_less_valuable || reclaims_guarantee)
     }
 
-    /// Whether any victim at all may be preempted for the group, by the highest
-    /// utility per time that it can reach.
+    /// Whether any victim might be preempted for the group. An optimistic check by
+    /// priority, team and the highest utility per time that the group can reach, so that
+    /// slots need not be looked at one by one if the answer is no.
     pub(super) fn has_preemptible(&self, pending: &PendingGroup) -> bool {
         let job = pending.group.job;
         let within_guarantee = self.jobs[pending.job_index].within_guarantee;
-        let max_upt = self.max_upt(pending);
-        self.victim_groups.iter().any(|(&(priority, team), upt)| {
-            (priority < job.spec.priority && *upt < max_upt)
+        let upt_upper_bound = self.upt_upper_bound(pending);
+        self.min_victim_upt.iter().any(|(&(priority, team), upt)| {
+            (priority < job.spec.priority && *upt < upt_upper_bound)
                 || (within_guarantee && team != job.team && self.exceeds_guarantee(team))
         })
     }
 
-    /// Utility per time that the group's tasks can't exceed on any machine: the full
-    /// utility over what is left to run.
-    fn max_upt(&self, pending: &PendingGroup) -> f64 {
+    /// Upper bound of the utility per time of the group's tasks on any machine: the
+    /// utility of ending now over the remaining run time.
+    fn upt_upper_bound(&self, pending: &PendingGroup) -> f64 {
         let remaining_s = self.remaining_s(pending.job_index, pending.group.checkpointed_s());
         self.cluster.utility(pending.group.job, self.now) / remaining_s
     }
 
-    /// Reserves slots that are being freed for tasks of the group, and preempts
-    /// running attempts for those still without one, cheapest first. `headroom` is
-    /// how many tasks the team's limit allows. Done once a round for all pending
-    /// tasks of a job.
+    /// Reserves resources that are being freed for tasks of the group's job, and then
+    /// preempts running attempts, on the cheapest slots first, for the tasks that are
+    /// left without a reservation.
+    ///
+    /// `headroom` is the number of tasks that the team's limit allows. Done once per
+    /// round and job, for all of the job's pending tasks.
     pub(super) fn preempt_for(&mut self, pending: &PendingGroup<'a>, headroom: usize) {
         let job_index = pending.job_index;
         if std::mem::replace(&mut self.jobs[job_index].preemption_tried, true) {
             return;
         }
-        let mut needed = self.waiting_tasks(job_index).min(headroom);
+        let mut needed = self.startable_task_count(job_index).min(headroom);
         for slot in self.slots_being_freed.clone() {
             self.reserve_freed_slot(job_index, slot, &mut needed);
         }
@@ -170,8 +184,8 @@
         let mut heap = self.slots_by_preemption_cost(pending);
         while needed > 0 {
             let Some(best) = heap.pop() else { return };
-            // Since it was priced, the victims' team may have come down to its
-            // guarantee.
+            // The cost may be out of date: preemptions made since may have brought a
+            // victim's team down to its guarantee, which protects the victim.
             let Some(cost) = self.preemption_cost(pending, best.slot) else {
                 continue;
             };
@@ -187,14 +201,17 @@
         }
     }
 
-    /// Tasks of the job that may start now and are not placed.
-    fn waiting_tasks(&self, job_index: usize) -> usize {
+    /// Number of the job's tasks that may start now and are not placed, including
+    /// resumable ones.
+    fn startable_task_count(&self, job_index: usize) -> usize {
         let entry = &self.jobs[job_index];
         let resumables = entry.job.resumable.values();
         let ready = resumables.filter(|r| r.not_before <= self.now).count();
-        self.unplaced(job_index) + ready - entry.resumables_placed
+        self.unplaced_pending_count(job_index) + ready - entry.resumables_placed
     }
 
+    /// All slots on which preemption can make room for a task of the group, cheapest
+    /// first.
     fn slots_by_preemption_cost(&self, pending: &PendingGroup) -> BinaryHeap<SlotCost> {
         let costs = (0..self.slots.len()).filter_map(|slot| {
             Some(SlotCost {
@@ -206,43 +223,39 @@
         costs.collect()
     }
 
-    /// Reserves what is being freed on a slot for as many of the `needed` tasks as
-    /// fit, and counts them off.
+    /// Reserves what is being freed on a slot for as many of the `needed` tasks as fit,
+    /// and subtracts them from `needed`.
     fn reserve_freed_slot(&mut self, job_index: usize, slot_index: usize, needed: &mut usize) {
         let job = self.jobs[job_index].job;
         while *needed > 0
-            && self.slots[slot_index]
-                .available_after_preemption
-                .can_fit(&job.spec)
+            && self.slots[slot_index].free_after_stops.can_fit(&job.spec)
             && self.is_allowed(job_index, slot_index)
         {
             self.slots[slot_index]
-                .available_after_preemption
+                .free_after_stops
                 .add_scaled(&job.spec, -1.0);
             self.quota_usage[job.team].add_scaled(&job.spec, 1.0);
             *needed -= 1;
         }
     }
 
-    /// Preempts victims on a slot until a task of the group fits.
+    /// Preempts victims on a slot, lowest utility per time first, until a task of the
+    /// group fits.
     fn preempt_on(&mut self, pending: &PendingGroup<'a>, slot_index: usize) {
         let spec = &pending.group.job.spec;
         let gain = self.expected_gain(pending, slot_index);
-        let mut next = 0;
-        while next < self.slots[slot_index].victims.len()
-            && !self.slots[slot_index]
-                .available_after_preemption
-                .can_fit(spec)
+        let mut next_victim = 0;
+        while next_victim < self.slots[slot_index].victims.len()
+            && !self.slots[slot_index].free_after_stops.can_fit(spec)
         {
-            let victim = self.slots[slot_index].victims[next];
+            let victim = self.slots[slot_index].victims[next_victim];
             if !self.may_preempt(pending, &victim, gain) {
-                next += 1;
+                next_victim += 1;
                 continue;
             }
             let slot = &mut self.slots[slot_index];
-            slot.victims.remove(next);
-            slot.available_after_preemption
-                .add_scaled(&victim.attempt.spec, 1.0);
+            slot.victims.remove(next_victim);
+            slot.free_after_stops.add_scaled(&victim.attempt.spec, 1.0);
             self.quota_being_released[victim.team].add_scaled(&victim.attempt.spec, 1.0);
             self.stops.push(SlotStop {
                 slot: slot_index,
--- a/crates/tallygauge-scheduler/src/mapping/round.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round.rs
@@ -1,5 +1,8 @@
-//! The phases of a scheduling round: overdue first tasks, then jobs with a
-//! priority claim, then all others by utility per time.
+//! The phases of a scheduling round, in this order:
+//! 1. one task of each job whose first task is overdue, then further tasks of jobs near
+//!    their start deadline;
+//! 2. tasks of jobs with a priority claim;
+//! 3. all other tasks, by utility per time.
 
 use super::{
     candidates::BestSlot,
@@ -12,15 +15,16 @@
     collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque},
 };
 
-/// Differences of utility per time up to this are rounding errors.
+/// Utilities per time that differ by no more than this are taken as equal: the
+/// difference is a rounding error.
 const UPT_TOLERANCE: f64 = 1e-12;
 
-/// A group and the place that its next task may reach in the order. Of equals, the
-/// first by job id and number of the task is first.
+/// A group and the best possible sort key of its next task. Equal keys are ordered by
+/// job id, then by task number.
 struct QueuedGroup<'a> {
     order: PlacementOrder,
     pending: PendingGroup<'a>,
-    /// Number of a resumable task; the greatest number for other tasks.
+    /// Number of the task if the group is a resumable one; otherwise `u32::MAX`.
     task: u32,
 }
 
@@ -47,97 +51,106 @@
     }
 }
 
-/// A group whose job has a priority claim, and the job's place among those of its
-/// class.
+/// A pending group whose job has a priority claim.
 struct ClaimedGroup<'a> {
+    /// The job's place among the jobs with a claim, see [`PriorityClaim::order`].
+    ///
+    /// [`PriorityClaim::order`]: crate::minimum_share::state::PriorityClaim::order
     order: u32,
     pending: PendingGroup<'a>,
 }
 
-/// Key of a queue of claimed groups; claims for the minimum share are first.
+/// Key of a queue of claimed groups. Queues of claims that the minimum share needs are
+/// ordered before the others.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ClaimQueueKey {
+    /// Whether the minimum share can be reached without the claimed jobs.
     beyond_min_share: bool,
-    /// The class or team on whose behalf the claims are.
-    group: usize,
+    /// Id of the class or team on whose behalf the claims are made. Unlike a
+    /// [`PendingGroup`], it is a group of the minimum share.
+    fairness_group: usize,
 }
 
 type ClaimQueues<'a> = BTreeMap<ClaimQueueKey, VecDeque<ClaimedGroup<'a>>>;
 
 impl<'a> Round<'a> {
-    /// Decides what starts where, and what is preempted if `preempt` is set.
+    /// Runs all phases: decides which tasks start on which workers and, if `preempt` is
+    /// set, which running attempts are preempted.
     pub(super) fn run(&mut self, pending: Vec<PendingGroup<'a>>, preempt: bool) {
         if preempt {
             self.find_victims();
         }
-        // Free resources and victims only get less within a round: what can't be
-        // placed at its start can be left out.
-        let max_available = self.max_available_after_preemption();
+        // Free resources and victims only decrease within a round, so groups that can't
+        // be placed at the start of the round can't be placed later either.
+        let max_free_after_stops = self.max_free_after_stops();
         let placeable = pending
             .into_iter()
-            .filter(|p| max_available.can_fit(&p.group.job.spec) || self.has_preemptible(p));
+            .filter(|p| max_free_after_stops.can_fit(&p.group.job.spec) || self.has_preemptible(p));
         let pending: Vec<PendingGroup> = placeable.collect();
-        let pending = self.run_overdue_starts(pending, preempt);
-        let pending = self.run_claims(pending, preempt);
-        self.run_by_upt(pending, preempt);
+        let pending = self.place_overdue_first_tasks(pending, preempt);
+        let pending = self.place_claimed_jobs(pending, preempt);
+        self.place_by_upt(pending, preempt);
     }
 
-    /// The most of each resource that any machine has, or will have when what is
-    /// being stopped has ended.
-    fn max_available_after_preemption(&self) -> Resources {
+    /// The most of each resource that is free on any machine, or will be when all
+    /// requested stops are confirmed. The maxima may come from different machines.
+    fn max_free_after_stops(&self) -> Resources {
         let mut max = Resources::default();
         for slot in &self.slots {
-            let available = slot.available_after_preemption;
-            max.cpus = max.cpus.max(available.cpus);
-            max.gpus = max.gpus.max(available.gpus);
-            max.memory_gb = max.memory_gb.max(available.memory_gb);
+            let free = slot.free_after_stops;
+            max.cpus = max.cpus.max(free.cpus);
+            max.gpus = max.gpus.max(free.gpus);
+            max.memory_gb = max.memory_gb.max(free.memory_gb);
         }
         max
     }
 
-    /// Places one task of each job whose first task is overdue, and then more tasks
-    /// of jobs near their start deadline. Returns the groups that are left.
-    fn run_overdue_starts(
+    /// Places one task of each job whose first task is overdue, and then further tasks
+    /// of jobs near their start deadline. Returns the groups that still have tasks to
+    /// place.
+    fn place_overdue_first_tasks(
         &mut self,
         pending: Vec<PendingGroup<'a>>,
         preempt: bool,
     ) -> Vec<PendingGroup<'a>> {
-        let mut placed = BTreeSet::new();
+        let mut fully_placed = BTreeSet::new();
         for index in self.overdue_first_tasks(&pending) {
-            if self.start_overdue_task(pending[index], preempt) {
-                placed.insert(index);
+            if self.place_overdue_first_task(pending[index], preempt) {
+                fully_placed.insert(index);
             }
         }
         if !self.cluster.start_deadlines.claims.is_empty() {
-            self.run_unstarted_near_deadline(&pending, &mut placed);
+            self.place_unstarted_near_deadline(&pending, &mut fully_placed);
         }
-        let left = pending.into_iter().enumerate();
-        left.filter(|(index, _)| !placed.contains(index))
+        let groups = pending.into_iter().enumerate();
+        groups
+            .filter(|(index, _)| !fully_placed.contains(index))
             .map(|(_, group)| group)
             .collect()
     }
 
-    /// For each job whose first task is overdue, the index of the group that is
-    /// placed first, the one with the least left to run; in the order of the jobs'
-    /// acceptance.
+    /// For each job whose first task is overdue, the index of the group to place first,
+    /// which is the one with the highest utility per time and so the least remaining run
+    /// time. Sorted by the jobs' time of acceptance.
     fn overdue_first_tasks(&self, pending: &[PendingGroup<'a>]) -> Vec<usize> {
         let mut by_order: BTreeMap<u32, usize> = BTreeMap::new();
         for (index, group) in pending.iter().enumerate() {
-            let Some(order) = self.jobs[group.job_index].start_order else {
+            let Some(order) = self.jobs[group.job_index].overdue_start_order else {
                 continue;
             };
-            let best = by_order.entry(order).or_insert(index);
-            if self.best_upt(group) > self.best_upt(&pending[*best]) {
-                *best = index;
+            let best_index = by_order.entry(order).or_insert(index);
+            if self.best_ordering_upt(group) > self.best_ordering_upt(&pending[*best_index]) {
+                *best_index = index;
             }
         }
         by_order.into_values().collect()
     }
 
-    /// Places one task of a job whose first task is overdue. Where the team's limit
-    /// leaves nothing for it, what becomes free of the limit is kept for it. Returns
-    /// whether the group has no more tasks to place.
-    fn start_overdue_task(&mut self, pending: PendingGroup<'a>, preempt: bool) -> bool {
+    /// Places one task of a job whose first task is overdue. If the team is at its limit,
+    /// the task is counted towards the team's usage without being placed, so that quota
+    /// that becomes free is kept for it. Returns whether the group has no more tasks to
+    /// place.
+    fn place_overdue_first_task(&mut self, pending: PendingGroup<'a>, preempt: bool) -> bool {
         let job_index = pending.job_index;
         let job = pending.group.job;
         if self.quota_headroom(job) == 0 {
@@ -152,51 +165,55 @@
             return false;
         };
         self.start(&pending, slot);
-        self.jobs[job_index].start_order = None;
-        pending.group.resumable.is_some() || self.unplaced(job_index) == 0
+        self.jobs[job_index].overdue_start_order = None;
+        pending.group.resumable.is_some() || self.unplaced_pending_count(job_index) == 0
     }
 
-    /// Places tasks that never ran of jobs near their start deadline, on a part of
-    /// the machines. Adds the groups without further tasks to `placed`.
-    fn run_unstarted_near_deadline(
+    /// Places tasks that never ran, of jobs near their start deadline, on a limited part
+    /// of the machines' CPUs. Adds the groups without further tasks to place to
+    /// `fully_placed`.
+    fn place_unstarted_near_deadline(
         &mut self,
         pending: &[PendingGroup<'a>],
-        placed: &mut BTreeSet<usize>,
+        fully_placed: &mut BTreeSet<usize>,
     ) {
         let total_cpus: f64 = self
             .slots
             .iter()
-            .map(|s| self.types[s.type_index].cpus)
+            .map(|s| self.machine_types[s.type_index].cpus)
             .sum();
         let mut cpus_left = self.cluster.cpus_left_for_unstarted(total_cpus);
-        for index in self.groups_near_start_deadline(pending, placed) {
+        for index in self.groups_near_start_deadline(pending, fully_placed) {
             let group = pending[index];
             let (job_index, job) = (group.job_index, group.group.job);
-            while cpus_left > 0.0 && self.unplaced(job_index) > 0 && self.quota_headroom(job) > 0 {
+            while cpus_left > 0.0
+                && self.unplaced_pending_count(job_index) > 0
+                && self.quota_headroom(job) > 0
+            {
                 let Some(BestSlot { slot, .. }) = self.best_slot(&group) else {
                     break;
                 };
                 self.start(&group, slot);
                 cpus_left -= job.spec.cpus;
             }
-            if self.unplaced(job_index) == 0 {
-                placed.insert(index);
+            if self.unplaced_pending_count(job_index) == 0 {
+                fully_placed.insert(index);
             }
         }
     }
 
-    /// Indices of groups that are not `placed`, of jobs near their start deadline, in
-    /// the order of the jobs' acceptance.
+    /// Indices of the groups, of jobs near their start deadline, that are not in
+    /// `fully_placed` and are not resumable tasks. Sorted by the jobs' time of acceptance.
     fn groups_near_start_deadline(
         &self,
         pending: &[PendingGroup<'a>],
-        placed: &BTreeSet<usize>,
+        fully_placed: &BTreeSet<usize>,
     ) -> Vec<usize> {
         let claims = &self.cluster.start_deadlines.claims;
         let mut near: Vec<(u32, usize)> = pending
             .iter()
             .enumerate()
-            .filter(|(index, p)| !placed.contains(index) && p.group.resumable.is_none())
+            .filter(|(index, p)| !fully_placed.contains(index) && p.group.resumable.is_none())
             .filter_map(|(index, p)| {
                 let claim = claims.get(&p.group.job.spec.id)?;
                 claim.near_deadline.then_some((claim.order, index))
@@ -206,16 +223,19 @@
         near.into_iter().map(|(_, index)| index).collect()
     }
 
-    /// Places tasks of jobs with a priority claim, those for the minimum share
-    /// first. The next task is always one of the class that uses the fewest CPUs for
-    /// such jobs, in the order of the class's jobs, as long as these may use more.
-    /// Returns the groups that are left.
-    fn run_claims(
+    /// Places tasks of jobs with a priority claim, as long as such jobs may use more
+    /// CPUs. Returns the groups that were not placed in full.
+    ///
+    /// - Claims that the minimum share needs come first.
+    /// - The next task is always taken from the class or team whose jobs with a claim use
+    ///   the fewest CPUs at that moment.
+    /// - Within a class or team, jobs are taken in the order of their claims.
+    fn place_claimed_jobs(
         &mut self,
         pending: Vec<PendingGroup<'a>>,
         preempt: bool,
     ) -> Vec<PendingGroup<'a>> {
-        let (mut queues, mut rest) = self.queue_claims(pending);
+        let (mut queues, mut rest) = self.queue_claimed_groups(pending);
         while self.claim_cpus_left > 0.0 {
             let Some(queue) = self.next_claim_queue(&mut queues) else {
                 break;
@@ -235,7 +255,9 @@
                 continue;
             };
             self.start(&pending, slot);
-            if pending.group.resumable.is_none() && self.unplaced(pending.job_index) > 0 {
+            if pending.group.resumable.is_none()
+                && self.unplaced_pending_count(pending.job_index) > 0
+            {
                 queue.push_front(claimed);
             }
         }
@@ -243,9 +265,9 @@
         rest
     }
 
-    /// Separates groups with a priority claim, in a queue for each class, from the
-    /// others.
-    fn queue_claims(
+    /// Puts the groups of jobs with a priority claim into queues, and returns the other
+    /// groups separately.
+    fn queue_claimed_groups(
         &self,
         pending: Vec<PendingGroup<'a>>,
     ) -> (ClaimQueues<'a>, Vec<PendingGroup<'a>>) {
@@ -258,7 +280,7 @@
             };
             let key = ClaimQueueKey {
                 beyond_min_share: !claim.for_min_share,
-                group: claim.group,
+                fairness_group: claim.group,
             };
             queues.entry(key).or_default().push_back(ClaimedGroup {
                 order: claim.order,
@@ -266,33 +288,37 @@
             });
         }
         for queue in queues.values_mut() {
-            // Of one job, what has the least left to run is first.
+            // Groups of one job are ordered by descending utility per time, which puts
+            // the least remaining run time first.
             queue.make_contiguous().sort_by(|a, b| {
                 let by_upt = self
-                    .best_upt(&b.pending)
-                    .total_cmp(&self.best_upt(&a.pending));
+                    .best_ordering_upt(&b.pending)
+                    .total_cmp(&self.best_ordering_upt(&a.pending));
                 a.order.cmp(&b.order).then(by_upt)
             });
         }
         (queues, rest)
     }
 
-    /// The queue that the next task is taken from: claims for the minimum share
-    /// first, then of the class that uses the fewest CPUs.
+    /// The queue that the next task is taken from: of the non-empty queues, those of
+    /// claims that the minimum share needs come first, and among them the class or team
+    /// whose jobs with a claim use the fewest CPUs.
     fn next_claim_queue<'q>(
         &self,
         queues: &'q mut ClaimQueues<'a>,
     ) -> Option<&'q mut VecDeque<ClaimedGroup<'a>>> {
-        let nonempty = queues.iter_mut().filter(|(_, queue)| !queue.is_empty());
-        let next = nonempty.min_by(|(a, _), (b, _)| {
-            let by_usage = self.claim_cpus_used[a.group].total_cmp(&self.claim_cpus_used[b.group]);
+        let non_empty = queues.iter_mut().filter(|(_, queue)| !queue.is_empty());
+        let next = non_empty.min_by(|(a, _), (b, _)| {
+            let by_usage = self.claim_cpus_used[a.fairness_group]
+                .total_cmp(&self.claim_cpus_used[b.fairness_group]);
             a.beyond_min_share.cmp(&b.beyond_min_share).then(by_usage)
         });
         next.map(|(_, queue)| queue)
     }
 
-    /// Places tasks by utility per time, the greatest first.
-    fn run_by_upt(&mut self, pending: Vec<PendingGroup<'a>>, preempt: bool) {
+    /// Places tasks in the placement order, which is by descending utility per time
+    /// within and beyond the teams' guarantees.
+    fn place_by_upt(&mut self, pending: Vec<PendingGroup<'a>>, preempt: bool) {
         let mut heap: BinaryHeap<QueuedGroup> = pending
             .into_iter()
             .map(|pending| QueuedGroup {
@@ -312,17 +338,20 @@
                 }
                 continue;
             };
-            // A worker that must fetch the image first lowers the utility per time:
-            // the group is then queued again at its actual place in the order.
-            let actual = PlacementOrder { upt, ..top.order };
+            // The utility per time on the best slot may be lower than the queue assumed,
+            // for example if the worker must fetch the image first. If another group then
+            // comes before this one, it is queued again with its actual sort key.
+            let actual_order = PlacementOrder { upt, ..top.order };
             let is_lower = upt + UPT_TOLERANCE < top.order.upt;
-            if is_lower && heap.peek().is_some_and(|next| next.order > actual) {
-                top.order = actual;
+            if is_lower && heap.peek().is_some_and(|next| next.order > actual_order) {
+                top.order = actual_order;
                 heap.push(top);
                 continue;
             }
             self.start(&top.pending, slot);
-            if top.pending.group.resumable.is_none() && self.unplaced(top.pending.job_index) > 0 {
+            if top.pending.group.resumable.is_none()
+                && self.unplaced_pending_count(top.pending.job_index) > 0
+            {
                 top.order = self.best_order(&top.pending);
                 heap.push(top);
             }
--- a/crates/tallygauge-scheduler/src/mapping/round_setup.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round_setup.rs
@@ -1,4 +1,4 @@
-//! Sets up a scheduling round from the cluster state.
+//! Builds the data of a scheduling round from the cluster state.
 
 use super::{
     TaskGroup,
@@ -14,44 +14,48 @@
 };
 use tallygauge_protocol::cloud::MachineType;
 
-/// Usable workers, and what is being released on them.
+/// Slots of the usable workers, and the resources that stopping attempts will release.
 struct UsableSlots<'a> {
     slots: Vec<WorkerSlot<'a>>,
+    /// Zones of the usable workers, sorted by name.
     zones: Vec<&'a str>,
+    /// Indices of the slots with attempts that are being stopped.
     slots_being_freed: BTreeSet<usize>,
+    /// Quota held by attempts that are being stopped, by team.
     quota_being_released: Vec<QuotaUsage>,
 }
 
 impl<'a> Round<'a> {
-    /// A round, and the groups that wait in it. `groups` must be in the order of
-    /// their jobs' ids.
+    /// Builds a round, and the pending groups with their indices into its jobs.
+    /// `groups` must be sorted by job id, as [`ClusterState::pending_groups`] returns
+    /// them.
     pub(super) fn new(
         cluster: &'a ClusterState,
         now: f64,
         groups: Vec<TaskGroup<'a>>,
     ) -> (Self, Vec<PendingGroup<'a>>) {
-        let types = types_by_name(cluster);
-        let usable = usable_slots(cluster, &types, now);
-        let claim_cpus_left = claim_cpus_left(cluster, &usable.slots, &types);
-        let contended_cpus = cluster.contended_cpus(&groups);
+        let machine_types = machine_types_by_name(cluster);
+        let usable = usable_slots(cluster, &machine_types, now);
+        let claim_cpus_left = claim_cpus_left(cluster, &usable.slots, &machine_types);
+        let min_contended_cpus = cluster.min_contended_cpus(&groups);
         let (jobs, pending) = jobs_in_round(cluster, groups);
         let round = Self {
             cluster,
             now,
             claim_cpus_left,
             claim_cpus_used: claim_cpus_used(cluster),
-            largest_cpus: types.iter().map(|t| t.cpus).fold(1.0, f64::max),
-            contended_cpus,
-            types,
+            max_machine_cpus: machine_types.iter().map(|t| t.cpus).fold(1.0, f64::max),
+            min_contended_cpus,
+            machine_types,
             zones: usable.zones,
             jobs,
             slots: usable.slots,
-            touched_slots: Vec::new(),
-            exhausted: Vec::new(),
+            changed_slots: Vec::new(),
+            unplaceable_requests: Vec::new(),
             quota_usage: cluster.quota_usage.clone(),
             quota_being_released: usable.quota_being_released,
             slots_being_freed: usable.slots_being_freed,
-            victim_groups: BTreeMap::new(),
+            min_victim_upt: BTreeMap::new(),
             starts: Vec::new(),
             stops: Vec::new(),
         };
@@ -59,16 +63,17 @@
     }
 }
 
-fn types_by_name(cluster: &ClusterState) -> Vec<&MachineType> {
-    let mut types: Vec<&MachineType> = cluster.machine_types.values().collect();
-    types.sort_by(|a, b| a.name.cmp(&b.name));
-    types
+/// The machine types on offer, sorted by name.
+fn machine_types_by_name(cluster: &ClusterState) -> Vec<&MachineType> {
+    let mut machine_types: Vec<&MachineType> = cluster.machine_types.values().collect();
+    machine_types.sort_by(|a, b| a.name.cmp(&b.name));
+    machine_types
 }
 
-/// A slot for each usable worker of a known type.
+/// A slot for each usable worker whose machine type is known.
 fn usable_slots<'a>(
     cluster: &'a ClusterState,
-    types: &[&'a MachineType],
+    machine_types: &[&'a MachineType],
     now: f64,
 ) -> UsableSlots<'a> {
     let workers: Vec<&Worker> = cluster.usable_workers(now).collect();
@@ -80,8 +85,8 @@
         quota_being_released: vec![QuotaUsage::default(); cluster.config.teams.len()],
     };
     for worker in workers {
-        let by_name = types.binary_search_by(|t| t.name.as_str().cmp(&worker.machine_type));
-        if let Ok(type_index) = by_name {
+        let found = machine_types.binary_search_by(|t| t.name.as_str().cmp(&worker.machine_type));
+        if let Ok(type_index) = found {
             usable.add(cluster, worker, type_index);
         }
     }
@@ -89,11 +94,12 @@
 }
 
 impl<'a> UsableSlots<'a> {
+    /// Adds the slot of a worker, with what its stopping attempts will release.
     fn add(&mut self, cluster: &ClusterState, worker: &'a Worker, type_index: usize) {
-        let mut available_after_preemption = worker.free_resources;
+        let mut free_after_stops = worker.free_resources;
         let is_stopping = |a: &&Attempt| a.stop.is_some() && a.occupies_capacity();
         for attempt in worker.attempts.iter().filter(is_stopping) {
-            available_after_preemption.add_scaled(&attempt.spec, 1.0);
+            free_after_stops.add_scaled(&attempt.spec, 1.0);
             self.slots_being_freed.insert(self.slots.len());
             if let Some(team) = cluster.config.team_index(&attempt.spec.team) {
                 self.quota_being_released[team].add_scaled(&attempt.spec, 1.0);
@@ -107,8 +113,8 @@
             type_index,
             zone_index: self.zones.binary_search(&zone).unwrap_or(0),
             free_resources: worker.free_resources,
-            available_after_preemption,
-            tasks: worker.attempts.len(),
+            free_after_stops,
+            attempt_count: worker.attempts.len(),
             images: Cow::Borrowed(&worker.images),
             version: 0,
             reservation: reserved.get(&worker.name).copied(),
@@ -118,7 +124,7 @@
     }
 }
 
-/// The jobs of the groups, and the groups with their job's index.
+/// The jobs that the groups belong to, and the groups with the indices of their jobs.
 fn jobs_in_round<'a>(
     cluster: &'a ClusterState,
     groups: Vec<TaskGroup<'a>>,
@@ -134,11 +140,11 @@
                 job,
                 within_guarantee: within_guarantee.contains(job.spec.id.as_str()),
                 claim: cluster.minimum_share.claims.get(&job.spec.id).copied(),
-                start_order: cluster.start_claim_order(&job.spec.id),
+                overdue_start_order: cluster.start_claim_order(&job.spec.id),
                 expected_run_s: cluster.expected_run_s(&job.spec),
                 candidates: None,
-                zones: None,
-                replicas_placed: BTreeMap::new(),
+                updated_attempts_by_zone: None,
+                replicas_placed_by_slot: BTreeMap::new(),
                 pending_placed: 0,
                 resumables_placed: 0,
                 preemption_tried: false,
@@ -150,38 +156,44 @@
     (jobs, pending)
 }
 
-/// CPUs used by jobs with a priority claim, by class or team.
+/// CPUs used by jobs with a priority claim, by the id of the claim's group, which is a
+/// class or a team.
 fn claim_cpus_used(cluster: &ClusterState) -> Vec<f64> {
-    let mut used = vec![0.0; cluster.minimum_share.service_counts.keys().len()];
+    let mut used_cpus = vec![0.0; cluster.minimum_share.service_counts.keys().len()];
     for (id, claim) in &cluster.minimum_share.claims {
         if let Some(job) = cluster.jobs.get(id) {
-            used[claim.group] += job.spec.cpus * job.attempts_by_task.len() as f64;
+            used_cpus[claim.group] += job.spec.cpus * job.attempts_by_task.len() as f64;
         }
     }
-    used
+    used_cpus
 }
 
-/// CPUs that jobs with a priority claim may still use on machines that are not
-/// reserved.
-fn claim_cpus_left(cluster: &ClusterState, slots: &[WorkerSlot], types: &[&MachineType]) -> f64 {
+/// CPUs that jobs with a priority claim may still use on machines that are not reserved
+/// for them: their share of all machines, less the reserved machines, less what such
+/// jobs use on the others.
+fn claim_cpus_left(
+    cluster: &ClusterState,
+    slots: &[WorkerSlot],
+    machine_types: &[&MachineType],
+) -> f64 {
     let minimum_share = &cluster.minimum_share;
     if minimum_share.claims.is_empty() {
         return 0.0;
     }
-    let cpus = |slot: &WorkerSlot| types[slot.type_index].cpus;
-    let total: f64 = slots.iter().map(cpus).sum();
-    let reserved: f64 = slots
+    let cpus = |slot: &WorkerSlot| machine_types[slot.type_index].cpus;
+    let total_cpus: f64 = slots.iter().map(cpus).sum();
+    let reserved_cpus: f64 = slots
         .iter()
         .filter(|s| s.reservation.is_some())
         .map(cpus)
         .sum();
     let has_claim =
         |a: &&Attempt| a.occupies_capacity() && minimum_share.claims.contains_key(&a.spec.id);
-    let used: f64 = slots
+    let used_cpus: f64 = slots
         .iter()
         .filter(|s| s.reservation.is_none())
         .flat_map(|s| s.worker.attempts.iter().filter(has_claim))
         .map(|a| a.spec.cpus)
         .sum();
-    total * minimum_share.machine_share - reserved - used
+    total_cpus * minimum_share.machine_share - reserved_cpus - used_cpus
 }
--- a/crates/tallygauge-scheduler/src/mapping/round_state.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round_state.rs
@@ -1,5 +1,5 @@
-//! Data of one scheduling round: the cluster state it started from, and what the
-//! round has changed so far.
+//! Data of one scheduling round: the cluster state that it started from, and the
+//! changes that the round has made so far.
 
 use super::{
     TaskGroup,
@@ -20,25 +20,25 @@
     users::{JobSpec, Priority},
 };
 
-/// A start that a round decided on.
+/// A start decided by a finished round, with names in place of indices.
 pub(super) struct PlannedStart {
     /// Id of the job.
     pub(super) job: String,
     /// Number of the task.
     pub(super) task: u32,
-    /// Run time that its checkpoint saves it.
+    /// Run time, in seconds, that the task's checkpoint saves on this worker.
     pub(super) checkpointed_s: f64,
     /// Name of the worker.
     pub(super) worker: String,
 }
 
-/// A preemption that a round decided on.
+/// A preemption decided by a finished round, with names in place of indices.
 pub(super) struct PlannedStop {
     /// Name of the worker.
     pub(super) worker: String,
-    /// Number of the attempt that is stopped.
+    /// Number of the attempt to stop.
     pub(super) attempt: u64,
-    /// Id of the job that it is stopped for.
+    /// Id of the job that the attempt is stopped for.
     pub(super) preemptor: String,
 }
 
@@ -46,65 +46,73 @@
 #[derive(Clone, Copy)]
 pub(super) struct PendingGroup<'a> {
     pub(super) group: TaskGroup<'a>,
-    /// Index of its job in [`Round::jobs`], which are in the order of their ids.
+    /// Index of the group's job in [`Round::jobs`], which is sorted by job id.
     pub(super) job_index: usize,
 }
 
-/// A job with pending tasks, and what the round knows of it.
+/// A job with pending tasks, and the round's own state of it.
 pub(super) struct JobInRound<'a> {
     pub(super) job: &'a Job,
+    /// Whether the job fits into its team's guarantee, see
+    /// [`ClusterState::jobs_within_guarantee`].
     pub(super) within_guarantee: bool,
-    /// Its priority on behalf of an underserved class, if it has one.
+    /// The job's priority claim on behalf of an underserved class or team, if any.
     pub(super) claim: Option<PriorityClaim>,
-    /// Its place among the jobs whose first task is overdue, until that is placed.
-    pub(super) start_order: Option<u32>,
-    /// Expected run time of a whole task.
+    /// The job's place among those whose first task is overdue; `None` for other jobs
+    /// and once the first task has been placed.
+    pub(super) overdue_start_order: Option<u32>,
+    /// Expected run time of a task from its beginning, in seconds.
     pub(super) expected_run_s: f64,
-    /// Built when its first task looks for a slot.
+    /// Free slots for the job; built when a slot is first searched for one of its tasks.
     pub(super) candidates: Option<CandidateIndex>,
-    /// Tasks by zone, with those of this round; `None`: as in the job.
-    pub(super) zones: Option<BTreeMap<String, u32>>,
-    /// Replicas placed in this round, by slot.
-    pub(super) replicas_placed: BTreeMap<usize, u32>,
-    /// Tasks placed in this round that are not resumable ones.
+    /// Attempts by zone, including those placed in this round; `None`: unchanged from
+    /// the job's own `attempts_by_zone`.
+    pub(super) updated_attempts_by_zone: Option<BTreeMap<String, u32>>,
+    /// Number of replicas placed in this round, by slot index.
+    pub(super) replicas_placed_by_slot: BTreeMap<usize, u32>,
+    /// Number of tasks of `Job::pending` placed in this round.
     pub(super) pending_placed: usize,
-    /// Resumable tasks placed in this round.
+    /// Number of tasks of `Job::resumable` placed in this round.
     pub(super) resumables_placed: usize,
-    /// Preemption was tried for it; it is tried once per round.
+    /// Whether preemption was already tried for the job, which is done once per round.
     pub(super) preemption_tried: bool,
 }
 
 impl JobInRound<'_> {
-    /// Tasks by zone, with those placed in this round.
+    /// Number of attempts by zone, including those placed in this round.
     pub(super) fn attempts_by_zone(&self) -> &BTreeMap<String, u32> {
-        self.zones.as_ref().unwrap_or(&self.job.attempts_by_zone)
+        self.updated_attempts_by_zone
+            .as_ref()
+            .unwrap_or(&self.job.attempts_by_zone)
     }
 
-    /// Whether it is placed ahead of the order by utility per time.
-    pub(super) fn has_priority(&self) -> bool {
-        self.claim.is_some() || self.start_order.is_some()
+    /// Whether the job's tasks are placed ahead of those ordered by utility per time:
+    /// it has a priority claim, or its first task is overdue.
+    pub(super) fn has_precedence(&self) -> bool {
+        self.claim.is_some() || self.overdue_start_order.is_some()
     }
 }
 
-/// A usable worker in a round.
+/// A usable worker, with the resources that the round has left of it.
 pub(super) struct WorkerSlot<'a> {
     pub(super) worker: &'a Worker,
-    /// Index into [`Round::types`].
+    /// Index into [`Round::machine_types`].
     pub(super) type_index: usize,
     /// Index into [`Round::zones`].
     pub(super) zone_index: usize,
     pub(super) free_resources: Resources,
-    /// Resources that will be free when all stops are confirmed.
-    pub(super) available_after_preemption: Resources,
-    /// Number of attempts on the worker.
-    pub(super) tasks: usize,
+    /// Resources that will be free when all requested stops are confirmed.
+    pub(super) free_after_stops: Resources,
+    /// Number of attempts on the worker, including those started in this round.
+    pub(super) attempt_count: usize,
+    /// Images on the worker, copied when the round first changes them.
     pub(super) images: Cow<'a, ImageCache>,
     /// Incremented with each start on the slot.
     pub(super) version: u32,
-    /// Reserved for jobs with a priority claim.
+    /// The reservation for jobs with a priority claim, if any.
     pub(super) reservation: Option<Reservation>,
-    /// Reserved for jobs whose first task is overdue and needs at least this many
-    /// CPUs.
+    /// CPUs of the smallest task that may start here, if the worker is reserved for jobs
+    /// whose first task is overdue.
     pub(super) start_reservation: Option<f64>,
     /// Attempts that may be preempted, lowest utility per time first.
     pub(super) victims: Vec<Victim<'a>>,
@@ -113,30 +121,33 @@
 /// A running attempt that may be preempted.
 #[derive(Clone, Copy)]
 pub(super) struct Victim<'a> {
-    /// Utility per time that its preemption would cost.
+    /// Utility per time that is lost if the attempt is preempted.
     pub(super) upt: f64,
     pub(super) attempt: &'a Attempt,
-    /// Index of its team in the configuration.
+    /// Index of the attempt's team in the configuration.
     pub(super) team: usize,
-    /// Its job is within the team's guarantee.
+    /// Whether the attempt's job is within its team's guarantee.
     pub(super) within_guarantee: bool,
 }
 
-/// A job's candidate slots, cheapest first, by machine type and zone.
+/// A job's candidate slots: one heap for each pair of machine type and zone, cheapest
+/// slot first.
 pub(super) struct CandidateIndex {
+    /// Heaps by `type_index * number of zones + zone_index`.
     pub(super) heaps: Vec<BinaryHeap<SlotCost>>,
-    /// Machines of this many CPUs or more are left to tasks that need them.
-    pub(super) contended_cpus: f64,
-    /// How many entries of [`Round::touched_slots`] the heaps include.
-    pub(super) touched_seen: usize,
+    /// Machines with at least this many CPUs cost more, to be left to tasks that need
+    /// them.
+    pub(super) min_contended_cpus: f64,
+    /// Number of entries of [`Round::changed_slots`] that the heaps account for.
+    pub(super) changed_slots_seen: usize,
 }
 
-/// A request that no machine can satisfy any more in this round.
+/// A resource request that no machine can satisfy any more in this round.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct ExhaustedRequest(Resources);
+pub(super) struct UnplaceableRequest(Resources);
 
-impl ExhaustedRequest {
-    /// The resources that a task of the job requests.
+impl UnplaceableRequest {
+    /// The resources requested for a task of the job.
     pub(super) fn of_job(spec: &JobSpec) -> Self {
         Self(Resources {
             cpus: spec.cpus,
@@ -145,7 +156,8 @@
         })
     }
 
-    /// Whether a task requests as much or more, and so can't be placed either.
+    /// Whether a task of the job requests at least as much of every resource, and so
+    /// can't be placed either.
     pub(super) fn covers(&self, spec: &JobSpec) -> bool {
         let Resources {
             cpus,
@@ -161,15 +173,17 @@
     group: TaskGroup<'a>,
     /// Number of the task.
     task: u32,
+    /// Index into [`Round::slots`].
     slot: usize,
 }
 
 /// A preemption decided in this round.
 pub(super) struct SlotStop<'a> {
+    /// Index into [`Round::slots`].
     pub(super) slot: usize,
-    /// Number of the attempt.
+    /// Number of the attempt to stop.
     pub(super) attempt: u64,
-    /// Id of the job that it is stopped for.
+    /// Id of the job that the attempt is stopped for.
     pub(super) preemptor: &'a str,
 }
 
@@ -177,65 +191,72 @@
 pub(super) struct Round<'a> {
     pub(super) cluster: &'a ClusterState,
     pub(super) now: f64,
-    /// Machine types, by name.
-    pub(super) types: Vec<&'a MachineType>,
-    /// Zones of usable workers, by name.
+    /// Machine types, sorted by name.
+    pub(super) machine_types: Vec<&'a MachineType>,
+    /// Zones of usable workers, sorted by name.
     pub(super) zones: Vec<&'a str>,
     /// CPUs of the largest machine type.
-    pub(super) largest_cpus: f64,
-    /// CPUs from which on machines are contended.
-    pub(super) contended_cpus: f64,
-    /// Jobs with pending tasks, by id.
+    pub(super) max_machine_cpus: f64,
+    /// Machines with at least this many CPUs are contended, see
+    /// [`ClusterState::min_contended_cpus`].
+    pub(super) min_contended_cpus: f64,
+    /// Jobs with pending tasks, sorted by id.
     pub(super) jobs: Vec<JobInRound<'a>>,
-    /// Usable workers, by name.
+    /// Usable workers, sorted by name.
     pub(super) slots: Vec<WorkerSlot<'a>>,
-    /// Slots changed by this round, in the order of the changes.
-    pub(super) touched_slots: Vec<usize>,
-    pub(super) exhausted: Vec<ExhaustedRequest>,
-    /// What each team uses, with the starts of this round and what is reserved on
-    /// slots that are being freed.
+    /// Indices of slots changed by this round, in the order of the changes.
+    pub(super) changed_slots: Vec<usize>,
+    /// Requests that were found to fit no machine any more, for jobs without constraints
+    /// or precedence.
+    pub(super) unplaceable_requests: Vec<UnplaceableRequest>,
+    /// What each team uses, including the starts of this round and the quota kept for
+    /// tasks that can't start yet: those with a reservation on a slot that is being
+    /// freed, and overdue first tasks of teams at their limit.
     pub(super) quota_usage: Vec<QuotaUsage>,
-    /// What each team will have released when its stops are confirmed.
+    /// What each team will release when the stops of its attempts are confirmed.
     pub(super) quota_being_released: Vec<QuotaUsage>,
-    /// CPUs used by jobs with a priority claim, by class or team.
+    /// CPUs used by jobs with a priority claim, by the id of the claim's group, which is
+    /// a class or a team.
     pub(super) claim_cpus_used: Vec<f64>,
     /// CPUs that jobs with a priority claim may still use on machines that are not
-    /// reserved.
+    /// reserved for them.
     pub(super) claim_cpus_left: f64,
-    /// Slots on which attempts are being stopped.
+    /// Indices of slots on which attempts are being stopped.
     pub(super) slots_being_freed: BTreeSet<usize>,
-    /// Lowest utility per time among the victims of each priority and team.
-    pub(super) victim_groups: BTreeMap<(Priority, usize), f64>,
+    /// Lowest utility per time among the victims, by their priority and the index of
+    /// their team.
+    pub(super) min_victim_upt: BTreeMap<(Priority, usize), f64>,
     pub(super) starts: Vec<SlotStart<'a>>,
     pub(super) stops: Vec<SlotStop<'a>>,
 }
 
 impl<'a> Round<'a> {
-    /// Remaining run time of a task that resumes from `checkpointed_s`.
+    /// Remaining run time, in seconds, of a task that resumes after `checkpointed_s`
+    /// seconds of saved run time.
     pub(super) fn remaining_s(&self, job_index: usize, checkpointed_s: f64) -> f64 {
         (self.jobs[job_index].expected_run_s - checkpointed_s)
             .max(self.cluster.config.min_remaining_s)
     }
 
-    /// Highest utility per time that a task of the group can reach, for the order
-    /// of placement.
-    pub(super) fn best_upt(&self, pending: &PendingGroup) -> f64 {
+    /// Highest utility per time that a task of the group can reach, as the placement
+    /// order uses it: on a machine that has the image and can use the checkpoint.
+    pub(super) fn best_ordering_upt(&self, pending: &PendingGroup) -> f64 {
         let remaining_s = self.remaining_s(pending.job_index, pending.group.checkpointed_s());
         self.cluster
             .ordering_utility(pending.group.job, self.now + remaining_s * 0.5)
             / remaining_s
     }
 
-    /// Place of the group in the order by utility per time, at best.
+    /// Best possible sort key of the group in the placement order.
     pub(super) fn best_order(&self, pending: &PendingGroup) -> PlacementOrder {
         PlacementOrder {
             within_guarantee: self.jobs[pending.job_index].within_guarantee,
-            upt: self.best_upt(pending),
+            upt: self.best_ordering_upt(pending),
             accepted_at: pending.group.job.accepted_at,
         }
     }
 
-    /// How many more tasks of the job its team's limit allows.
+    /// Number of further tasks of the job that its team's limit allows.
     pub(super) fn quota_headroom(&self, job: &Job) -> usize {
         let team = &self.cluster.config.teams[job.team];
         let usage = &self.quota_usage[job.team];
@@ -244,9 +265,9 @@
         by_cpus.min(by_gpus) as usize
     }
 
-    /// Pending tasks of the job, without resumable ones, that this round has not
-    /// placed.
-    pub(super) fn unplaced(&self, job_index: usize) -> usize {
+    /// Number of tasks of `Job::pending`, that is without resumable ones, that this
+    /// round has not placed.
+    pub(super) fn unplaced_pending_count(&self, job_index: usize) -> usize {
         let entry = &self.jobs[job_index];
         entry.job.pending.len() as usize - entry.pending_placed
     }
@@ -268,7 +289,7 @@
         });
     }
 
-    /// Takes the next task of the group, and returns its number.
+    /// Counts the group's next task as placed and returns its number.
     fn take_task(&mut self, pending: &PendingGroup<'a>) -> Option<u32> {
         let entry = &mut self.jobs[pending.job_index];
         if let Some(resumable) = pending.group.resumable {
@@ -283,20 +304,22 @@
             .nth(entry.pending_placed as u32 - 1)
     }
 
+    /// Takes the resources of a task of the job from a slot and requests its image there.
     fn occupy_slot(&mut self, job: &Job, slot_index: usize) {
         let slot = &mut self.slots[slot_index];
         slot.free_resources.add_scaled(&job.spec, -1.0);
-        slot.available_after_preemption.add_scaled(&job.spec, -1.0);
-        slot.tasks += 1;
+        slot.free_after_stops.add_scaled(&job.spec, -1.0);
+        slot.attempt_count += 1;
         slot.version += 1;
-        let machine_type = self.types[slot.type_index];
+        let machine_type = self.machine_types[slot.type_index];
         slot.images
             .to_mut()
             .request(&job.spec, machine_type, self.now);
-        self.touched_slots.push(slot_index);
+        self.changed_slots.push(slot_index);
     }
 
-    /// Counts a start towards the CPUs that jobs with a priority claim use.
+    /// Counts a start towards the CPUs that jobs with a priority claim use, if the job
+    /// has one.
     fn count_claim_usage(&mut self, job_index: usize, slot_index: usize) {
         let entry = &self.jobs[job_index];
         if let Some(claim) = entry.claim {
@@ -307,37 +330,38 @@
         }
     }
 
-    /// Counts a start by machine and zone, for jobs to which that matters.
+    /// Counts a start by machine for replicated jobs, and by zone for jobs whose placement
+    /// depends on it.
     fn count_replica(&mut self, job_index: usize, slot_index: usize) {
         let entry = &mut self.jobs[job_index];
         let job = entry.job;
         if is_replicated(job) {
-            *entry.replicas_placed.entry(slot_index).or_default() += 1;
+            *entry.replicas_placed_by_slot.entry(slot_index).or_default() += 1;
         }
         if job.spec.one_zone || job.spec.spread || is_replicated(job) {
-            let zones = entry
-                .zones
+            let attempts_by_zone = entry
+                .updated_attempts_by_zone
                 .get_or_insert_with(|| job.attempts_by_zone.clone());
             let zone = self.slots[slot_index].worker.zone.clone();
-            *zones.entry(zone).or_default() += 1;
+            *attempts_by_zone.entry(zone).or_default() += 1;
         }
     }
 
-    /// The starts of this round, in the order they were decided in.
+    /// The starts of this round, in the order of the decisions.
     pub(super) fn planned_starts(&self) -> Vec<PlannedStart> {
         let planned = self.starts.iter().map(|start| {
             let worker = self.slots[start.slot].worker;
             PlannedStart {
                 job: start.group.job.spec.id.clone(),
                 task: start.task,
-                checkpointed_s: start.group.checkpoint_on(&worker.machine_type),
+                checkpointed_s: start.group.checkpointed_s_on(&worker.machine_type),
                 worker: worker.name.clone(),
             }
         });
         planned.collect()
     }
 
-    /// The preemptions of this round, in the order they were decided in.
+    /// The preemptions of this round, in the order of the decisions.
     pub(super) fn planned_stops(&self) -> Vec<PlannedStop> {
         let planned = self.stops.iter().map(|stop| PlannedStop {
             worker: self.slots[stop.slot].worker.name.clone(),
--- a/crates/tallygauge-scheduler/src/mapping/utility.rs
+++ b/crates/tallygauge-scheduler/src/mapping/utility.rs
@@ -1,9 +1,8 @@
-//! Utility and remaining run time of tasks, the terms that scheduling decisions
-//! are computed from.
+//! Utility and remaining run time of tasks, from which scheduling decisions are
+//! computed.
 //!
-//! Utility per time (UPT) is a task's utility divided by the seconds until its
-//! expected end. The utility is taken at half of that time, as an average over
-//! the run.
+//! Utility per time (UPT) is a task's utility divided by the seconds until its expected
+//! end. The utility is evaluated halfway to that end, as an average over the run.
 
 use super::TaskGroup;
 use crate::{
@@ -13,16 +12,17 @@
 use std::collections::HashSet;
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
-/// Part of its run time so far that an attempt which exceeded its expected run
-/// time is expected to run on.
+/// Expected remaining run time of an attempt that has exceeded its expected run time, as
+/// a fraction of its run time so far.
 const OVERRUN_FRACTION: f64 = 0.5;
 
-/// Packing may outweigh at most this many times the minimum remaining time.
+/// Upper bound of the packing cost for machine size and free CPUs, as a fraction of
+/// `Config::min_remaining_s`.
 const PACKING_WEIGHT: f64 = 0.5;
 
 impl ClusterState {
-    /// When a job should be complete: the earlier of its own deadline and its
-    /// class's.
+    /// Time at which a job should be complete: the earlier of its own deadline and its
+    /// class's; `None` if there is neither.
     pub(crate) fn deadline_at(&self, job: &Job) -> Option<f64> {
         let class_deadline_s = self.config.class_deadline_s.get(&job.spec.class).copied();
         let deadlines = job.spec.deadline_s.into_iter().chain(class_deadline_s);
@@ -31,8 +31,8 @@
             .map(|deadline_s| job.accepted_at + deadline_s)
     }
 
-    /// Utility of a job's tasks that end at `end`: that of its priority until the
-    /// deadline, a small part of it afterwards.
+    /// Utility of a task of the job that ends at `end`: the utility of the job's priority
+    /// until its deadline, and the fraction `Config::late_utility` of it afterwards.
     pub(crate) fn utility(&self, job: &Job, end: f64) -> f64 {
         let full = self.config.utility[priority_index(job.spec.priority)];
         let Some(deadline) = self.deadline_at(job) else {
@@ -45,21 +45,21 @@
         }
     }
 
-    /// Expected run time of a whole task: its owner's estimate, corrected by what
-    /// tasks of its class were measured to take.
+    /// Expected run time of a task from its beginning, in seconds: the owner's estimate
+    /// times the measured ratio of actual to estimated run times of the job's class.
     pub(crate) fn expected_run_s(&self, spec: &JobSpec) -> f64 {
         spec.expected_s * self.runtime_ratio(&spec.class)
     }
 
-    /// Remaining run time of a task that resumes from a checkpoint at
-    /// `checkpointed_s`.
+    /// Remaining run time, in seconds, of a task that resumes after `checkpointed_s`
+    /// seconds of saved run time.
     pub(crate) fn remaining_s(&self, job: &Job, checkpointed_s: f64) -> f64 {
         (self.expected_run_s(&job.spec) - checkpointed_s).max(self.config.min_remaining_s)
     }
 
-    /// Remaining run time of a running attempt. One that exceeds its expected run
-    /// time is expected to run on for half of the time it has run, so that it
-    /// does not look almost done for ever.
+    /// Remaining run time of a running attempt, in seconds. An attempt that has exceeded
+    /// its expected run time is expected to run for another half of its run time so far;
+    /// otherwise it would appear almost done for as long as it runs.
     pub(crate) fn attempt_remaining_s(&self, attempt: &Attempt, now: f64) -> f64 {
         let expected_s = self.expected_run_s(&attempt.spec);
         let ran_s = attempt.checkpointed_s + attempt.run_time_s(now);
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Utility per time of a running attempt; 0 if its job is not open.
-    pub(crate) fn upt_running(&self, attempt: &Attempt, now: f64) -> f64 {
+    /// Utility per time of a running attempt; 0 if its job is no longer open.
+    pub(crate) fn running_upt(&self, attempt: &Attempt, now: f64) -> f64 {
         let remaining_s = self.attempt_remaining_s(attempt, now);
         match self.jobs.get(&attempt.spec.id) {
             Some(job) => self.utility(job, now + remaining_s * 0.5) / remaining_s,
@@ -81,26 +81,26 @@
     }
 
     #[cfg(test)]
-    /// Time until a task of the group would end on a worker with these images,
-    /// were it started now.
-    pub(crate) fn completion_time_on(
+    /// Seconds until a task of the group would end on a worker with these images, if it
+    /// were started now.
+    pub(crate) fn time_to_completion_on_s(
         &self,
         group: &TaskGroup,
         worker: &Worker,
         images: &ImageCache,
         now: f64,
     ) -> f64 {
-        let rate = self
+        let fetch_gb_per_s = self
             .machine_types
             .get(&worker.machine_type)
             .map_or(f64::MAX, |t| t.fetch_gb_per_s);
         let spec = &group.job.spec;
-        let fetch_s = images.fetch_s(&spec.image, spec.image_gb, rate, now);
-        fetch_s + self.remaining_s(group.job, group.checkpoint_on(&worker.machine_type))
+        let fetch_s = images.fetch_s(&spec.image, spec.image_gb, fetch_gb_per_s, now);
+        fetch_s + self.remaining_s(group.job, group.checkpointed_s_on(&worker.machine_type))
     }
 
-    /// Jobs that fit into their team's guarantee together with the team's
-    /// earlier unfinished jobs.
+    /// Ids of the jobs whose unfinished tasks fit into their team's guarantee together
+    /// with those of all the team's jobs that were accepted earlier.
     pub(crate) fn jobs_within_guarantee(&self) -> HashSet<&str> {
         let mut jobs: Vec<&Job> = self.jobs.values().collect();
         jobs.sort_by(|a, b| a.accepted_at.total_cmp(&b.accepted_at));
@@ -119,43 +119,49 @@
         within_guarantee
     }
 
-    /// CPUs from which on machines are contended: the smallest machine size, above
-    /// the smallest of all, that some pending task needs at least.
-    pub(crate) fn contended_cpus(&self, groups: &[TaskGroup]) -> f64 {
+    /// Number of CPUs from which machines count as contended.
+    ///
+    /// For each pending group, take the CPUs of the smallest machine type that its tasks
+    /// fit. The result is the smallest of these that is larger than the smallest machine
+    /// type on offer; `f64::MAX` if all groups fit that one.
+    pub(crate) fn min_contended_cpus(&self, groups: &[TaskGroup]) -> f64 {
         let min_machine_cpus = self
             .machine_types
             .values()
             .map(|t| t.cpus)
             .fold(f64::MAX, f64::min);
-        let needs = groups.iter().map(|g| self.smallest_fitting_cpus(g.job));
-        needs
+        let smallest_fitting = groups.iter().map(|g| self.smallest_fitting_cpus(g.job));
+        smallest_fitting
             .filter(|cpus| *cpus > min_machine_cpus)
             .fold(f64::MAX, f64::min)
     }
 
-    /// Bin-packing cost of a placement, in seconds; it decides between workers
-    /// that are otherwise about as good. Small and full machines are cheaper, so
-    /// that large ones stay free for large tasks and machines fall empty.
-    /// Machines of `contended_cpus` or more cost more, and surplus ones most:
-    /// their use may cost another boot.
+    /// Bin-packing cost of a placement, in seconds. It decides between workers on which
+    /// the task would end at about the same time:
+    /// - Small machines and machines with few free CPUs are cheaper, so that large ones
+    ///   stay free for large tasks and others become empty.
+    /// - Machines with `min_contended_cpus` or more are penalized by the minimum remaining
+    ///   time.
+    /// - Surplus machines cost the most: they are penalized by the boot time of their type,
+    ///   since their use may make another boot necessary.
     pub(crate) fn packing_cost_s(
         &self,
         worker: &Worker,
         machine_type: &MachineType,
         free_cpus: f64,
-        largest_cpus: f64,
-        contended_cpus: f64,
+        max_machine_cpus: f64,
+        min_contended_cpus: f64,
     ) -> f64 {
         let mut penalty_s = if worker.surplus {
             machine_type.boot_s
         } else {
             0.0
         };
-        if machine_type.cpus >= contended_cpus {
+        if machine_type.cpus >= min_contended_cpus {
             penalty_s += self.config.min_remaining_s;
         }
         penalty_s
             + self.config.min_remaining_s * PACKING_WEIGHT * (machine_type.cpus + free_cpus)
-                / (2.0 * largest_cpus)
+                / (2.0 * max_machine_cpus)
     }
 }
--- a/crates/tallygauge-scheduler/src/runtime_estimates.rs
+++ b/crates/tallygauge-scheduler/src/runtime_estimates.rs
@@ -1,46 +1,52 @@
-//! Run times of completed tasks against what was expected: by class of jobs, and by
-//! machine.
+//! Compares the measured run times of completed tasks with the expected ones, by class
+//! of jobs, and with those on other machines, by machine.
 
 use crate::{cluster_state::ClusterState, model::*};
 
-/// Bounds of a single task's ratio of measured over expected run time.
+/// Lower and upper bound of a single task's ratio of measured to expected run time.
 const TASK_RATIO_BOUNDS: (f64, f64) = (0.1, 10.0);
 
-/// Bounds of a class's ratio.
+/// Lower and upper bound of a class's ratio of measured to expected run time.
 const CLASS_RATIO_BOUNDS: (f64, f64) = (0.4, 2.5);
 
-/// Weight that all earlier tasks of a class keep with each new one: the last fifty
-/// or so count.
-const DECAY: f64 = 0.98;
+/// Factor by which the weight of a class's earlier samples is multiplied with each new
+/// sample. The estimate is in effect over about the last 50 tasks.
+const SAMPLE_DECAY: f64 = 0.98;
 
-/// Tasks with a ratio of 1 that a class's mean is started with.
+/// Weight of the prior in a class's mean ratio, as a number of tasks with a ratio of 1.
 const PRIOR_TASKS: f64 = 5.0;
 
-/// Tasks of a job on other machines that a machine is compared with, at least.
+/// Minimum number of completed tasks of a job on other machines for a machine to be
+/// compared with them.
 const MIN_COMPARED_TASKS: u32 = 2;
 
-/// Decaying sum of the ratios of measured over expected run time of a class.
+/// Exponentially decaying mean of the ratio of measured to expected run time in a class.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct RuntimeRatio {
+    /// Decaying sum of the tasks' ratios.
     ratio_sum: f64,
-    count: f64,
+    /// Decaying number of the tasks.
+    weight_sum: f64,
 }
 
 impl RuntimeRatio {
     fn add(&mut self, ratio: f64) {
-        self.ratio_sum = self.ratio_sum * DECAY + ratio;
-        self.count = self.count * DECAY + 1.0;
+        self.ratio_sum = self.ratio_sum * SAMPLE_DECAY + ratio;
+        self.weight_sum = self.weight_sum * SAMPLE_DECAY + 1.0;
     }
 
-    /// The mean ratio, close to 1 while little is known.
+    /// The mean ratio, within [`CLASS_RATIO_BOUNDS`]; close to 1 as long as there are few
+    /// samples.
     fn estimate(&self) -> f64 {
-        ((self.ratio_sum + PRIOR_TASKS) / (self.count + PRIOR_TASKS))
+        ((self.ratio_sum + PRIOR_TASKS) / (self.weight_sum + PRIOR_TASKS))
             .clamp(CLASS_RATIO_BOUNDS.0, CLASS_RATIO_BOUNDS.1)
     }
 }
 
 impl ClusterState {
-    /// Records the run time of an attempt that completed its task.
+    /// Records the run time of an attempt that completed its task. Attempts without a
+    /// reliable run time or expectation are ignored: those placed by an earlier leader,
+    /// never seen running, or of a job without an expected run time.
     pub(crate) fn record_run_time(&mut self, attempt: &Attempt, machine: &str, now: f64) {
         let run_time_s = attempt.checkpointed_s + attempt.run_time_s(now);
         let expected_s = attempt.spec.expected_s;
@@ -52,12 +58,13 @@
             .entry(attempt.spec.class.clone())
             .or_default()
             .add(ratio);
-        self.compare_machine(attempt, machine, run_time_s);
+        self.compare_with_other_machines(attempt, machine, run_time_s);
     }
 
-    /// Compares a machine with others by tasks of the same job: owners' estimates
-    /// are wrong for whole jobs, for which no machine is to blame.
-    fn compare_machine(&mut self, attempt: &Attempt, machine: &str, run_time_s: f64) {
+    /// Compares the run time of a task with tasks of the same job on other machines. The
+    /// owner's estimate is not used here, since a wrong estimate applies to all tasks of
+    /// a job and says nothing about the machine.
+    fn compare_with_other_machines(&mut self, attempt: &Attempt, machine: &str, run_time_s: f64) {
         let Some(job) = self.jobs.get_mut(&attempt.spec.id) else {
             return;
         };
@@ -65,22 +72,23 @@
             .entry(machine.to_string())
             .or_default()
             .add(run_time_s);
-        let mut others = SampleSum::default();
+        let mut other_samples = SampleSum::default();
         for (other, samples) in &job.run_times_by_machine {
             if other != machine {
-                others.sum += samples.sum;
-                others.count += samples.count;
+                other_samples.sum += samples.sum;
+                other_samples.count += samples.count;
             }
         }
-        if others.count >= MIN_COMPARED_TASKS
-            && others.sum > 0.0
+        if other_samples.count >= MIN_COMPARED_TASKS
+            && other_samples.sum > 0.0
             && let Some(worker) = self.workers.get_mut(machine)
         {
-            worker.runtime_ratio.add(run_time_s / others.mean());
+            worker.runtime_ratio.add(run_time_s / other_samples.mean());
         }
     }
 
-    /// Measured over expected run time of a class, close to 1 while little is known.
+    /// Mean ratio of measured to expected run time in a class; close to 1 as long as there
+    /// are few samples.
     #[must_use]
     pub fn runtime_ratio(&self, class: &str) -> f64 {
         self.runtime_ratios
--- a/crates/tallygauge-scheduler/src/tests/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/tests/image_locality.rs
@@ -1,9 +1,10 @@
-//! Image locations across failovers, and the spread of replicas.
+//! Tests of image locations across leader failovers, and of the spread of replicas.
 
 use super::*;
 
-/// A service whose image takes two minutes to fetch.
-fn model(number: usize, replicas: u32) -> JobSpec {
+/// A service with an 18 GB image, which takes 60 s to fetch at the 0.3 GB/s of a large
+/// machine.
+fn service_spec(number: usize, replicas: u32) -> JobSpec {
     let mut spec = spec(number, replicas, 3.0);
     spec.shape = Shape::Service;
     spec.expected_s = 0.0;
@@ -13,11 +14,13 @@
     spec
 }
 
+/// Adds an image to what the scheduler believes a machine has cached.
 fn cache_image(cluster: &mut ClusterState, machine: &str, image: &str, gb: f64) {
     let worker = cluster.workers.get_mut(machine).unwrap();
     worker.images.cached.push((image.into(), gb));
 }
 
+/// A cluster whose teams' CPU limits exceed what any of these tests use.
 fn cluster_without_limits(machines: &[&str]) -> ClusterState {
     let mut cluster = cluster(machines, 100.0);
     for team in &mut cluster.config.teams {
@@ -26,23 +29,24 @@
     cluster
 }
 
-// Regression: a new leader knew only the images of recorded attempts, and had others
-// fetched again although machines had them cached.
+// Regression: a new leader knew only the images of recorded attempts. It placed tasks that
+// need other images on machines without them, which then fetched images that other
+// machines had cached.
 #[test]
 fn new_leader_restores_image_locations() {
-    let names = ["l-1", "l-2", "l-3", "l-4"];
-    let mut old = cluster_without_limits(&names);
+    let machines = ["l-1", "l-2", "l-3", "l-4"];
+    let mut old = cluster_without_limits(&machines);
     cache_image(&mut old, "l-3", "llm", 18.0);
     cache_image(&mut old, "l-4", "small", 0.1);
     let mut cluster = ClusterState::new(config(), 200.0, 16, 4096);
     cluster.set_machine_types(&types());
-    for part in old.image_locations(1.0, 2000, 2) {
-        assert_eq!(cluster.restore_image_locations(&part), 0);
+    for shard in old.image_locations(1.0, 2000, 2) {
+        assert_eq!(cluster.restore_image_locations(&shard), 0);
     }
-    for (seq, name) in (1..).zip(names) {
+    for (seq, machine) in (1..).zip(machines) {
         cluster.apply_heartbeat(
             200.0,
-            &report(name, 1, seq, TERM, vec![]),
+            &report(machine, 1, seq, TERM, vec![]),
             HeartbeatSource::Periodic,
         );
     }
@@ -52,14 +56,15 @@
     );
     assert!(
         cluster.workers["l-4"].images.cached.is_empty(),
-        "not worth a record"
+        "an image fetched in less than a second is not recorded"
     );
-    cluster.add_job(model(1, 1), 1, 200.0, &RangeSet::default());
+    cluster.add_job(service_spec(1, 1), 1, 200.0, &RangeSet::default());
     assert_eq!(
         round(&mut cluster, 200.0),
         [("req-1".to_string(), 0, "l-3".to_string())]
     );
-    // A wrong belief costs seconds: the report that shows the fetch corrects it.
+    // If the image is missing on the machine after all, the heartbeat that reports the
+    // fetch corrects the expected location.
     let attempt = start_of(&cluster, "l-3", 200.0)[0].1;
     let fetching = vec![task("req-1/0", attempt, TaskState::Fetching, None)];
     cluster.apply_heartbeat(
@@ -70,108 +75,129 @@
     let images = &cluster.workers["l-3"].images;
     assert!(images.fetch_s("llm", 18.0, 0.3, 201.0) > 50.0);
     let locations = cluster.image_locations(1.0, 2000, 2);
-    let mut next = ClusterState::new(config(), 300.0, 16, 4096);
+    let mut next_leader = ClusterState::new(config(), 300.0, 16, 4096);
     locations
         .iter()
-        .for_each(|p| assert_eq!(next.restore_image_locations(p), 0));
-    next.register_machine("l-3", "large", "b", false, "x", 300.0);
-    assert!(next.workers["l-3"].images.cached.is_empty());
+        .for_each(|shard| assert_eq!(next_leader.restore_image_locations(shard), 0));
+    next_leader.register_machine("l-3", "large", "b", false, "x", 300.0);
+    assert!(next_leader.workers["l-3"].images.cached.is_empty());
 }
 
-/// Replicas by machine after a round.
-fn placed(cluster: &mut ClusterState) -> BTreeMap<String, u32> {
-    let mut on = BTreeMap::new();
+/// Runs a round and returns the number of placed replicas by machine.
+fn place_replicas(cluster: &mut ClusterState) -> BTreeMap<String, u32> {
+    let mut by_machine = BTreeMap::new();
     for (_, _, worker) in round(cluster, 100.0) {
-        *on.entry(worker).or_default() += 1;
+        *by_machine.entry(worker).or_default() += 1;
     }
-    on
+    by_machine
 }
 
-fn in_zone(on: &BTreeMap<String, u32>, zone: &str) -> u32 {
-    on.iter().filter(|o| o.0.ends_with(zone)).map(|o| o.1).sum()
+/// Number of replicas in a zone, which is the last character of a machine's name.
+fn in_zone(by_machine: &BTreeMap<String, u32>, zone: &str) -> u32 {
+    by_machine
+        .iter()
+        .filter(|entry| entry.0.ends_with(zone))
+        .map(|entry| entry.1)
+        .sum()
 }
 
-// Regression: all replicas went to the one machine that had the image cached, and its
-// failure ended them all.
+// Regression: all replicas were placed on the one machine that had the image cached, so
+// that its failure ended them all.
 #[test]
 fn replicas_use_cached_images_and_are_spread() {
     let names = ["l1a", "l2a", "l3a", "l4b", "l5b", "l6b"];
     let mut cluster = cluster_without_limits(&names);
     cache_image(&mut cluster, "l1a", "llm", 18.0);
     cache_image(&mut cluster, "l4b", "llm", 18.0);
-    cluster.add_job(model(1, 6), 1, 100.0, &RangeSet::default());
-    let on = placed(&mut cluster);
-    // A fetch takes a minute, a replica at risk is worth half of one.
-    assert_eq!((on["l1a"], on["l4b"]), (3, 3), "{on:?}");
-    // All warm copies in one zone: the other gets its share all the same.
+    cluster.add_job(service_spec(1, 6), 1, 100.0, &RangeSet::default());
+    let by_machine = place_replicas(&mut cluster);
+    // A fetch takes 60 s. A replica at risk costs 30 s, half as much, so the replicas stay
+    // on the two machines with the image.
+    assert_eq!(
+        (by_machine["l1a"], by_machine["l4b"]),
+        (3, 3),
+        "{by_machine:?}"
+    );
+    // With a risk weight of 60 s, zone b gets its share of the replicas even though only
+    // machines in zone a have the image cached.
     let mut cluster = cluster_without_limits(&names);
-    for name in ["l1a", "l2a", "l3a"] {
-        cache_image(&mut cluster, name, "llm", 18.0);
+    for machine in ["l1a", "l2a", "l3a"] {
+        cache_image(&mut cluster, machine, "llm", 18.0);
     }
     cluster.config.replica_spread.risk_s = 60.0;
-    cluster.add_job(model(1, 6), 1, 100.0, &RangeSet::default());
-    let on = placed(&mut cluster);
-    assert!((3..=4).contains(&in_zone(&on, "a")), "{on:?}");
-    assert!(on.values().all(|n| *n <= 2), "{on:?}");
-    // With no weight on risk the fetch alone counts.
+    cluster.add_job(service_spec(1, 6), 1, 100.0, &RangeSet::default());
+    let by_machine = place_replicas(&mut cluster);
+    assert!(
+        (3..=4).contains(&in_zone(&by_machine, "a")),
+        "{by_machine:?}"
+    );
+    assert!(
+        by_machine.values().all(|count| *count <= 2),
+        "{by_machine:?}"
+    );
+    // With a risk weight of 0 only the fetch time counts.
     let mut cluster = cluster_without_limits(&names);
     cache_image(&mut cluster, "l2a", "llm", 18.0);
     cluster.config.replica_spread.risk_s = 0.0;
-    cluster.add_job(model(1, 5), 1, 100.0, &RangeSet::default());
+    cluster.add_job(service_spec(1, 5), 1, 100.0, &RangeSet::default());
     assert_eq!(
-        placed(&mut cluster),
+        place_replicas(&mut cluster),
         BTreeMap::from([("l2a".to_string(), 5)])
     );
 }
 
-// A job bound to one zone is not spread over zones.
+// A service restricted to one zone is not spread over zones.
 #[test]
 fn one_zone_constraint_is_respected() {
     let mut cluster = cluster_without_limits(&["l1a", "l2a", "l3b", "l4b"]);
-    let mut spec = model(1, 4);
+    let mut spec = service_spec(1, 4);
     spec.one_zone = true;
     cluster.add_job(spec, 1, 100.0, &RangeSet::default());
-    let on = placed(&mut cluster);
-    assert_eq!(on.values().sum::<u32>(), 4);
-    assert!(in_zone(&on, "a") == 4 || in_zone(&on, "b") == 4, "{on:?}");
+    let by_machine = place_replicas(&mut cluster);
+    assert_eq!(by_machine.values().sum::<u32>(), 4);
+    assert!(
+        in_zone(&by_machine, "a") == 4 || in_zone(&by_machine, "b") == 4,
+        "{by_machine:?}"
+    );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: proptest::test_runner::RngSeed::Fixed(61), failure_persistence: None, ..ProptestConfig::default() })]
-    // The heaps' choice is that of looking at every machine for every replica.
+    // The choice by candidate heaps must equal that of a search over all machines for each
+    // replica.
     #[test]
     fn each_replica_goes_to_the_cheapest_machine(
-        warm in prop::collection::vec(any::<bool>(), 8), replicas in 1u32..12, risk in 0.0f64..120.0,
+        has_image in prop::collection::vec(any::<bool>(), 8), replicas in 1u32..12, risk_s in 0.0f64..120.0,
     ) {
         let names = ["l1a", "l2b", "l3a", "l4b", "l5a", "l6b", "l7a", "l8a"];
         let mut cluster = cluster_without_limits(&names);
-        cluster.config.replica_spread.risk_s = risk;
-        for (name, warm) in names.iter().zip(&warm) {
-            if *warm { cache_image(&mut cluster, name, "llm", 18.0); }
+        cluster.config.replica_spread.risk_s = risk_s;
+        for (name, has_image) in names.iter().zip(&has_image) {
+            if *has_image { cache_image(&mut cluster, name, "llm", 18.0); }
         }
-        cluster.add_job(model(1, replicas), 1, 100.0, &RangeSet::default());
-        let (mut on, mut expected) = (BTreeMap::<&str, u32>::new(), Vec::new());
-        let mut images = cluster.workers.clone();
-        let of_type = cluster.machine_types["large"].clone();
-        for n in 0..replicas {
+        cluster.add_job(service_spec(1, replicas), 1, 100.0, &RangeSet::default());
+        let (mut by_machine, mut expected) = (BTreeMap::<&str, u32>::new(), Vec::new());
+        let mut workers = cluster.workers.clone();
+        let machine_type = cluster.machine_types["large"].clone();
+        for replica in 0..replicas {
             let cost = |name: &&str| {
-                let w = &images[*name];
-                let here = on.get(name).copied().unwrap_or(0);
+                let worker = &workers[*name];
+                let on_machine = by_machine.get(name).copied().unwrap_or(0);
                 let zone = &name[name.len() - 1..];
-                let there: u32 = on.iter().filter(|o| o.0.ends_with(zone)).map(|o| *o.1).sum();
-                let even = (n + 1).div_ceil(2);
-                let free = 16.0 - f64::from(here) * 3.0;
-                let fetch = w.images.fetch_s("llm", 18.0, of_type.fetch_gb_per_s, 100.0);
-                fetch + cluster.packing_cost_s(w, &of_type, free, 16.0, f64::MAX)
-                    + risk * f64::from(here + (there + 1).saturating_sub(even))
+                let in_zone: u32 = by_machine.iter().filter(|entry| entry.0.ends_with(zone)).map(|entry| *entry.1).sum();
+                let even_share = (replica + 1).div_ceil(2);
+                let free_cpus = 16.0 - f64::from(on_machine) * 3.0;
+                let fetch_s = worker.images.fetch_s("llm", 18.0, machine_type.fetch_gb_per_s, 100.0);
+                fetch_s + cluster.packing_cost_s(worker, &machine_type, free_cpus, 16.0, f64::MAX)
+                    + risk_s * f64::from(on_machine + (in_zone + 1).saturating_sub(even_share))
             };
-            let best = names.iter().filter(|n| on.get(*n).copied().unwrap_or(0) < 5);
-            let best = best.min_by(|a, b| cost(a).total_cmp(&cost(b)).then(a.cmp(b))).unwrap();
-            *on.entry(*best).or_default() += 1;
-            images.get_mut(*best).unwrap().images.request(&model(1, 1), &of_type, 100.0);
-            expected.push(((*best).to_string(), n));
+            let with_room = names.iter().filter(|name| by_machine.get(*name).copied().unwrap_or(0) < 5);
+            let best = with_room.min_by(|a, b| cost(a).total_cmp(&cost(b)).then(a.cmp(b))).unwrap();
+            *by_machine.entry(*best).or_default() += 1;
+            workers.get_mut(*best).unwrap().images.request(&service_spec(1, 1), &machine_type, 100.0);
+            expected.push(((*best).to_string(), replica));
         }
-        let real: Vec<(String, u32)> = round(&mut cluster, 100.0).into_iter().map(|p| (p.2, p.1)).collect();
-        prop_assert_eq!(real, expected);
+        let actual: Vec<(String, u32)> = round(&mut cluster, 100.0).into_iter().map(|placement| (placement.2, placement.1)).collect();
+        prop_assert_eq!(actual, expected);
     }
 }
--- a/crates/tallygauge-scheduler/src/tests/preemption.rs
+++ b/crates/tallygauge-scheduler/src/tests/preemption.rs
@@ -1,7 +1,9 @@
-//! Preemption, and placement constraints.
+//! Tests of preemption and of placement constraints.
 
 use super::*;
 
+/// Preemption stops the running attempt with the lowest utility per time, once, and the
+/// new task starts only after the stop is confirmed.
 #[test]
 fn preemption_stops_lowest_upt_and_waits_for_its_end() {
     let mut cluster = cluster(&["sa"], 100.0);
@@ -10,17 +12,17 @@
     cluster.add_job(low, 1, 90.0, &RangeSet::default());
     assert_eq!(round(&mut cluster, 100.0).len(), 2);
     let started: Vec<(String, u64)> = start_of(&cluster, "sa", 100.0);
-    // One is nearly done: its UPT is the greater.
-    let run = |seq| {
+    let running_report = |seq| {
         let tasks = started
             .iter()
-            .map(|h| task(&h.0, h.1, TaskState::Running, None))
+            .map(|start| task(&start.0, start.1, TaskState::Running, None))
             .collect();
         report("sa", 1, seq, TERM, tasks)
     };
-    cluster.apply_heartbeat(101.0, &run(5), HeartbeatSource::Periodic);
-    for h in &mut cluster.workers.get_mut("sa").unwrap().attempts {
-        h.running_since = Some(if h.index == 0 { 66.0 } else { 99.0 });
+    cluster.apply_heartbeat(101.0, &running_report(5), HeartbeatSource::Periodic);
+    // Task 0 is almost done and so has the higher utility per time.
+    for attempt in &mut cluster.workers.get_mut("sa").unwrap().attempts {
+        attempt.running_since = Some(if attempt.index == 0 { 66.0 } else { 99.0 });
     }
     let mut high = spec(2, 1, 2.0);
     high.priority = Priority::High;
@@ -34,34 +36,36 @@
         matches!(&stops[..], [Command::Stop { task, grace_s, .. }] if task == "req-1/1" && *grace_s >= 2.0),
         "{stops:?}"
     );
-    // Resources that are being freed are not freed twice.
+    // The next round counts the resources that are being freed and preempts nothing more.
     round(&mut cluster, 101.5);
     assert_eq!(
         cluster.workers["sa"]
             .attempts
             .iter()
-            .filter(|h| h.stop.is_some())
+            .filter(|attempt| attempt.stop.is_some())
             .count(),
         1
     );
-    let mut ended = run(6);
-    for t in &mut ended.tasks {
-        if t.task == "req-1/1" {
-            (t.state, t.cause, t.checkpointed) =
+    let mut ended_report = running_report(6);
+    for status in &mut ended_report.tasks {
+        if status.task == "req-1/1" {
+            (status.state, status.cause, status.checkpointed) =
                 (TaskState::Ended, Some(EndCause::Halted), Some(true));
         }
     }
-    cluster.apply_heartbeat(103.0, &ended, HeartbeatSource::Periodic);
+    cluster.apply_heartbeat(103.0, &ended_report, HeartbeatSource::Periodic);
     assert_eq!(
         round(&mut cluster, 103.0),
         vec![("req-2".to_string(), 0, "sa".to_string())]
     );
     assert!(
         cluster.jobs["req-1"].resumable[&1].checkpointed_s > 3.0,
-        "its progress is kept"
+        "the checkpoint of the preempted task is kept"
     );
 }
 
+/// A task that runs for longer than expected must not keep the utility per time of one
+/// that is almost done, or it could never be preempted.
 #[test]
 fn overrun_task_loses_utility_per_time() {
     let mut cluster = cluster(&["sa"], 100.0);
@@ -70,48 +74,54 @@
     let attempt = &mut cluster.workers.get_mut("sa").unwrap().attempts[0];
     attempt.running_since = Some(100.0);
     let attempt = attempt.clone();
-    let almost_done = cluster.upt_running(&attempt, 138.0);
+    let almost_done = cluster.running_upt(&attempt, 138.0);
     assert!(
-        cluster.upt_running(&attempt, 160.0) < almost_done,
-        "40 s expected, 60 s run"
+        cluster.running_upt(&attempt, 160.0) < almost_done,
+        "expected to run for 40 s, has run for 60 s"
     );
-    assert!(cluster.upt_running(&attempt, 400.0) < cluster.upt_running(&attempt, 160.0));
+    assert!(cluster.running_upt(&attempt, 400.0) < cluster.running_upt(&attempt, 160.0));
 }
 
 #[test]
 fn zone_and_spot_constraints_are_respected() {
     let mut cluster = cluster(&["sa", "s2b", "ss3b"], 100.0);
-    let mut one = spec(1, 3, 3.0);
-    one.one_zone = true;
+    let mut one_zone = spec(1, 3, 3.0);
+    one_zone.one_zone = true;
     let mut spread = spec(2, 4, 0.5);
     spread.spread = true;
-    let mut kind = spec(3, 1, 0.5);
-    (kind.spot, kind.zone) = (false, Some("b".into()));
-    for s in [one, spread, kind] {
-        cluster.add_job(s, 1, 90.0, &RangeSet::default());
+    let mut on_demand_in_b = spec(3, 1, 0.5);
+    (on_demand_in_b.spot, on_demand_in_b.zone) = (false, Some("b".into()));
+    for spec in [one_zone, spread, on_demand_in_b] {
+        cluster.add_job(spec, 1, 90.0, &RangeSet::default());
     }
     let placed = round(&mut cluster, 100.0);
-    let zones = |id: &str| -> Vec<char> {
+    let zones_of = |id: &str| -> Vec<char> {
         placed
             .iter()
-            .filter(|p| p.0 == id)
-            .filter_map(|p| p.2.chars().last())
+            .filter(|placement| placement.0 == id)
+            .filter_map(|placement| placement.2.chars().last())
             .collect()
     };
-    let one = zones("req-1");
+    let zones_of_first = zones_of("req-1");
     assert!(
-        !one.is_empty() && one.iter().all(|z| *z == one[0]),
-        "{one:?}"
+        !zones_of_first.is_empty() && zones_of_first.iter().all(|zone| *zone == zones_of_first[0]),
+        "{zones_of_first:?}"
     );
-    assert_eq!(zones("req-2").iter().filter(|z| **z == 'a').count(), 2);
-    // Every name here has an s, so all machines count as spot ones.
-    assert!(zones("req-3").is_empty());
+    assert_eq!(
+        zones_of("req-2")
+            .iter()
+            .filter(|zone| **zone == 'a')
+            .count(),
+        2
+    );
+    // All machines have an `s` in their names, so all are spot instances.
+    assert!(zones_of("req-3").is_empty());
 }
 
+/// Regression: attempts were preempted for every pending task of a job, including those
+/// that the team's limit did not allow to start.
 #[test]
 fn preemption_for_one_job_stays_within_team_limit() {
-    // Regression: attempts were preempted for every pending task, even beyond the
-    // team's limit.
     let mut cluster = cluster(&["l1a", "l2b"], 100.0);
     cluster.config.teams[1].max_cpus = 4.0;
     let mut low = spec(1, 16, 2.0);
@@ -119,15 +129,15 @@
     cluster.config.teams[0].max_cpus = 100.0;
     cluster.add_job(low, 1, 90.0, &RangeSet::default());
     assert_eq!(round(&mut cluster, 100.0).len(), 16);
-    for (seq, m) in ["l1a", "l2b"].into_iter().enumerate() {
-        let running = start_of(&cluster, m, 100.0);
+    for (seq, machine) in ["l1a", "l2b"].into_iter().enumerate() {
+        let running = start_of(&cluster, machine, 100.0);
         let running = running
             .iter()
-            .map(|h| task(&h.0, h.1, TaskState::Running, None))
+            .map(|start| task(&start.0, start.1, TaskState::Running, None))
             .collect();
         cluster.apply_heartbeat(
             101.0,
-            &report(m, 1, 5 + seq as u64, TERM, running),
+            &report(machine, 1, 5 + seq as u64, TERM, running),
             HeartbeatSource::Periodic,
         );
     }
@@ -135,19 +145,19 @@
     (high.priority, high.team) = (Priority::High, "blue".into());
     cluster.add_job(high, 1, 101.0, &RangeSet::default());
     round(&mut cluster, 102.0);
-    let stops = |cluster: &ClusterState| {
+    let stop_count = |cluster: &ClusterState| {
         let attempts = cluster.workers.values().flat_map(|w| &w.attempts);
-        attempts.filter(|h| h.stop.is_some()).count()
+        attempts.filter(|attempt| attempt.stop.is_some()).count()
     };
     assert_eq!(
-        stops(&cluster),
+        stop_count(&cluster),
         2,
-        "four CPUs may be used, two tasks hold them"
+        "the team may use 4 CPUs, which two running tasks of 2 CPUs hold"
     );
     round(&mut cluster, 102.5);
     assert_eq!(
-        stops(&cluster),
+        stop_count(&cluster),
         2,
-        "resources that are being freed are not freed twice"
+        "the next round preempts nothing more while resources are being freed"
     );
 }
--- a/crates/tallygauge-scheduler/src/tests/reference_model.rs
+++ b/crates/tallygauge-scheduler/src/tests/reference_model.rs
@@ -1,9 +1,11 @@
-//! The mapping against a slow and simple model of the algorithm, as in its paper.
+//! Compares the mapping with a reference model: a slow, direct implementation of the
+//! algorithm as published.
 
 use super::*;
 
 /// Greedy placement by utility per time: scores every pending task on every machine,
-/// places the best pair, and starts over.
+/// places the best pair, and repeats this until nothing can be placed. Returns job,
+/// number of the task and machine of each placement, in order.
 pub(super) fn reference_placements(cluster: &ClusterState, now: f64) -> Vec<(String, u32, String)> {
     let mut model = ReferenceModel::new(cluster, now);
     model.place_by_upt();
@@ -14,15 +16,20 @@
 pub(super) struct ReferenceModel<'a> {
     pub(super) cluster: &'a ClusterState,
     pub(super) now: f64,
-    pub(super) free: BTreeMap<String, Resources>,
+    /// Free resources of the usable workers, by machine.
+    pub(super) free_resources: BTreeMap<String, Resources>,
     pub(super) workers: HashMap<String, Worker>,
     /// CPUs that attempts use, by team.
     pub(super) cpus_used: Vec<f64>,
+    /// Job and number of each pending task.
     pub(super) pending: Vec<(String, u32)>,
-    pub(super) largest: f64,
-    pub(super) contended: f64,
-    /// The task that is placed is the overdue first one of its job.
+    /// CPUs of the largest machine type.
+    pub(super) max_machine_cpus: f64,
+    /// Machines with at least this many CPUs are contended.
+    pub(super) min_contended_cpus: f64,
+    /// Whether the task to place next is the overdue first task of its job.
     pub(super) is_overdue_start: bool,
+    /// Job, number of the task and machine of each placement, in order.
     pub(super) placements: Vec<(String, u32, String)>,
 }
 
@@ -32,32 +39,33 @@
             .workers
             .values()
             .filter(|w| w.accepts_work(now, &cluster.config));
-        let team = |t: &TeamConfig| {
+        let cpus_used_by = |team: &TeamConfig| {
             let attempts = cluster.workers.values().flat_map(|w| &w.attempts);
             attempts
-                .filter(|h| h.occupies_capacity() && h.spec.team == t.name)
-                .map(|h| h.spec.cpus)
+                .filter(|attempt| attempt.occupies_capacity() && attempt.spec.team == team.name)
+                .map(|attempt| attempt.spec.cpus)
                 .sum()
         };
-        let pending = cluster.jobs.values().flat_map(|j| {
-            let tasks = j.pending.iter().map(|i| (j.spec.id.clone(), i));
+        let pending = cluster.jobs.values().flat_map(|job| {
+            let tasks = job.pending.iter().map(|index| (job.spec.id.clone(), index));
             tasks.collect::<Vec<_>>()
         });
         Self {
             cluster,
             now,
-            free: usable.map(|w| (w.name.clone(), w.free_resources)).collect(),
+            free_resources: usable.map(|w| (w.name.clone(), w.free_resources)).collect(),
             workers: cluster.workers.clone().into_iter().collect(),
-            cpus_used: cluster.config.teams.iter().map(team).collect(),
+            cpus_used: cluster.config.teams.iter().map(cpus_used_by).collect(),
             pending: pending.collect(),
-            largest: types().iter().map(|t| t.cpus).fold(0.0, f64::max),
-            contended: cluster.contended_cpus(&cluster.pending_groups(now).groups),
+            max_machine_cpus: types().iter().map(|t| t.cpus).fold(0.0, f64::max),
+            min_contended_cpus: cluster.min_contended_cpus(&cluster.pending_groups(now).groups),
             is_overdue_start: false,
             placements: Vec::new(),
         }
     }
 
-    /// The best machine for a task of the job, and its UPT there.
+    /// The task's utility per time on the best machine for a task of the job, and the
+    /// name of that machine.
     pub(super) fn best_machine(&self, id: &str) -> Option<(f64, String)> {
         let (cluster, job) = (self.cluster, &self.cluster.jobs[id]);
         if self.cpus_used[job.team] + job.spec.cpus > cluster.config.teams[job.team].max_cpus + 1e-9
@@ -70,14 +78,19 @@
         };
         let has_claim = cluster.minimum_share.claims.contains_key(id);
         let mut best: Option<(f64, f64, String)> = None;
-        for (name, free) in &self.free {
-            let w = &self.workers[name];
-            let reserved = cluster.minimum_share.reserved.get(name);
+        for (name, free) in &self.free_resources {
+            let worker = &self.workers[name];
+            let reservation = cluster.minimum_share.reserved.get(name);
             if free.cpus + 1e-9 < job.spec.cpus
                 || free.memory_gb + 1e-9 < job.spec.memory_gb
-                || !job.allows(&w.machine_type, &w.zone, w.spot, &job.attempts_by_zone)
-                || reserved.is_some_and(|a| {
-                    !(has_claim || self.is_overdue_start) || job.spec.cpus < a.min_task_cpus
+                || !job.allows(
+                    &worker.machine_type,
+                    &worker.zone,
+                    worker.spot,
+                    &job.attempts_by_zone,
+                )
+                || reservation.is_some_and(|r| {
+                    !(has_claim || self.is_overdue_start) || job.spec.cpus < r.min_task_cpus
                 })
                 || cluster
                     .start_deadlines
@@ -89,93 +102,113 @@
             {
                 continue;
             }
-            let time = cluster.completion_time_on(&group, w, &w.images, self.now);
-            let of_type = &cluster.machine_types[&w.machine_type];
-            let contended_cpus = if cluster.smallest_fitting_cpus(job) < self.contended {
-                self.contended
+            let time_s = cluster.time_to_completion_on_s(&group, worker, &worker.images, self.now);
+            let machine_type = &cluster.machine_types[&worker.machine_type];
+            let min_contended_cpus = if cluster.smallest_fitting_cpus(job) < self.min_contended_cpus
+            {
+                self.min_contended_cpus
             } else {
                 f64::MAX
             };
-            let score =
-                time + cluster.packing_cost_s(w, of_type, free.cpus, self.largest, contended_cpus);
-            if best.as_ref().is_none_or(|b| score < b.0) {
-                let upt = cluster.ordering_utility(job, self.now + time * 0.5) / time;
-                best = Some((score, upt, name.clone()));
+            let cost_s = time_s
+                + cluster.packing_cost_s(
+                    worker,
+                    machine_type,
+                    free.cpus,
+                    self.max_machine_cpus,
+                    min_contended_cpus,
+                );
+            if best.as_ref().is_none_or(|b| cost_s < b.0) {
+                let upt = cluster.ordering_utility(job, self.now + time_s * 0.5) / time_s;
+                best = Some((cost_s, upt, name.clone()));
             }
         }
         best.map(|b| (b.1, b.2))
     }
 
-    pub(super) fn start(&mut self, at: usize, name: String) {
-        let (id, index) = self.pending.remove(at);
+    /// Places the pending task at index `pending_index` on a machine.
+    pub(super) fn start(&mut self, pending_index: usize, name: String) {
+        let (id, index) = self.pending.remove(pending_index);
         let job = &self.cluster.jobs[&id];
         self.cpus_used[job.team] += job.spec.cpus;
-        let free = self.free.get_mut(&name).unwrap();
+        let free = self.free_resources.get_mut(&name).unwrap();
         free.cpus -= job.spec.cpus;
         free.memory_gb -= job.spec.memory_gb;
-        let w = self.workers.get_mut(&name).unwrap();
-        let t = types();
-        let t = t.iter().find(|t| t.name == w.machine_type).unwrap();
-        w.images.request(&job.spec, t, self.now);
+        let worker = self.workers.get_mut(&name).unwrap();
+        let machine_types = types();
+        let machine_type = machine_types
+            .iter()
+            .find(|t| t.name == worker.machine_type)
+            .unwrap();
+        worker.images.request(&job.spec, machine_type, self.now);
         self.placements.push((id, index, name));
     }
 
+    /// Places pending tasks in the placement order, until none of them fits any machine.
     pub(super) fn place_by_upt(&mut self) {
-        let within = self.cluster.jobs_within_guarantee();
+        let within_guarantee = self.cluster.jobs_within_guarantee();
         loop {
             let mut best: Option<(bool, f64, f64, usize, String)> = None;
-            for (at, (id, _)) in self.pending.iter().enumerate() {
+            for (pending_index, (id, _)) in self.pending.iter().enumerate() {
                 let Some((upt, name)) = self.best_machine(id) else {
                     continue;
                 };
                 let key = (
-                    within.contains(id.as_str()),
+                    within_guarantee.contains(id.as_str()),
                     upt,
                     -self.cluster.jobs[id].accepted_at,
                 );
-                let better = best.as_ref().is_none_or(|b| {
+                let is_better = best.as_ref().is_none_or(|b| {
                     key.0
                         .cmp(&b.0)
                         .then(key.1.total_cmp(&b.1))
                         .then(key.2.total_cmp(&b.2))
                         .is_gt()
                 });
-                if better {
-                    best = Some((key.0, key.1, key.2, at, name));
+                if is_better {
+                    best = Some((key.0, key.1, key.2, pending_index, name));
                 }
             }
-            let Some((_, _, _, at, name)) = best else {
+            let Some((_, _, _, pending_index, name)) = best else {
                 return;
             };
-            self.start(at, name);
+            self.start(pending_index, name);
         }
     }
 }
 
-/// A generated job: tasks, half CPUs, priority, image, run time, whether it is of team
-/// blue, whether it may use spot machines, deadline.
+/// A generated job, in this order:
+/// - number of tasks;
+/// - CPUs of a task, in units of 0.5;
+/// - index of the priority, lowest first;
+/// - number of the image;
+/// - expected run time of a task, in seconds;
+/// - whether its team is `blue` instead of `red`;
+/// - whether it may use spot instances;
+/// - deadline, in seconds.
 pub(super) type GeneratedJob = (u32, u32, u8, u8, f64, bool, bool, Option<f64>);
 
-/// Specification of a generated job, with a multiple of its tasks.
-pub(super) fn generated_spec(number: usize, job: GeneratedJob, times: u32) -> JobSpec {
-    let (tasks, cpus, priority, image, expected, blue, spot, deadline) = job;
-    let mut s = spec(number, tasks * times, f64::from(cpus) * 0.5);
-    s.priority = [
+/// Specification of a generated job with `task_factor` times its number of tasks.
+pub(super) fn generated_spec(number: usize, job: GeneratedJob, task_factor: u32) -> JobSpec {
+    let (tasks, half_cpus, priority, image, expected_s, is_blue, spot, deadline_s) = job;
+    let mut spec = spec(number, tasks * task_factor, f64::from(half_cpus) * 0.5);
+    spec.priority = [
         Priority::Low,
         Priority::Normal,
         Priority::High,
         Priority::Production,
     ][usize::from(priority)];
-    s.image = format!("i{image}");
-    s.expected_s = expected;
-    s.spot = spot;
-    s.deadline_s = deadline;
-    if blue {
-        s.team = "blue".into();
+    spec.image = format!("i{image}");
+    spec.expected_s = expected_s;
+    spec.spot = spot;
+    spec.deadline_s = deadline_s;
+    if is_blue {
+        spec.team = "blue".into();
     }
-    s
+    spec
 }
 
+/// Generates a [`GeneratedJob`].
 pub(super) fn any_job() -> impl Strategy<Value = GeneratedJob> {
     (
         1u32..7,
@@ -191,6 +224,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
+    // A round must make the same placements in the same order as the reference model.
     #[test]
     fn mapping_equals_reference_model(jobs in prop::collection::vec(any_job(), 1..9), machines in 1usize..7) {
         let names = ["sa", "l1a", "l2b", "ssa", "s3b", "l4a"];
@@ -200,64 +234,67 @@
         }
         let expected = reference_placements(&cluster, 100.0);
         cluster.run_round(100.0, false);
-        let mut real: Vec<(u64, (String, u32, String))> = cluster.workers.values().flat_map(|w| w.attempts.iter().map(|h| (h.number, (h.spec.id.clone(), h.index, w.name.clone())))).collect();
-        real.sort();
-        prop_assert_eq!(real.into_iter().map(|r| r.1).collect::<Vec<_>>(), expected);
+        let mut actual: Vec<(u64, (String, u32, String))> = cluster.workers.values().flat_map(|worker| worker.attempts.iter().map(|attempt| (attempt.number, (attempt.spec.id.clone(), attempt.index, worker.name.clone())))).collect();
+        actual.sort();
+        prop_assert_eq!(actual.into_iter().map(|numbered| numbered.1).collect::<Vec<_>>(), expected);
     }
 
+    // Invariants of the cluster state's accounting, whatever the heartbeats report: completed,
+    // failed and missing tasks, and restarted agents.
     #[test]
     fn usage_and_free_resources_add_up_after_any_heartbeats(steps in prop::collection::vec((0u8..6, 0usize..3), 1..60)) {
         let names = ["sa", "l1a", "l2b"];
         let mut cluster = cluster(&names, 100.0);
         for n in 0..4 { cluster.add_job(spec(n, 5, 1.5), 1, 0.0, &RangeSet::default()); }
         let (mut now, mut sequence, mut incarnations) = (100.0, 10, [1u64; 3]);
-        for (what, at) in steps {
+        for (event, machine_index) in steps {
             now += 1.0;
             sequence += 1;
-            let name = names[at];
-            let mut tasks: Vec<TaskStatus> = cluster.workers[name].attempts.iter().filter(|h| h.phase != AttemptPhase::Planned).map(|h| match h.phase {
-                AttemptPhase::Ended(cause) => task(&h.task_name(), h.number, TaskState::Ended, Some(cause)),
-                _ => task(&h.task_name(), h.number, TaskState::Running, None),
+            let name = names[machine_index];
+            let mut tasks: Vec<TaskStatus> = cluster.workers[name].attempts.iter().filter(|attempt| attempt.phase != AttemptPhase::Planned).map(|attempt| match attempt.phase {
+                AttemptPhase::Ended(cause) => task(&attempt.task_name(), attempt.number, TaskState::Ended, Some(cause)),
+                _ => task(&attempt.task_name(), attempt.number, TaskState::Running, None),
             }).collect();
-            match what {
+            match event {
                 0 => { round(&mut cluster, now); }
-                1 => incarnations[at] += 1,
-                2 => if let Some(t) = tasks.first_mut() { (t.state, t.cause) = (TaskState::Ended, Some(EndCause::Done)); },
-                3 => if let Some(t) = tasks.first_mut() { (t.state, t.cause) = (TaskState::Ended, Some(EndCause::Error)); },
+                1 => incarnations[machine_index] += 1,
+                2 => if let Some(status) = tasks.first_mut() { (status.state, status.cause) = (TaskState::Ended, Some(EndCause::Done)); },
+                3 => if let Some(status) = tasks.first_mut() { (status.state, status.cause) = (TaskState::Ended, Some(EndCause::Error)); },
                 4 => { tasks.pop(); }
                 _ => cluster.advance_time(now),
             }
-            if what == 1 { tasks.clear(); }
-            cluster.apply_heartbeat(now, &report(name, incarnations[at], sequence, TERM, tasks), HeartbeatSource::Periodic);
-            for w in cluster.workers.values() {
-                let full = if w.machine_type == "large" { 16.0 } else { 4.0 };
-                let used_cpus: f64 = w.attempts.iter().filter(|h| h.occupies_capacity()).map(|h| h.spec.cpus).sum();
-                prop_assert!((full - used_cpus - w.free_resources.cpus).abs() < 1e-6);
-                prop_assert!(w.free_resources.cpus > -1e-6, "{} is overcommitted", w.name);
+            if event == 1 { tasks.clear(); }
+            cluster.apply_heartbeat(now, &report(name, incarnations[machine_index], sequence, TERM, tasks), HeartbeatSource::Periodic);
+            for worker in cluster.workers.values() {
+                let total_cpus = if worker.machine_type == "large" { 16.0 } else { 4.0 };
+                let used_cpus: f64 = worker.attempts.iter().filter(|attempt| attempt.occupies_capacity()).map(|attempt| attempt.spec.cpus).sum();
+                prop_assert!((total_cpus - used_cpus - worker.free_resources.cpus).abs() < 1e-6);
+                prop_assert!(worker.free_resources.cpus > -1e-6, "{} is overcommitted", worker.name);
             }
-            // A batch is live exactly while an attempt of it occupies capacity.
+            // A batch is live if and only if one of its attempts occupies capacity.
             for (batch, count) in &cluster.live_attempts_by_batch {
-                let live = cluster.workers.values().flat_map(|w| &w.attempts).filter(|h| h.occupies_capacity() && h.batch.as_ref() == Some(batch)).count();
+                let live = cluster.workers.values().flat_map(|w| &w.attempts).filter(|attempt| attempt.occupies_capacity() && attempt.batch.as_ref() == Some(batch)).count();
                 prop_assert_eq!(*count as usize, live);
                 prop_assert!(!cluster.obsolete_batches.contains(batch));
             }
-            let red_cpus: f64 = cluster.workers.values().flat_map(|w| &w.attempts).filter(|h| h.occupies_capacity()).map(|h| h.spec.cpus).sum();
+            let red_cpus: f64 = cluster.workers.values().flat_map(|w| &w.attempts).filter(|attempt| attempt.occupies_capacity()).map(|attempt| attempt.spec.cpus).sum();
             prop_assert!((cluster.quota_usage[0].cpus - red_cpus).abs() < 1e-6 && red_cpus <= 24.0 + 1e-6);
-            for j in cluster.jobs.values() {
-                // Every task is done, on a machine, or pending; none is lost or duplicated.
-                let waits = j.pending.len() + j.resumable.len() as u32;
-                prop_assert_eq!(j.completed.len() + j.attempts_by_task.len() as u32 + waits, j.spec.tasks);
-                // The index of a job's attempts by worker equals a search.
-                for w in cluster.workers.values() {
-                    let there = w.attempts.iter().filter(|h| h.spec.id == j.spec.id).count() as u32;
-                    prop_assert_eq!(j.attempts_by_worker.get(&w.name).copied().unwrap_or(0), there);
+            for job in cluster.jobs.values() {
+                // Every task is in exactly one state: completed, on a machine, or pending.
+                let pending_tasks = job.pending.len() + job.resumable.len() as u32;
+                prop_assert_eq!(job.completed.len() + job.attempts_by_task.len() as u32 + pending_tasks, job.spec.tasks);
+                // The job's number of attempts by worker equals a count on the workers.
+                for worker in cluster.workers.values() {
+                    let on_worker = worker.attempts.iter().filter(|attempt| attempt.spec.id == job.spec.id).count() as u32;
+                    prop_assert_eq!(job.attempts_by_worker.get(&worker.name).copied().unwrap_or(0), on_worker);
                 }
             }
         }
     }
 }
 
-/// Names of machines of both types and zones, spot and on-demand.
+/// Names of `count` machines: of both types, in both zones, spot and on-demand. See
+/// [`report`] for what a name says of its machine.
 pub(super) fn mixed_machine_names(count: usize) -> Vec<String> {
     let kinds = ["s{}a", "s{}b", "l{}a", "l{}b", "ss{}a", "ls{}b"];
     (0..count)
@@ -267,7 +304,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 12, rng_seed: proptest::test_runner::RngSeed::Fixed(23), failure_persistence: None, ..ProptestConfig::default() })]
-    // The candidate heaps must not drift from the plain order after many placements.
+    // The candidate heaps must still give the reference model's order after many placements.
     #[test]
     fn mapping_equals_reference_model_on_larger_cluster(jobs in prop::collection::vec(any_job(), 20..30)) {
         let names = mixed_machine_names(40);
@@ -280,8 +317,8 @@
         let expected = reference_placements(&cluster, 100.0);
         prop_assert!(expected.len() > 50);
         cluster.run_round(100.0, false);
-        let mut real: Vec<(u64, (String, u32, String))> = cluster.workers.values().flat_map(|w| w.attempts.iter().map(|h| (h.number, (h.spec.id.clone(), h.index, w.name.clone())))).collect();
-        real.sort();
-        prop_assert_eq!(real.into_iter().map(|r| r.1).collect::<Vec<_>>(), expected);
+        let mut actual: Vec<(u64, (String, u32, String))> = cluster.workers.values().flat_map(|worker| worker.attempts.iter().map(|attempt| (attempt.number, (attempt.spec.id.clone(), attempt.index, worker.name.clone())))).collect();
+        actual.sort();
+        prop_assert_eq!(actual.into_iter().map(|numbered| numbered.1).collect::<Vec<_>>(), expected);
     }
 }
