--- a/crates/tallygauge-scheduler/src/mapping/candidates.rs
+++ b/crates/tallygauge-scheduler/src/mapping/candidates.rs
@@ -33,9 +33,9 @@
         let reserved_for_claims = slot
             .reservation
             .is_some_and(|r| cpus < r.min_task_cpus || !entry.has_precedence());
-        let reserved_for_starts = slot.start_reservation.is_some_and(|min_task_cpus| {
-            cpus < min_task_cpus || entry.overdue_start_order.is_none()
-        });
+        let reserved_for_starts = slot
+            .start_reservation
+            .is_some_and(|min_cpus| cpus < min_cpus || entry.overdue_start_order.is_none());
         if reserved_for_claims || reserved_for_starts {
             return false;
         }
