--- a/crates/tallygauge-scheduler/src/mapping/candidates.rs
+++ b/crates/tallygauge-scheduler/src/mapping/candidates.rs
@@ -107,7 +107,7 @@
             && self
                 .unplaceable_requests
                 .iter()
-                .any(|e| e.covers(&entry.job.spec))
+                .any(|request| request.covers(&entry.job.spec))
     }
 
     /// Remembers that no machine fits a task of the job, unless that may be due to the
@@ -160,8 +160,8 @@
         slot.type_index * self.zones.len() + slot.zone_index
     }
 
-    /// CPUs of the smallest machine that the job should leave to jobs which need it;
-    /// `f64::MAX` if no smaller machine fits the job.
+    /// Number of CPUs from which machines should be left to jobs that need them;
+    /// `f64::MAX` if no smaller machine fits this job.
     fn min_contended_cpus_for(&self, job: &Job) -> f64 {
         if self.cluster.smallest_fitting_cpus(job) < self.min_contended_cpus {
             self.min_contended_cpus
--- a/crates/tallygauge-scheduler/src/mapping/preemption.rs
+++ b/crates/tallygauge-scheduler/src/mapping/preemption.rs
@@ -163,9 +163,9 @@
         self.cluster.utility(pending.group.job, self.now) / remaining_s
     }
 
-    /// Reserves resources that are being freed for tasks of the group's job, and then
-    /// preempts running attempts, on the cheapest slots first, for the tasks that are
-    /// left without a reservation.
+    /// Makes room for pending tasks of the group's job: first reserves for them what is
+    /// already being freed on slots, then preempts running attempts for the tasks without
+    /// such a reservation, on the cheapest slots first.
     ///
     /// `headroom` is the number of tasks that the team's limit allows. Done once per
     /// round and job, for all of the job's pending tasks.
--- a/crates/tallygauge-scheduler/src/mapping/round.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round.rs
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Indices of the groups, of jobs near their start deadline, that are not in
-    /// `fully_placed` and are not resumable tasks. Sorted by the jobs' time of acceptance.
+    /// Indices of the groups of jobs near their start deadline, sorted by the jobs' time of
+    /// acceptance. Leaves out resumable tasks and the groups in `fully_placed`.
     fn groups_near_start_deadline(
         &self,
         pending: &[PendingGroup<'a>],
@@ -269,11 +269,11 @@
     /// groups separately.
     fn queue_claimed_groups(
         &self,
-        pending: Vec<PendingGroup<'a>>,
+        pending_groups: Vec<PendingGroup<'a>>,
     ) -> (ClaimQueues<'a>, Vec<PendingGroup<'a>>) {
         let mut queues = ClaimQueues::new();
-        let mut rest = Vec::with_capacity(pending.len());
-        for pending in pending {
+        let mut rest = Vec::with_capacity(pending_groups.len());
+        for pending in pending_groups {
             let Some(claim) = self.jobs[pending.job_index].claim else {
                 rest.push(pending);
                 continue;
@@ -316,8 +316,8 @@
         next.map(|(_, queue)| queue)
     }
 
-    /// Places tasks in the placement order, which is by descending utility per time
-    /// within and beyond the teams' guarantees.
+    /// Places tasks in descending [`PlacementOrder`]: those within their team's guarantee
+    /// first, then by utility per time.
     fn place_by_upt(&mut self, pending: Vec<PendingGroup<'a>>, preempt: bool) {
         let mut heap: BinaryHeap<QueuedGroup> = pending
             .into_iter()
--- a/crates/tallygauge-scheduler/src/mapping/round_state.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round_state.rs
@@ -74,7 +74,8 @@
     pub(super) pending_placed: usize,
     /// Number of tasks of `Job::resumable` placed in this round.
     pub(super) resumables_placed: usize,
-    /// Whether preemption was already tried for the job, which is done once per round.
+    /// Whether preemption was already tried for the job, which is done once per round;
+    /// preemption for its overdue first task does not count.
     pub(super) preemption_tried: bool,
 }
 
--- a/crates/tallygauge-scheduler/src/runtime_estimates.rs
+++ b/crates/tallygauge-scheduler/src/runtime_estimates.rs
@@ -1,5 +1,5 @@
-//! Compares the measured run times of completed tasks with the expected ones, by class
-//! of jobs, and with those on other machines, by machine.
+//! Compares the measured run times of completed tasks: for each class of jobs with the
+//! expected run times, and for each machine with those on other machines.
 
 use crate::{cluster_state::ClusterState, model::*};
 
--- a/crates/tallygauge-scheduler/src/tests/preemption.rs
+++ b/crates/tallygauge-scheduler/src/tests/preemption.rs
@@ -82,6 +82,8 @@
     assert!(cluster.running_upt(&attempt, 400.0) < cluster.running_upt(&attempt, 160.0));
 }
 
+/// A round must place no task against its job's constraints: all tasks in one zone, at
+/// most half of them in a zone, no spot instances.
 #[test]
 fn zone_and_spot_constraints_are_respected() {
     let mut cluster = cluster(&["sa", "s2b", "ss3b"], 100.0);
--- a/crates/tallygauge-scheduler/src/tests/reference_model.rs
+++ b/crates/tallygauge-scheduler/src/tests/reference_model.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// The task's utility per time on the best machine for a task of the job, and the
-    /// name of that machine.
+    /// Utility per time of a task of the job on its best machine, and the name of that
+    /// machine; `None` if the task can't be placed.
     pub(super) fn best_machine(&self, id: &str) -> Option<(f64, String)> {
         let (cluster, job) = (self.cluster, &self.cluster.jobs[id]);
         if self.cpus_used[job.team] + job.spec.cpus > cluster.config.teams[job.team].max_cpus + 1e-9
@@ -144,7 +144,7 @@
         self.placements.push((id, index, name));
     }
 
-    /// Places pending tasks in the placement order, until none of them fits any machine.
+    /// Places pending tasks in the placement order, until none of them can be placed.
     pub(super) fn place_by_upt(&mut self) {
         let within_guarantee = self.cluster.jobs_within_guarantee();
         loop {
