--- a/crates/tallygauge-scheduler/examples/overload/day/mod.rs
+++ b/crates/tallygauge-scheduler/examples/overload/day/mod.rs
@@ -128,7 +128,7 @@
             self.cluster.advance_time(now);
             let started_at = Instant::now();
             self.cluster.select_underserved(now);
-            self.cluster.find_overdue_starts(now);
+            self.cluster.update_start_claims(now);
             self.elections.push(started_at.elapsed().as_secs_f64());
         }
         self.run_round(now);
--- a/crates/tallygauge-scheduler/src/start_deadline/mod.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/mod.rs
@@ -65,7 +65,7 @@
 impl ClusterState {
     /// Finds the jobs that are near their start deadline. To be called about four
     /// times a heartbeat interval.
-    pub fn find_overdue_starts(&mut self, now: f64) {
+    pub fn update_start_claims(&mut self, now: f64) {
         let bound_s = self.config.minimum_share.start_within_s;
         if bound_s <= 0.0 {
             return;
--- a/crates/tallygauge-scheduler/src/tests/start_deadline.rs
+++ b/crates/tallygauge-scheduler/src/tests/start_deadline.rs
@@ -82,7 +82,7 @@
         cluster.select_underserved(201.0);
         cluster.minimum_share.claims.clear();
         cluster.minimum_share.reserved.clear();
-        cluster.find_overdue_starts(201.0);
+        cluster.update_start_claims(201.0);
         let expected = plain_with_start_claims(&cluster, 201.0);
         cluster.run_round(201.0, false);
         let mut real: Vec<(u64, (String, u32, String))> = cluster.workers.values().flat_map(|w| w.attempts.iter().filter(|h| h.phase == AttemptPhase::Planned).map(|h| (h.number, (h.spec.id.clone(), h.index, w.name.clone())))).collect();
@@ -175,7 +175,7 @@
         }
         cluster.config.minimum_share.share = 1e-9;
         cluster.select_underserved(now);
-        cluster.find_overdue_starts(now);
+        cluster.update_start_claims(now);
         round(&mut cluster, now);
         let job = &cluster.jobs["req-1"];
         if job.started {
@@ -226,11 +226,11 @@
     for n in 3..9 {
         cluster.add_job(spec(n, 1, 1.0), 1, 40.0, &RangeSet::default());
     }
-    cluster.find_overdue_starts(180.0);
+    cluster.update_start_claims(180.0);
     assert!(
         cluster.start_deadlines.claims.is_empty() && cluster.start_deadlines.reserved.is_empty()
     );
-    cluster.find_overdue_starts(221.0);
+    cluster.update_start_claims(221.0);
     assert_eq!(
         cluster.start_deadlines.claims.keys().collect::<Vec<_>>(),
         ["req-1"]
@@ -245,7 +245,7 @@
     assert_eq!(cluster.start_claim_order("req-1"), Some(0));
     round(&mut cluster, 221.0);
     assert_eq!(cluster.start_claim_order("req-1"), None);
-    cluster.find_overdue_starts(222.0);
+    cluster.update_start_claims(222.0);
     assert!(
         cluster.start_deadlines.claims.contains_key("req-1"),
         "not for 30 s yet: protected"
@@ -253,7 +253,7 @@
     assert_eq!(cluster.start_claim_order("req-1"), None);
     // When hardly anything is left, the others come as well, unless somebody is
     // behind.
-    cluster.find_overdue_starts(245.0);
+    cluster.update_start_claims(245.0);
     assert_eq!(
         cluster
             .start_deadlines
@@ -270,7 +270,7 @@
         order: 0,
     };
     cluster.minimum_share.claims.insert("req-1".into(), claim);
-    cluster.find_overdue_starts(246.0);
+    cluster.update_start_claims(246.0);
     assert!(cluster.start_deadlines.claims.values().all(|t| t.large));
 }
 
@@ -298,7 +298,7 @@
         order: 0,
     };
     cluster.minimum_share.claims.insert("req-1".into(), claim);
-    cluster.find_overdue_starts(245.0);
+    cluster.update_start_claims(245.0);
     let others = cluster
         .start_deadlines
         .claims
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -95,7 +95,7 @@
     controller.with_cluster(|cluster| {
         cluster.advance_time(now);
         cluster.select_underserved(now);
-        cluster.find_overdue_starts(now);
+        cluster.update_start_claims(now);
         cluster.update_deadline_risk(now);
     });
 }
