--- a/crates/tallygauge-scheduler/src/mapping/round.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round.rs
@@ -199,7 +199,7 @@
             .filter(|(index, p)| !placed.contains(index) && p.group.resumable.is_none())
             .filter_map(|(index, p)| {
                 let claim = claims.get(&p.group.job.spec.id)?;
-                claim.near_deadline.then_some((claim.order, index))
+                claim.prioritizes_all_tasks.then_some((claim.order, index))
             })
             .collect();
         near.sort_unstable();
--- a/crates/tallygauge-scheduler/src/start_deadline/mod.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/mod.rs
@@ -97,8 +97,9 @@
                 order: u32::try_from(claims.len()).unwrap_or(u32::MAX),
                 needs_first_start: !tasks.has_live_attempt && job.completed.is_empty(),
                 large,
-                near_deadline: large && near_deadline_ages.contains(&(now - job.accepted_at)),
-                attempts_when_found: job.attempts_by_task.len(),
+                prioritizes_all_tasks: large
+                    && near_deadline_ages.contains(&(now - job.accepted_at)),
+                attempts_when_claimed: job.attempts_by_task.len(),
             };
             claims.insert(id, claim);
         }
@@ -170,7 +171,8 @@
         let claims = &self.start_deadlines.claims;
         let claim = claims.get(id).filter(|c| c.needs_first_start)?;
         // One task that was placed since is enough.
-        let has_new_attempt = self.jobs.get(id)?.attempts_by_task.len() > claim.attempts_when_found;
+        let has_new_attempt =
+            self.jobs.get(id)?.attempts_by_task.len() > claim.attempts_when_claimed;
         (!has_new_attempt).then_some(claim.order)
     }
 
--- a/crates/tallygauge-scheduler/src/start_deadline/state.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/state.rs
@@ -13,9 +13,9 @@
     pub(crate) large: bool,
     /// It is large and little time is left: all its tasks that never ran have
     /// priority.
-    pub(crate) near_deadline: bool,
+    pub(crate) prioritizes_all_tasks: bool,
     /// How many of its tasks were on machines when the claim was made.
-    pub(crate) attempts_when_found: usize,
+    pub(crate) attempts_when_claimed: usize,
 }
 
 /// Jobs that are near their start deadline.
--- a/crates/tallygauge-scheduler/src/tests/start_deadline.rs
+++ b/crates/tallygauge-scheduler/src/tests/start_deadline.rs
@@ -13,7 +13,8 @@
     let mut claims: Vec<(&String, &crate::start_deadline::state::StartClaim)> =
         cluster.start_deadlines.claims.iter().collect();
     claims.retain(|t| {
-        t.1.needs_first_start && cluster.jobs[t.0].attempts_by_task.len() <= t.1.attempts_when_found
+        t.1.needs_first_start
+            && cluster.jobs[t.0].attempts_by_task.len() <= t.1.attempts_when_claimed
     });
     claims.sort_by_key(|t| t.1.order);
     for (id, _) in claims {
@@ -48,7 +49,7 @@
         left -= cluster.jobs[*id].attempts_by_task.len() as f64 * cluster.jobs[*id].spec.cpus;
     }
     near.sort_by_key(|t| t.1.order);
-    for (id, _) in near.into_iter().filter(|t| t.1.near_deadline) {
+    for (id, _) in near.into_iter().filter(|t| t.1.prioritizes_all_tasks) {
         while left > 0.0
             && let Some(at) = model.waiting.iter().position(|w| w.0 == *id)
             && let Some((_, name)) = model.best_machine(id)
