--- a/crates/tallygauge-scheduler/src/minimum_share/backlog.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/backlog.rs
@@ -1,4 +1,4 @@
-//! How long it takes to do all open work.
+//! Estimates how long it takes to do all open work.
 
 use crate::{cluster_state::ClusterState, model::*};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,13 +7,13 @@
 #[derive(Clone, Copy)]
 pub(super) struct OpenJob<'a> {
     pub(super) job: &'a Job,
-    /// CPU-seconds until its last task is done.
+    /// CPU-seconds of work left until its last task is done.
     pub(super) remaining_cpu_s: f64,
-    /// Group of its class's largest jobs, if it is one of them.
+    /// Group id of the largest jobs of its class, if it is one of them.
     pub(super) largest_group: Option<usize>,
 }
 
-/// A kind of machine.
+/// A kind of machine that exists or that can be rented.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AvailableKind<'a> {
     pub(super) machine_type: &'a str,
@@ -21,33 +21,36 @@
     pub(super) spot: bool,
 }
 
-/// Seconds for all work that needs machines of at least a size.
+/// Backlog of the work that needs machines of at least a size.
 struct SizeBacklog {
-    /// CPUs of the machines.
+    /// Minimum CPUs of such a machine.
     machine_cpus: f64,
+    /// Seconds until all that work is done.
     seconds: f64,
 }
 
-/// How long it takes to do all open work, by what bounds it: the team's limit,
-/// the machines that are large enough, a zone.
+/// How long it takes to do all open work, by each resource that limits the rate: the
+/// team's quota, the machines that are large enough, and the machines in a zone.
 pub(super) struct Backlog<'a> {
-    /// CPUs that each team can have at most.
+    /// Maximum CPUs that each team can use: its quota, or all machines if that is less.
     pub(super) max_cpus_by_team: Vec<f64>,
     seconds_by_team: Vec<f64>,
     seconds_by_machine_size: Vec<SizeBacklog>,
     seconds_by_zone: BTreeMap<String, f64>,
-    /// Kinds of machines that there are or that can be rented.
+    /// Kinds of machines that exist or that can be rented.
     pub(super) available_kinds: BTreeSet<AvailableKind<'a>>,
 }
 
 impl Backlog<'_> {
-    /// Seconds until all work that is bound as the job is would be done. `min_cpus`
-    /// are those of the smallest machine that fits its tasks.
-    pub(super) fn seconds(&self, job: &Job, min_cpus: f64) -> f64 {
+    /// Seconds until all work that is limited by the same resources as the job would be
+    /// done: the longest of the backlogs of its team, of the machines that fit its
+    /// tasks, and of its zone. `min_machine_cpus` is the size of the smallest machine
+    /// that fits its tasks.
+    pub(super) fn seconds(&self, job: &Job, min_machine_cpus: f64) -> f64 {
         let by_size = self
             .seconds_by_machine_size
             .iter()
-            .filter(|s| s.machine_cpus <= min_cpus)
+            .filter(|s| s.machine_cpus <= min_machine_cpus)
             .map(|s| s.seconds)
             .fold(0.0, f64::max);
         let zone = job.spec.zone.as_ref();
@@ -58,27 +61,26 @@
     }
 }
 
-/// CPUs of the machines that there are or that are booting.
+/// CPUs of the machines that accept work or are booting.
 struct Capacity<'a> {
     total_cpus: f64,
-    /// CPUs of machines of at least each size, in the order of the sizes.
+    /// CPUs of the machines of at least each size, by ascending size.
     cpus_by_size: Vec<f64>,
     cpus_by_zone: BTreeMap<&'a str, f64>,
     /// Kinds of machines that accept work.
     usable_kinds: BTreeSet<AvailableKind<'a>>,
 }
 
-/// CPU-seconds of open work.
+/// CPU-seconds of open work, by what limits it.
 struct Work {
     by_team: Vec<f64>,
-    /// Work that needs machines of at least each size, in the order of the sizes.
+    /// Work that needs machines of at least each size, by ascending size.
     by_size: Vec<f64>,
     by_zone: BTreeMap<String, f64>,
 }
 
 impl ClusterState {
-    /// How long all open work takes on the machines that there are or that are
-    /// booting.
+    /// How long all open work takes on the machines that accept work or are booting.
     pub(super) fn backlog(&self, open_jobs: &[OpenJob], now: f64) -> Backlog<'_> {
         let machine_sizes = self.machine_sizes();
         let capacity = self.backlog_capacity(&machine_sizes, now);
@@ -97,13 +99,13 @@
                 .zip(by_size)
                 .map(|(machine_cpus, (cpu_s, cpus))| SizeBacklog {
                     machine_cpus: *machine_cpus,
-                    seconds: seconds_for(*cpu_s, *cpus),
+                    seconds: seconds_to_finish(*cpu_s, *cpus),
                 })
                 .collect(),
             seconds_by_zone: by_zone
                 .map(|(zone, cpu_s)| {
                     let cpus = capacity.cpus_by_zone.get(zone.as_str()).copied();
-                    (zone, seconds_for(cpu_s, cpus.unwrap_or(0.0)))
+                    (zone, seconds_to_finish(cpu_s, cpus.unwrap_or(0.0)))
                 })
                 .collect(),
             max_cpus_by_team,
@@ -111,7 +113,7 @@
         }
     }
 
-    /// CPUs of the machine types, each size once, ascending.
+    /// The distinct sizes of machine types, in CPUs, ascending.
     fn machine_sizes(&self) -> Vec<f64> {
         let mut sizes: Vec<f64> = self.machine_types.values().map(|t| t.cpus).collect();
         sizes.sort_by(f64::total_cmp);
@@ -160,9 +162,9 @@
         };
         for open in open_jobs {
             work.by_team[open.job.team] += open.remaining_cpu_s;
-            let min_cpus = self.smallest_fitting_cpus(open.job);
+            let min_machine_cpus = self.smallest_fitting_cpus(open.job);
             for (size, cpu_s) in machine_sizes.iter().zip(&mut work.by_size) {
-                if *size <= min_cpus {
+                if *size <= min_machine_cpus {
                     *cpu_s += open.remaining_cpu_s;
                 }
             }
@@ -173,7 +175,7 @@
         work
     }
 
-    /// The usable kinds, and those that the cloud has not refused of late.
+    /// The usable kinds, and those that the cloud has not refused recently.
     fn available_kinds<'a>(
         &'a self,
         usable: BTreeSet<AvailableKind<'a>>,
@@ -201,8 +203,8 @@
     }
 }
 
-/// Seconds that work takes on so many CPUs.
-fn seconds_for(cpu_s: f64, cpus: f64) -> f64 {
+/// Seconds that `cpu_s` CPU-seconds of work take on `cpus` CPUs.
+fn seconds_to_finish(cpu_s: f64, cpus: f64) -> f64 {
     if cpu_s > 0.0 {
         cpu_s / cpus.max(EPSILON)
     } else {
--- a/crates/tallygauge-scheduler/src/minimum_share/group_status.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/group_status.rs
@@ -1,24 +1,24 @@
-//! How each class and team is served, for operators.
+//! Status of each class and team under the minimum share, for operators.
 
 use crate::cluster_state::ClusterState;
 use tallygauge_fairness::{Counts, GroupKey, Shortfall};
 
-/// How a class of jobs or a team is served.
+/// How the jobs of a class, of a team, or the largest jobs of a class are served.
 #[derive(Debug, Clone)]
 pub struct GroupStatus<'a> {
-    /// The class or team.
+    /// The class, the team, or the largest jobs of a class.
     pub key: &'a GroupKey,
-    /// Its jobs that are done or cancelled.
+    /// Numbers of its jobs that are done or cancelled.
     pub counts: &'a Counts,
     /// Number of open jobs.
     pub open: u32,
-    /// Open jobs of which a task has run.
+    /// Number of open jobs of which at least one task has run.
     pub started: u32,
-    /// What it is short of.
+    /// How many jobs it is short of its shares, as of the last selection.
     pub shortfall: Shortfall,
 }
 
-/// Number of open jobs of a group.
+/// Numbers of open jobs of a group.
 #[derive(Clone, Copy, Default)]
 struct OpenCounts {
     open: u32,
@@ -32,7 +32,8 @@
         self.minimum_share.reserved.len()
     }
 
-    /// How each class and each team is served, in the order of their keys.
+    /// Status of each class, of each team, and of the largest jobs of each class, in the
+    /// order of their keys.
     #[must_use]
     pub fn group_statuses(&self) -> Vec<GroupStatus<'_>> {
         let service_counts = &self.minimum_share.service_counts;
@@ -54,6 +55,7 @@
         statuses
     }
 
+    /// Numbers of open jobs by group id.
     fn open_counts_by_group(&self) -> Vec<OpenCounts> {
         let group_count = self.minimum_share.service_counts.keys().len();
         let mut counts = vec![OpenCounts::default(); group_count];
--- a/crates/tallygauge-scheduler/src/minimum_share/mod.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/mod.rs
@@ -1,10 +1,12 @@
-//! Minimum share: no class of jobs and no team falls below a share of its jobs
-//! done.
+//! Minimum share: under overload, every class of jobs and every team still gets at
+//! least a configured share of its jobs done.
 //!
-//! Periodically, [`selection`] finds the classes and teams that are underserved
-//! and selects jobs that get priority for them, from how long the [`backlog`]
-//! takes; [`reservations`] keeps machines free for those of their tasks that are
-//! larger than others; [`group_status`] reports to operators.
+//! - [`backlog`] estimates how long all open work takes.
+//! - [`selection`] runs periodically. It uses that estimate to find the underserved
+//!   classes and teams, and selects jobs of theirs that get priority.
+//! - [`reservations`] reserves machines for those of the selected jobs whose tasks are
+//!   larger than other pending tasks.
+//! - [`group_status`] reports to operators how each class and team is served.
 
 mod backlog;
 mod group_status;
@@ -17,22 +19,25 @@
 use crate::{cluster_state::ClusterState, model::*};
 use tallygauge_fairness::{GroupIds, GroupKind, JobEnd, JobSize, ServiceCountsRecord};
 
-/// Time within which a job should be served whose class has no service-level
-/// objective and that has no deadline, in boot and run times.
-const DEFAULT_DEADLINE_RUNS: f64 = 4.0;
+/// Service deadline of a job that has no deadline of its own and whose class has no
+/// service-level objective, as a multiple of the longest boot time plus the job's
+/// expected run time.
+const DEFAULT_DEADLINE_FACTOR: f64 = 4.0;
 
-/// Part of its run time that is left of a running task, on average.
-const RUNNING_TASK_LEFT: f64 = 0.5;
+/// Fraction of its run time that a running task still has ahead of it, on average.
+const RUNNING_TASK_REMAINING_FRACTION: f64 = 0.5;
 
 impl Job {
-    /// Its size by tasks, by CPU time, and by CPUs of a task.
+    /// Size of the job by each measure: number of tasks, total CPU-seconds, and CPUs
+    /// per task.
     pub(crate) fn size(&self) -> JobSize {
         let tasks = f64::from(self.spec.tasks);
         let cpu_s_per_task = self.spec.cpus * self.spec.expected_s;
         [tasks, tasks * cpu_s_per_task, self.spec.cpus]
     }
 
-    /// The groups that it counts for whatever its size.
+    /// The groups that the job counts for regardless of its size: its class and its
+    /// team.
     pub(crate) fn groups(&self) -> GroupIds {
         let [class, team] = self.group_ids;
         GroupIds {
@@ -44,29 +49,30 @@
 }
 
 impl ClusterState {
-    /// Sets the time of day at `now`, so that counts fit those of other leaders.
+    /// Sets the time of day at `now`, so that the time windows of service counts match
+    /// those of other leaders.
     pub fn set_time_of_day(&mut self, now: f64, time_of_day: f64) {
         self.minimum_share.time_of_day_offset = time_of_day - now;
     }
 
-    /// Time of day at `now`, in seconds.
+    /// Time of day at `now` of the steady clock, in seconds.
     pub(crate) fn time_of_day(&self, now: f64) -> f64 {
         now + self.minimum_share.time_of_day_offset
     }
 
     /// Restores the service counts that an earlier leader recorded. Returns `false`
-    /// if this version doesn't know the record's format.
+    /// if the format of the record is unknown to this version.
     pub fn restore_service_counts(&mut self, record: ServiceCountsRecord) -> bool {
         self.minimum_share.service_counts.restore(record)
     }
 
-    /// A record of the service counts of at most `max_bytes`.
+    /// A record of the service counts, of at most `max_bytes`.
     #[must_use]
     pub fn service_counts_record(&self, max_bytes: usize) -> ServiceCountsRecord {
         self.minimum_share.service_counts.to_record(max_bytes)
     }
 
-    /// Group ids of a class and a team in the service counts.
+    /// Group ids in the service counts: of the class, then of the team.
     pub(crate) fn group_ids(&mut self, class: &str, team: &str) -> [usize; 2] {
         let service_counts = &mut self.minimum_share.service_counts;
         [
@@ -75,7 +81,8 @@
         ]
     }
 
-    /// Counts a job that is removed as done or cancelled, and drops its claims.
+    /// Counts a job that is being removed, as done or cancelled, and drops its priority
+    /// claim and its start claim.
     pub(crate) fn record_job_end(&mut self, job: &Job, now: f64) {
         let end = if job.is_complete() {
             let late = now - job.accepted_at > self.service_deadline_s(job);
@@ -99,24 +106,25 @@
         self.start_deadlines.claims.remove(&job.spec.id);
     }
 
-    /// Seconds after its acceptance within which a job is served in time, by the
-    /// loosest of its objectives.
+    /// Service deadline of a job: the seconds after its acceptance within which it
+    /// counts as served in time. The loosest of its own deadline and the objective of
+    /// its class applies.
     pub(crate) fn service_deadline_s(&self, job: &Job) -> f64 {
         let objective = self.config.objectives.get(&job.spec.class);
         let deadline_factor = objective.and_then(|o| o.deadline_factor).unwrap_or(1.0);
-        let own_s = job.spec.deadline_s.map(|d| d * deadline_factor);
-        let class_s = objective.and_then(|o| o.within_s);
-        own_s
+        let job_deadline_s = job.spec.deadline_s.map(|d| d * deadline_factor);
+        let class_objective_s = objective.and_then(|o| o.within_s);
+        job_deadline_s
             .into_iter()
-            .chain(class_s)
+            .chain(class_objective_s)
             .reduce(f64::max)
             .unwrap_or_else(|| {
                 let run_s = job.spec.expected_s.max(self.config.min_remaining_s);
-                (self.max_boot_s() + run_s) * DEFAULT_DEADLINE_RUNS
+                (self.max_boot_s() + run_s) * DEFAULT_DEADLINE_FACTOR
             })
     }
 
-    /// CPU-seconds until the last task of a job is done.
+    /// Estimated CPU-seconds of work that is left until the last task of a job is done.
     pub(crate) fn remaining_cpu_s(&self, job: &Job) -> f64 {
         let run_s = self.remaining_s(job, 0.0);
         let resumable_s: f64 = job
@@ -124,12 +132,12 @@
             .values()
             .map(|r| self.remaining_s(job, r.checkpointed_s))
             .sum();
-        let on_machines = u32::try_from(job.attempts_by_task.len()).unwrap_or(u32::MAX);
-        let on_machines_s = f64::from(on_machines) * run_s * RUNNING_TASK_LEFT;
-        (f64::from(job.pending.len()) * run_s + resumable_s + on_machines_s) * job.spec.cpus
+        let attempt_count = u32::try_from(job.attempts_by_task.len()).unwrap_or(u32::MAX);
+        let attempts_s = f64::from(attempt_count) * run_s * RUNNING_TASK_REMAINING_FRACTION;
+        (f64::from(job.pending.len()) * run_s + resumable_s + attempts_s) * job.spec.cpus
     }
 
-    /// CPUs of the smallest pending task.
+    /// CPUs of the smallest pending task; `f64::MAX` if no task is pending.
     pub(crate) fn smallest_pending_cpus(&self) -> f64 {
         let pending = self.jobs.values().filter(|j| j.has_pending_tasks());
         pending.map(|j| j.spec.cpus).fold(f64::MAX, f64::min)
--- a/crates/tallygauge-scheduler/src/minimum_share/reservations.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/reservations.rs
@@ -4,18 +4,22 @@
 use crate::{cluster_state::ClusterState, model::*};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A usable machine, and the CPU-seconds until work without priority has left it.
+/// A usable machine and its load by work that has no priority.
 struct MachineLoad<'a> {
     worker: &'a Worker,
-    other_cpu_s: f64,
+    /// CPU-seconds that attempts of jobs without a priority claim still take on it.
+    unprioritized_cpu_s: f64,
 }
 
 impl ClusterState {
-    /// Reserves machines for tasks of the selected jobs that are larger than other
-    /// pending ones: on shared machines, freed resources would never add up to
-    /// their size. Each class gets an equal part of `machine_share`, as far as it
-    /// can use it. A machine stays reserved as long as it is wanted, so that what
-    /// has become free there is not given away again.
+    /// Reserves machines for the selected jobs whose tasks are larger than the smallest
+    /// pending task. On a shared machine, smaller tasks would take freed resources
+    /// before these add up to a large task.
+    ///
+    /// Each class with claims may reserve up to an equal part of `machine_share`, a
+    /// fraction of the usable CPUs, as far as its tasks can use it. A machine stays
+    /// reserved for as long as it is needed, so that resources which have become free
+    /// on it are not given away again.
     pub(super) fn reserve_machines(
         &self,
         selected: &[&Job],
@@ -39,8 +43,8 @@
         reserved
     }
 
-    /// The selected jobs with pending tasks larger than the smallest pending task,
-    /// by group.
+    /// The selected jobs whose pending tasks are larger than the smallest pending task
+    /// of any job, by group.
     fn large_jobs_by_group<'a>(
         &self,
         selected: &[&'a Job],
@@ -57,13 +61,13 @@
         large_jobs
     }
 
-    /// Usable machines, the one that work without priority leaves soonest first.
+    /// Usable machines, by ascending load of work without priority.
     fn machines_by_load(
         &self,
         claims: &HashMap<String, PriorityClaim>,
         now: f64,
     ) -> Vec<MachineLoad<'_>> {
-        let other_cpu_s = |worker: &Worker| {
+        let unprioritized_cpu_s = |worker: &Worker| {
             let attempts = worker.attempts.iter().filter(|a| a.occupies_capacity());
             attempts
                 .filter(|a| !claims.contains_key(&a.spec.id))
@@ -74,18 +78,18 @@
             .usable_workers(now)
             .map(|worker| MachineLoad {
                 worker,
-                other_cpu_s: other_cpu_s(worker),
+                unprioritized_cpu_s: unprioritized_cpu_s(worker),
             })
             .collect();
         machines.sort_by(|a, b| {
-            let by_load = a.other_cpu_s.total_cmp(&b.other_cpu_s);
+            let by_load = a.unprioritized_cpu_s.total_cmp(&b.unprioritized_cpu_s);
             by_load.then(a.worker.name.cmp(&b.worker.name))
         });
         machines
     }
 
-    /// The order in which machines are reserved for a group: those that are
-    /// reserved for it already, then by load.
+    /// Machines in the order in which they are reserved for a group: those already
+    /// reserved for it first, then the others; each in the order of `machines`.
     fn reservation_order<'a>(&self, machines: &[MachineLoad<'a>], group: usize) -> Vec<&'a Worker> {
         let is_reserved = |worker: &Worker| {
             let reservation = self.minimum_share.reserved.get(&worker.name);
@@ -96,7 +100,8 @@
         kept.chain(new).map(|m| m.worker).collect()
     }
 
-    /// Reserves machines of up to `cpus` in all for the jobs of a group.
+    /// Reserves machines for the jobs of a group, in the order of `machines`, until
+    /// less is left of a budget of `cpus` than the smallest of their tasks needs.
     fn reserve_for_group(
         &self,
         group: usize,
@@ -108,9 +113,9 @@
         let min_task_cpus = jobs.iter().map(|j| j.spec.cpus).fold(f64::MAX, f64::min);
         let mut cpus_left = cpus;
         for job in jobs {
-            let mut tasks = task_count(job);
+            let mut tasks_left = pending_or_placed_tasks(job);
             for worker in machines {
-                if tasks == 0 || cpus_left < min_task_cpus {
+                if tasks_left == 0 || cpus_left < min_task_cpus {
                     break;
                 }
                 if reserved.contains_key(&worker.name)
@@ -130,7 +135,7 @@
                 if fitting == 0 {
                     continue;
                 }
-                tasks = tasks.saturating_sub(fitting);
+                tasks_left = tasks_left.saturating_sub(fitting);
                 cpus_left -= machine_type.cpus;
                 reserved.insert(
                     worker.name.clone(),
@@ -144,8 +149,8 @@
     }
 }
 
-/// Tasks of the job that are pending or on machines.
-fn task_count(job: &Job) -> u32 {
+/// Number of tasks of the job that are pending or on machines.
+fn pending_or_placed_tasks(job: &Job) -> u32 {
     let tasks = job.pending.len() as usize + job.resumable.len() + job.attempts_by_task.len();
     u32::try_from(tasks).unwrap_or(u32::MAX)
 }
--- a/crates/tallygauge-scheduler/src/minimum_share/selection.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/selection.rs
@@ -15,26 +15,29 @@
 };
 use tallygauge_protocol::users::Shape;
 
-/// Part of the time in which it should be served after which a pending job counts
-/// as overdue at the latest, where the backlog takes longer than that time; the
-/// longer it takes, the earlier.
+/// Where the backlog takes longer than the service deadline of a job, the job counts as
+/// overdue after this fraction of its service deadline, or earlier, the longer the
+/// backlog takes; later only if it takes longer by itself. For
+/// [`OverdueRule::Backlog`], this is also the fraction of the backlog's time after which
+/// it counts as overdue at the latest.
 const OVERDUE_FRACTION: f64 = 0.7;
 
-/// Part of the target share that nobody may fall below.
+/// Minimum share of a class or team, as a fraction of the configured target share.
 const MIN_SHARE_FRACTION: f64 = 0.85;
 
-/// When a pending job counts as overdue.
+/// What determines when a job counts as overdue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum OverdueRule {
-    /// By the time in which it should be served.
+    /// The time within which it should be served.
     ServiceDeadline,
-    /// By the backlog as well, whatever its objective.
+    /// That time or the backlog, whichever is earlier, so that a loose objective
+    /// doesn't keep a job from counting.
     Backlog,
 }
 
 impl ClusterState {
     /// Selects the jobs that get priority for underserved classes and teams, and
-    /// reserves machines for them. To be called about four times a heartbeat
+    /// reserves machines for them. To be called about four times per heartbeat
     /// interval.
     pub fn select_underserved(&mut self, now: f64) {
         if self.config.minimum_share.share <= 0.0 {
@@ -61,8 +64,9 @@
         self.minimum_share.machine_share = machine_share;
     }
 
-    /// Finds the open jobs that are among the largest of their class. Returns the
-    /// group of the class's largest jobs for each, in the order of the open jobs.
+    /// Finds the open jobs that are among the largest of their class. Returns, for each
+    /// open job in order, the group of the largest jobs of its class if it is among
+    /// them.
     fn assign_largest_groups(&mut self) -> Vec<Option<usize>> {
         let service_counts = &mut self.minimum_share.service_counts;
         let thresholds = service_counts.size_thresholds(LARGEST_FRACTION);
@@ -113,12 +117,12 @@
         if selection.selected.is_empty() {
             return selection;
         }
-        // Somebody is underserved: then all are measured alike, whatever their
-        // objectives.
+        // Some class or team is underserved: now measure all jobs by the same rule,
+        // whatever their objectives.
         select(OverdueRule::Backlog)
     }
 
-    /// A job as the selection sees it.
+    /// The job as input to [`select_underserved`].
     fn candidate(
         &self,
         open: &OpenJob,
@@ -146,8 +150,8 @@
         }
     }
 
-    /// Seconds after its acceptance from which on a job counts as overdue, given
-    /// those within which it should be served.
+    /// Seconds after its acceptance from which on a job counts as overdue. `deadline_s`
+    /// is its service deadline.
     fn overdue_after_s(
         &self,
         job: &Job,
@@ -155,7 +159,8 @@
         backlog: &Backlog,
         rule: OverdueRule,
     ) -> f64 {
-        // A large job takes long even if it has the machines to itself.
+        // A large job takes this long even with all CPUs that its team can use, and is
+        // not overdue earlier by its service deadline.
         let alone_s = job.spec.cpus * f64::from(job.spec.tasks) * self.remaining_s(job, 0.0)
             / backlog.max_cpus_by_team[job.team];
         let backlog_s = backlog.seconds(job, self.smallest_fitting_cpus(job));
@@ -171,22 +176,26 @@
         }
     }
 
-    /// Whether a task of the job fits a kind of machine that there is or that can be
+    /// Whether a task of the job fits a kind of machine that exists or that can be
     /// rented.
     fn fits_available_kind(&self, job: &Job, backlog: &Backlog) -> bool {
-        let no_tasks = BTreeMap::new();
+        let no_attempts_by_zone = BTreeMap::new();
         let fits = |kind: &AvailableKind| {
-            job.allows(kind.machine_type, kind.zone, kind.spot, &no_tasks)
-                && self
-                    .machine_types
-                    .get(kind.machine_type)
-                    .is_some_and(|t| Resources::of_type(t).can_fit(&job.spec))
+            job.allows(
+                kind.machine_type,
+                kind.zone,
+                kind.spot,
+                &no_attempts_by_zone,
+            ) && self
+                .machine_types
+                .get(kind.machine_type)
+                .is_some_and(|t| Resources::of_type(t).can_fit(&job.spec))
         };
         backlog.available_kinds.iter().any(fits)
     }
 
-    /// Event for operators when the minimum share begins or ceases to give jobs
-    /// priority.
+    /// The event that tells operators that the minimum share begins or ceases to give
+    /// jobs priority.
     fn enforcement_event(
         &self,
         claim_count: usize,
@@ -215,7 +224,7 @@
     }
 }
 
-/// A claim for each selected job, by id.
+/// A priority claim for each selected job, by job id.
 fn priority_claims(selection: &Selection, jobs: &[&Job]) -> HashMap<String, PriorityClaim> {
     let mut claims = HashMap::new();
     for (order, (selected, job)) in (0..).zip(selection.selected.iter().zip(jobs)) {
@@ -229,13 +238,13 @@
     claims
 }
 
-/// Part of the machines for jobs with priority: each underserved class has an equal
-/// part, and so has all pending work of the other classes together.
+/// Fraction of the machines that jobs with priority may use: each class with such jobs
+/// gets an equal part, and so do all other classes with pending work together.
 fn machine_share(open_jobs: &[OpenJob], claims: &HashMap<String, PriorityClaim>) -> f64 {
-    let underserved: BTreeSet<usize> = claims.values().map(|c| c.group).collect();
-    let others_wait = open_jobs
-        .iter()
-        .any(|open| !underserved.contains(&open.job.group_ids[0]) && open.job.has_pending_tasks());
-    let parties = underserved.len() + usize::from(others_wait);
-    underserved.len() as f64 / parties.max(1) as f64
+    let claiming_classes: BTreeSet<usize> = claims.values().map(|c| c.group).collect();
+    let others_wait = open_jobs.iter().any(|open| {
+        !claiming_classes.contains(&open.job.group_ids[0]) && open.job.has_pending_tasks()
+    });
+    let parts = claiming_classes.len() + usize::from(others_wait);
+    claiming_classes.len() as f64 / parts.max(1) as f64
 }
--- a/crates/tallygauge-scheduler/src/minimum_share/state.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/state.rs
@@ -1,22 +1,23 @@
-//! What the cluster state keeps for the minimum share.
+//! State of the minimum share, as part of the cluster state.
 
 use crate::model::Config;
 use std::collections::{BTreeMap, HashMap};
 use tallygauge_fairness::{ServiceCounts, Shortfall};
 
-/// Length of the recent window that services are counted in, in the longest
-/// service-level objective of a class.
+/// Length of the shorter time window over which the service counts are kept, as a
+/// multiple of the longest service-level objective of any class, or of the lease
+/// duration if that is longer.
 const RECENT_WINDOW_OBJECTIVES: f64 = 4.0;
 
-/// A job's priority on behalf of an underserved class.
+/// A job's priority on behalf of an underserved class or team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PriorityClaim {
-    /// Id of the class's group.
+    /// Group id of the job's class.
     pub(crate) group: usize,
-    /// The minimum share can't be reached without the job. Such claims are before
-    /// others.
+    /// A class or team can't reach its minimum share without the job. Such claims come
+    /// before others.
     pub(crate) for_min_share: bool,
-    /// Its place among the selected jobs.
+    /// Position of the job among the selected jobs.
     pub(crate) order: u32,
 }
 
@@ -31,20 +32,20 @@
 
 /// State of the minimum share.
 pub(crate) struct MinimumShare {
-    /// Jobs done, late and cancelled, by class and team.
+    /// Numbers of jobs done, late and cancelled, by class and team.
     pub(crate) service_counts: ServiceCounts,
-    /// Time of day less the steady clock, in seconds.
+    /// Time of day minus the steady clock, in seconds.
     pub(crate) time_of_day_offset: f64,
-    /// Jobs with priority, by id.
+    /// Priority claims by job id.
     pub(crate) claims: HashMap<String, PriorityClaim>,
-    /// Group of its class's largest jobs, for each job that is among them, by id.
+    /// For each open job that is among the largest of its class, by job id: the group of
+    /// these largest jobs.
     pub(crate) largest_group_by_job: HashMap<String, usize>,
-    /// Reserved machines, by name.
+    /// Reservations by name of the machine.
     pub(crate) reserved: BTreeMap<String, Reservation>,
-    /// Part of the machines that jobs with a priority claim may use.
+    /// Fraction of the machines that jobs with a priority claim may use.
     pub(crate) machine_share: f64,
-    /// What each class and team is short of, by group id, as of the last
-    /// selection.
+    /// Shortfall of each class and team, by group id, as of the last selection.
     pub(crate) shortfalls: Vec<Shortfall>,
 }
 
--- a/crates/tallygauge-scheduler/src/tests/minimum_share.rs
+++ b/crates/tallygauge-scheduler/src/tests/minimum_share.rs
@@ -1,11 +1,11 @@
-//! Priority claims and reservations for the minimum share in the mapping.
+//! Tests of the mapping with priority claims and reservations for the minimum share.
 
 use super::*;
 use crate::minimum_share::state::PriorityClaim;
 
-/// Plain model with priority claims: as long as jobs with a claim may use more CPUs,
-/// scores all of them and starts a task of the class that uses the fewest; then all
-/// others by utility per time.
+/// Plain model of the mapping with priority claims: as long as jobs with a claim may use
+/// more CPUs, scores all of them and starts a task of the class that uses the fewest.
+/// Then places all other tasks by utility per time.
 fn plain_with_claims(cluster: &ClusterState, now: f64) -> Vec<(String, u32, String)> {
     let mut model = Plain::new(cluster, now);
     let usable = || {
@@ -14,24 +14,25 @@
             .values()
             .filter(|w| w.accepts_work(now, &cluster.config))
     };
-    let size = |w: &Worker| cluster.machine_types[&w.machine_type].cpus;
+    let machine_cpus = |w: &Worker| cluster.machine_types[&w.machine_type].cpus;
     let is_reserved = |w: &&Worker| cluster.minimum_share.reserved.contains_key(&w.name);
     let cpus_used_on = |id: &str, w: &Worker| {
         let attempts = w
             .attempts
             .iter()
-            .filter(|h| h.occupies_capacity() && h.spec.id == id);
-        attempts.map(|h| h.spec.cpus).sum::<f64>()
+            .filter(|a| a.occupies_capacity() && a.spec.id == id);
+        attempts.map(|a| a.spec.cpus).sum::<f64>()
     };
-    let mut cpus_left = usable().map(size).sum::<f64>() * cluster.minimum_share.machine_share;
-    cpus_left -= usable().filter(is_reserved).map(size).sum::<f64>();
-    let mut used: BTreeMap<usize, f64> = BTreeMap::new();
+    let mut cpus_left =
+        usable().map(machine_cpus).sum::<f64>() * cluster.minimum_share.machine_share;
+    cpus_left -= usable().filter(is_reserved).map(machine_cpus).sum::<f64>();
+    let mut cpus_used_by_group: BTreeMap<usize, f64> = BTreeMap::new();
     for (id, claim) in &cluster.minimum_share.claims {
         cpus_left -= usable()
             .filter(|w| !is_reserved(w))
             .map(|w| cpus_used_on(id, w))
             .sum::<f64>();
-        *used.entry(claim.group).or_default() += cluster
+        *cpus_used_by_group.entry(claim.group).or_default() += cluster
             .workers
             .values()
             .map(|w| cpus_used_on(id, w))
@@ -39,20 +40,20 @@
     }
     let mut unplaceable: Vec<String> = Vec::new();
     while cpus_left > 0.0 {
-        // Claims for the minimum share are before others.
+        // Claims for the minimum share come before others.
         let best = model
             .waiting
             .iter()
             .enumerate()
             .filter(|(_, (id, _))| !unplaceable.contains(id))
-            .filter_map(|(at, (id, index))| {
+            .filter_map(|(position, (id, index))| {
                 let claim = cluster.minimum_share.claims.get(id)?;
                 Some((
                     !claim.for_min_share,
-                    used[&claim.group],
+                    cpus_used_by_group[&claim.group],
                     claim,
                     *index,
-                    at,
+                    position,
                     id,
                 ))
             })
@@ -61,7 +62,7 @@
                     .then(a.1.total_cmp(&b.1))
                     .then((a.2.group, a.2.order, a.3).cmp(&(b.2.group, b.2.order, b.3)))
             });
-        let Some((_, _, claim, _, at, id)) = best else {
+        let Some((_, _, claim, _, position, id)) = best else {
             break;
         };
         let Some((_, name)) = model.best_machine(id) else {
@@ -69,18 +70,19 @@
             continue;
         };
         let cpus = cluster.jobs[id].spec.cpus;
-        *used.get_mut(&claim.group).unwrap() += cpus;
+        *cpus_used_by_group.get_mut(&claim.group).unwrap() += cpus;
         if !cluster.minimum_share.reserved.contains_key(&name) {
             cpus_left -= cpus;
         }
-        model.start(at, name);
+        model.start(position, name);
     }
     model.place_by_upt();
     model.out
 }
 
-/// Which jobs have a claim and whether it is for the minimum share, which machines are
-/// reserved and whether for large tasks, and the share of the machines.
+/// For each job, whether it has a claim and whether that is for the minimum share; for each
+/// machine, whether it is reserved and whether that is for large tasks; and the fraction of
+/// the machines that jobs with claims may use.
 type GeneratedClaims = (Vec<(bool, bool)>, Vec<(bool, bool)>, f64);
 
 fn any_claims() -> impl Strategy<Value = GeneratedClaims> {
@@ -93,8 +95,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, rng_seed: proptest::test_runner::RngSeed::Fixed(31), failure_persistence: None, ..ProptestConfig::default() })]
-    // Holds for any claims and reservations; without any the mapping is that without a
-    // minimum share.
+    // Holds for any claims and reservations. Without any, the placements are those without
+    // a minimum share.
     #[test]
     fn mapping_with_claims_equals_plain_model(
         jobs in prop::collection::vec(any_job(), 1..12), (claims, reserved, machine_share) in any_claims(),
@@ -108,7 +110,7 @@
             spec.class = format!("class-{}", n % 3);
             cluster.add_job(spec, 1, 5.0 * n as f64, &RangeSet::default());
         }
-        // Some tasks run already.
+        // Some tasks are on machines already.
         round(&mut cluster, 100.0);
         for n in 20..26 {
             let mut spec = spec(n, 3, 1.0 + n as f64 % 3.0);
@@ -116,18 +118,18 @@
             spec.class = format!("class-{}", n % 3);
             cluster.add_job(spec, 1, 60.0 + n as f64, &RangeSet::default());
         }
-        let without = plain(&cluster, 101.0);
-        prop_assert_eq!(plain_with_claims(&cluster, 101.0), without);
+        let without_claims = plain(&cluster, 101.0);
+        prop_assert_eq!(plain_with_claims(&cluster, 101.0), without_claims);
         let ids: Vec<String> = cluster.jobs.keys().cloned().collect();
-        for (order, (id, (claimed, for_min_share))) in (0..).zip(ids.iter().zip(claims)) {
-            if claimed {
+        for (order, (id, (has_claim, for_min_share))) in (0..).zip(ids.iter().zip(claims)) {
+            if has_claim {
                 let group = cluster.jobs[id].group_ids[0];
                 cluster.minimum_share.claims.insert(id.clone(), PriorityClaim { group, for_min_share, order });
             }
         }
         let group = cluster.jobs[&ids[0]].group_ids[0];
-        for (name, (kept, large)) in names.iter().zip(reserved) {
-            if kept {
+        for (name, (is_reserved, large)) in names.iter().zip(reserved) {
+            if is_reserved {
                 let min_task_cpus = if large { 3.0 } else { 1.5 };
                 cluster.minimum_share.reserved.insert((*name).to_string(), crate::minimum_share::state::Reservation { group, min_task_cpus });
             }
@@ -138,16 +140,18 @@
     }
 }
 
+/// Runs a round without preemption. Returns its placements in the order in which they were
+/// made.
 fn round_without_preemption(cluster: &mut ClusterState, now: f64) -> Vec<(String, u32, String)> {
     cluster.run_round(now, false);
     let planned = cluster.workers.values().flat_map(|w| {
         let planned = w
             .attempts
             .iter()
-            .filter(|h| h.phase == AttemptPhase::Planned);
-        planned.map(|h| (h.number, (h.spec.id.clone(), h.index, w.name.clone())))
+            .filter(|a| a.phase == AttemptPhase::Planned);
+        planned.map(|a| (a.number, (a.spec.id.clone(), a.index, w.name.clone())))
     });
-    let mut out: Vec<_> = planned.collect();
-    out.sort();
-    out.into_iter().map(|o| o.1).collect()
+    let mut placements: Vec<_> = planned.collect();
+    placements.sort();
+    placements.into_iter().map(|p| p.1).collect()
 }
--- a/crates/tallygauge-scheduler/tests/minimum_share_under_overload.rs
+++ b/crates/tallygauge-scheduler/tests/minimum_share_under_overload.rs
@@ -1,4 +1,4 @@
-//! Simulated days with more work than capacity: which jobs are served.
+//! Simulations of the minimum share with more work than capacity: which jobs are served.
 
 #[path = "../examples/overload/day/mod.rs"]
 #[allow(dead_code, reason = "the overload example uses the rest")]
@@ -22,9 +22,10 @@
     }
 }
 
+/// Three classes whose work adds up to `load`, as a fraction of the capacity of the machines.
 fn mix(load: f64) -> Vec<Class> {
-    let with = |class: Class, part: f64| Class {
-        load: load * part,
+    let with = |class: Class, fraction: f64| Class {
+        load: load * fraction,
         ..class
     };
     vec![with(BULK, 0.4), with(RUSH, 0.36), with(FIX, 0.24)]
@@ -36,25 +37,33 @@
     day
 }
 
+/// The lowest share of jobs served of any class.
 fn min_class_share(day: &Day, classes: usize) -> f64 {
     let shares = (0..classes).map(|n| day.served(|f| f.class == n).1);
     shares.fold(1.0, f64::min)
 }
 
-// The minimum share is for overload. Without it, not one placement may differ.
+// The minimum share acts under overload only: without overload, no placement may differ from those
+// without a minimum share.
 #[test]
 fn without_overload_placements_equal_those_without_minimum_share() {
-    for (seed, load, coming) in [(1, 0.3, 150.0), (2, 0.35, 150.0), (3, 0.6, 300.0)] {
+    for (seed, load, arrival_s) in [(1, 0.3, 150.0), (2, 0.35, 150.0), (3, 0.6, 300.0)] {
         let with = setup(40, 300.0, mix(load));
         let without = Setup {
             share: 0.0,
             ..with.clone()
         };
-        let a = simulate(&with, draw(&with, coming, seed));
-        let b = simulate(&without, draw(&without, coming, seed));
-        assert!(a.started > 500, "a day with work");
-        assert!(a.placed == b.placed, "seed {seed} differs");
-        assert_eq!((a.started, a.stopped), (b.started, b.stopped));
+        let day_with = simulate(&with, draw(&with, arrival_s, seed));
+        let day_without = simulate(&without, draw(&without, arrival_s, seed));
+        assert!(day_with.started > 500, "too little work was started");
+        assert!(
+            day_with.placed == day_without.placed,
+            "the placements of seed {seed} differ"
+        );
+        assert_eq!(
+            (day_with.started, day_with.stopped),
+            (day_without.started, day_without.stopped)
+        );
     }
 }
 
@@ -65,10 +74,10 @@
         share: 0.0,
         ..with.clone()
     };
-    let bare = simulate(&without, draw(&without, 300.0, 5));
+    let day_without = simulate(&without, draw(&without, 300.0, 5));
     assert!(
-        min_class_share(&bare, 3) < 0.3,
-        "without a minimum share one class starves"
+        min_class_share(&day_without, 3) < 0.3,
+        "without a minimum share, one class starves"
     );
     let day = simulate(&with, draw(&with, 300.0, 5));
     assert!(day.possible(3, |f| f.class) > 0.8);
@@ -82,9 +91,9 @@
     }
 }
 
-// A team with nothing but tasks as large as a machine, jobs bound to a zone, a class of a
-// single job, an array of thousands of tasks, many teams, and a network partition of a
-// zone.
+// Classes and teams must be served even with constraints that make it hard: a team with only
+// tasks as large as a machine, jobs restricted to a zone, a class with a single job, arrays of
+// thousands of tasks, many teams, and a network partition of a zone.
 #[test]
 fn constrained_classes_and_teams_are_served_under_overload() {
     let mut classes = mix(1.2);
@@ -125,8 +134,8 @@
     }
     jobs.sort_by(|a, b| a.at.total_cmp(&b.at));
     let day = simulate(&setup, jobs);
-    for (n, class) in classes.iter().enumerate() {
-        let (jobs, done, _) = day.served(|f| f.class == n);
+    for (index, class) in classes.iter().enumerate() {
+        let (jobs, done, _) = day.served(|f| f.class == index);
         assert!(jobs > 0 && done >= 0.5, "{}: {done} of {jobs}", class.name);
     }
     for team in 0..12 {
@@ -135,19 +144,21 @@
     }
 }
 
-/// Maximum seconds for which an underserved class or team has none of its jobs done: its
-/// jobs have priority on an equal part of the machines, which become free within the
-/// longest task, and run for as long again; the next ones wait for those.
-fn bound(longest_s: f64, rounds: f64) -> f64 {
+/// Maximum seconds for which an underserved class or team has none of its jobs done.
+///
+/// Its jobs have priority on an equal part of the machines, which become free within the run
+/// time `longest_s` of the longest task. Then they run for as long again. Jobs that wait for
+/// earlier ones of the group take another `longest_s` for each of the `rounds` of such jobs.
+fn max_unserved_s(longest_s: f64, rounds: f64) -> f64 {
     longest_s * (2.0 + rounds) + 4.0 * day::HEARTBEAT_INTERVAL_S
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 12, rng_seed: proptest::test_runner::RngSeed::Fixed(41), failure_persistence: None, ..ProptestConfig::default() })]
-    // In whatever order jobs arrive, an underserved group with work that fits is served
-    // within the bound.
+    // In whatever order jobs arrive, an underserved group with work that fits a machine has a
+    // job done within [`max_unserved_s`].
     #[test]
-    fn underserved_groups_are_served_within_the_bound(
+    fn underserved_groups_are_served_within_max_unserved_time(
         arrivals in prop::collection::vec((0usize..3, 0usize..4, 0.0f64..200.0, 2u32..9, 10.0f64..40.0), 150..220),
     ) {
         let classes = mix(1.0);
@@ -159,22 +170,24 @@
         }).collect();
         jobs.sort_by(|a, b| a.at.total_cmp(&b.at));
         let mut day = Day::new(&setup);
-        let mut unserved: BTreeMap<(GroupKind, String), (u64, f64)> = BTreeMap::new();
-        let (mut worst, mut behind) = (0.0f64, 0);
-        // The largest jobs are after the minimum share of all groups: there is no bound for them.
+        // For each group, its number of jobs done and the seconds since that last changed.
+        let mut unserved_by_group: BTreeMap<(GroupKind, String), (u64, f64)> = BTreeMap::new();
+        let (mut longest_unserved_s, mut underserved_steps) = (0.0f64, 0);
+        // The largest jobs of a class come after the minimum share of all classes and teams: the
+        // time until they are served isn't bounded.
         day.run(jobs, |day, _| for s in day.cluster.group_statuses().into_iter().filter(|s| s.key.kind != GroupKind::Largest) {
             let key = (s.key.kind, s.key.name.to_string());
-            let entry = unserved.entry(key).or_insert((s.counts.done, 0.0));
+            let entry = unserved_by_group.entry(key).or_insert((s.counts.done, 0.0));
             if entry.0 != s.counts.done || s.shortfall.to_target_share == 0 || s.shortfall.unfit >= s.open {
                 *entry = (s.counts.done, 0.0);
             } else {
                 entry.1 += STEP;
-                behind += 1;
-                worst = worst.max(entry.1);
+                underserved_steps += 1;
+                longest_unserved_s = longest_unserved_s.max(entry.1);
             }
         });
-        prop_assert!(behind > 0, "a day on which a group is underserved");
-        // Run times are at most 40 s, images 15 s more.
-        prop_assert!(worst <= bound(55.0, 1.0), "{} s without", worst);
+        prop_assert!(underserved_steps > 0, "no group was underserved");
+        // Tasks run for at most 40 s, and fetching their images takes up to 15 s more.
+        prop_assert!(longest_unserved_s <= max_unserved_s(55.0, 1.0), "a group had no job done for {} s", longest_unserved_s);
     }
 }
