--- a/crates/tallygauge-scheduler/src/start_deadline/mod.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/mod.rs
@@ -1,17 +1,22 @@
-//! Start deadline: the large jobs of each class start within a bound after their
-//! acceptance.
+//! Start deadline: the large jobs of each class start within a set time after their
+//! acceptance. Jobs that are near their start deadline hold a [`StartClaim`].
 //!
-//! When none of a large job's tasks has run for half of the bound, one of them is
-//! placed before everything else. Where its team is at its limit, what becomes free
-//! of that is kept for it; where no machine has enough free, the one on which
-//! enough will be free first is reserved (see [`reservations`]). When little of the
-//! bound is left, all its tasks that never ran are placed before others, on a part
-//! of the machines, until the bound has passed: what can't be met any more loses its
-//! priority. Any other job of which nothing ran gets one task placed first when
-//! hardly anything of the bound is left; while the minimum share gives jobs priority
-//! only few of them, since a task of each of many would keep all from being done.
-//! Tasks of such jobs are not preempted until they have run for long enough to
-//! count.
+//! A large job, as its start deadline comes nearer:
+//!
+//! - If none of its tasks has run when [`FIRST_TASK_AFTER`] of the time has passed, one
+//!   of them is placed before everything else. If its team has reached its quota, freed
+//!   quota is kept for that task. If no machine has enough free resources, the machine
+//!   that will have them first is reserved (see [`reservations`]).
+//! - Once [`ALL_TASKS_AFTER`] of the time has passed, all its tasks that never ran are
+//!   placed before other tasks, on a limited share of the machines. This priority ends at
+//!   the start deadline, since it can't be met any more.
+//!
+//! Any other job gets one task placed first if none has run when [`SMALL_JOB_AFTER`] of
+//! the time has passed. While the minimum share gives jobs priority, only few such jobs
+//! do: one task of each of many jobs would keep all of them from being done.
+//!
+//! Tasks of jobs with a start claim are not preempted until they have run for long
+//! enough to count as started.
 
 mod reservations;
 pub(crate) mod state;
@@ -22,31 +27,32 @@
 use tallygauge_fairness::SizeThresholds;
 use tallygauge_protocol::{users::MIN_COUNTED_RUN_S, workers::TaskState};
 
-/// Part of a class's jobs that count as large, by each measure of size. It is to
-/// cover the largest tenth by actual size, and estimates are wrong by half.
+/// Fraction of the jobs of a class that count as large, by each measure of size. It has
+/// to cover the largest tenth by actual size although estimated sizes are wrong by half.
 const LARGE_JOB_FRACTION: f64 = 0.2;
 
-/// Part of the bound after which the first task of a large job has priority. The
-/// rest is for resources to become free: tasks run for a minute or two, and
-/// controllers may be down meanwhile.
+/// Fraction of the time to the start deadline after which the first task of a large job
+/// has priority. The rest is left for resources to become free: tasks run for a minute
+/// or two, and controllers may be down in that time.
 const FIRST_TASK_AFTER: f64 = 0.5;
 
-/// Part of the bound after which all tasks of a large job that never ran have
-/// priority.
+/// Fraction of the time to the start deadline after which all tasks of a large job that
+/// never ran have priority.
 const ALL_TASKS_AFTER: f64 = 0.7;
 
-/// Part of the bound after which the first task of any other job has priority.
+/// Fraction of the time to the start deadline after which the first task of a job that
+/// is not large has priority.
 const SMALL_JOB_AFTER: f64 = 0.85;
 
-/// Part of the machines that jobs near their start deadline may use before others,
-/// beyond one task each.
+/// Maximum fraction of the usable CPUs for placing further tasks of large jobs near
+/// their start deadline before other tasks, after the first task of each.
 const MAX_LARGE_JOB_SHARE: f64 = 0.1;
 
-/// Part of the machines that jobs which are not large may use for their first tasks
-/// while the minimum share gives jobs priority.
+/// Maximum fraction of the usable CPUs for placing the first tasks of jobs that are not
+/// large before other tasks, while the minimum share gives jobs priority.
 const MAX_SMALL_JOB_SHARE: f64 = 0.05;
 
-/// Size from which on jobs of a class count as large, by class.
+/// Sizes from which on jobs of a class count as large, by group id of the class.
 type LargeJobThresholds = HashMap<usize, SizeThresholds>;
 
 fn is_large(thresholds: &LargeJobThresholds, job: &Job) -> bool {
@@ -54,23 +60,25 @@
     threshold.is_some_and(|t| t.is_at_least(job.size()))
 }
 
-/// Which tasks of a job run.
+/// Which tasks of a job have started.
 struct StartedTasks {
-    /// Tasks that have run for long enough to count.
+    /// Indices of the tasks that run and have run for long enough to count as started.
     started: Vec<u32>,
-    /// A task of it is on a machine that sends heartbeats.
+    /// Whether an attempt of the job that isn't being stopped is on a machine that sends
+    /// heartbeats.
     has_live_attempt: bool,
 }
 
 impl ClusterState {
-    /// Finds the jobs that are near their start deadline. To be called about four
-    /// times a heartbeat interval.
+    /// Finds the jobs that are near their start deadline, and replaces the start claims
+    /// and the machines reserved for them. To be called about four times per heartbeat
+    /// interval.
     pub fn update_start_claims(&mut self, now: f64) {
-        let bound_s = self.config.minimum_share.start_within_s;
-        if bound_s <= 0.0 {
+        let start_deadline_s = self.config.minimum_share.start_within_s;
+        if start_deadline_s <= 0.0 {
             return;
         }
-        let near_deadline_ages = bound_s * ALL_TASKS_AFTER..bound_s;
+        let all_tasks_ages = start_deadline_s * ALL_TASKS_AFTER..start_deadline_s;
         let service_counts = &self.minimum_share.service_counts;
         let thresholds = service_counts.size_thresholds(LARGE_JOB_FRACTION);
         let mut small_job_cpus_left = self.small_job_cpus(now);
@@ -97,8 +105,7 @@
                 order: u32::try_from(claims.len()).unwrap_or(u32::MAX),
                 needs_first_start: !tasks.has_live_attempt && job.completed.is_empty(),
                 large,
-                prioritizes_all_tasks: large
-                    && near_deadline_ages.contains(&(now - job.accepted_at)),
+                prioritizes_all_tasks: large && all_tasks_ages.contains(&(now - job.accepted_at)),
                 attempts_when_claimed: job.attempts_by_task.len(),
             };
             claims.insert(id, claim);
@@ -107,16 +114,17 @@
         self.start_deadlines.claims = claims;
     }
 
-    /// Ids of the jobs with tasks that never ran and too little of the bound left, in
-    /// the order of their acceptance.
+    /// Ids of the jobs near their start deadline that have tasks which never ran, in the
+    /// order of their acceptance.
     fn jobs_near_start_deadline(&self, thresholds: &LargeJobThresholds, now: f64) -> Vec<String> {
-        let bound_s = self.config.minimum_share.start_within_s;
+        let start_deadline_s = self.config.minimum_share.start_within_s;
         let is_near = |job: &&Job| {
             let age_s = now - job.accepted_at;
-            let may_be_near = !job.unstarted.is_empty() && age_s > bound_s * FIRST_TASK_AFTER;
+            let may_be_near =
+                !job.unstarted.is_empty() && age_s > start_deadline_s * FIRST_TASK_AFTER;
             may_be_near
                 && (is_large(thresholds, job)
-                    || (age_s > bound_s * SMALL_JOB_AFTER && job.completed.is_empty()))
+                    || (age_s > start_deadline_s * SMALL_JOB_AFTER && job.completed.is_empty()))
         };
         let mut near: Vec<&Job> = self.jobs.values().filter(is_near).collect();
         near.sort_by(|a, b| {
@@ -126,7 +134,7 @@
         near.into_iter().map(|j| j.spec.id.clone()).collect()
     }
 
-    /// CPUs that jobs which are not large may use for their first tasks.
+    /// CPUs that the first tasks of jobs that are not large may use with priority.
     fn small_job_cpus(&self, now: f64) -> f64 {
         if self.minimum_share.claims.is_empty() {
             f64::INFINITY
@@ -135,12 +143,13 @@
         }
     }
 
-    /// Whether a job is one of the large ones of its class.
+    /// Whether a job is one of the large jobs of its class.
     pub fn is_large(&self, job: &Job) -> bool {
         let service_counts = &self.minimum_share.service_counts;
         service_counts.is_large(job.group_ids[0], job.size(), LARGE_JOB_FRACTION)
     }
 
+    /// The started tasks of a job, according to the attempts on its workers.
     fn started_tasks(&self, id: &str, now: f64) -> StartedTasks {
         let mut tasks = StartedTasks {
             started: Vec::new(),
@@ -149,13 +158,13 @@
         let Some(job) = self.jobs.get(id) else {
             return tasks;
         };
-        let names = job.attempts_by_worker.keys();
-        for worker in names.filter_map(|name| self.workers.get(name)) {
+        let worker_names = job.attempts_by_worker.keys();
+        for worker in worker_names.filter_map(|name| self.workers.get(name)) {
             let silent_s = now - worker.last_heartbeat_at.max(self.term_started_at);
-            let is_heard = silent_s < self.config.heartbeat_timeout_s();
+            let sends_heartbeats = silent_s < self.config.heartbeat_timeout_s();
             let is_of_job = |a: &&Attempt| a.spec.id == id && a.occupies_capacity();
             for attempt in worker.attempts.iter().filter(is_of_job) {
-                tasks.has_live_attempt |= is_heard && attempt.stop.is_none();
+                tasks.has_live_attempt |= sends_heartbeats && attempt.stop.is_none();
                 let is_running =
                     matches!(attempt.phase, AttemptPhase::Observed(TaskState::Running));
                 if is_running && attempt.run_time_s(now) >= MIN_COUNTED_RUN_S {
@@ -166,18 +175,19 @@
         tasks
     }
 
-    /// Place of a job among those whose first task is overdue, if it is.
+    /// Position of a job among those with a start claim, by acceptance, if its first task
+    /// is overdue and has not been placed since the claim was made.
     pub(crate) fn start_claim_order(&self, id: &str) -> Option<u32> {
         let claims = &self.start_deadlines.claims;
         let claim = claims.get(id).filter(|c| c.needs_first_start)?;
-        // One task that was placed since is enough.
+        // One task placed since the claim was made is enough.
         let has_new_attempt =
             self.jobs.get(id)?.attempts_by_task.len() > claim.attempts_when_claimed;
         (!has_new_attempt).then_some(claim.order)
     }
 
-    /// Whether an attempt must not be preempted, since its job is near its start
-    /// deadline and the task has not run for long enough to count.
+    /// Whether an attempt must not be preempted because its job has a start claim and its
+    /// task has not run for long enough to count as started.
     pub(crate) fn is_protected_start(&self, attempt: &Attempt) -> bool {
         let id = &attempt.spec.id;
         self.start_deadlines.claims.contains_key(id)
@@ -187,8 +197,8 @@
                 .is_some_and(|j| j.unstarted.contains(attempt.index))
     }
 
-    /// CPUs that more tasks of jobs near their start deadline may use, of
-    /// `total_cpus`.
+    /// CPUs, of `total_cpus`, that further tasks of large jobs near their start deadline
+    /// may use with priority.
     pub(crate) fn cpus_left_for_unstarted(&self, total_cpus: f64) -> f64 {
         let ids = self.start_deadlines.claims.keys();
         let jobs = ids.filter_map(|id| self.jobs.get(id));
@@ -196,20 +206,21 @@
         total_cpus * MAX_LARGE_JOB_SHARE - used_cpus.sum::<f64>()
     }
 
-    /// The open job that was accepted first of those that have not started.
+    /// Of the open jobs that have not started, the one accepted first.
     #[must_use]
     pub fn oldest_unstarted_job(&self) -> Option<&Job> {
         let unstarted = self.jobs.values().filter(|j| !j.started);
         unstarted.min_by(|a, b| a.accepted_at.total_cmp(&b.accepted_at))
     }
 
-    /// Number of jobs that are near their start deadline.
+    /// Number of jobs that hold a start claim.
     #[must_use]
     pub fn start_claims(&self) -> usize {
         self.start_deadlines.claims.len()
     }
 
-    /// Age in seconds of the oldest open job that has not started; 0 if all have.
+    /// Seconds since the acceptance of the oldest open job that has not started; 0 if all
+    /// have.
     #[must_use]
     pub fn oldest_unstarted_s(&self, now: f64) -> f64 {
         let unstarted = self.jobs.values().filter(|j| !j.started);
--- a/crates/tallygauge-scheduler/src/start_deadline/reservations.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/reservations.rs
@@ -4,36 +4,40 @@
 use crate::{cluster_state::ClusterState, model::*};
 use std::collections::BTreeMap;
 
-/// Part of the machines that may be reserved.
+/// Maximum fraction of the usable machines that may be reserved.
 const MAX_RESERVED_SHARE: f64 = 0.25;
 
-/// Jobs that machines are reserved for at a time: each takes a look at all machines.
+/// Maximum number of jobs for which machines are reserved at a time, since each job
+/// needs a scan of all machines.
 const MAX_RESERVING_JOBS: usize = 32;
 
-/// An attempt and the seconds until its expected end.
+/// The expected end of an attempt.
 struct ExpectedEnd<'a> {
+    /// Seconds until then.
     after_s: f64,
     attempt: &'a Attempt,
 }
 
-/// A usable machine, and its attempts by their expected end.
+/// A usable machine and its attempts, by expected end.
 struct MachineWithEnds<'a> {
     worker: &'a Worker,
     ends: Vec<ExpectedEnd<'a>>,
 }
 
-/// A machine that a job's first task could wait for.
+/// A machine that could be reserved for the first task of a job.
 struct ReservationCandidate<'a> {
     /// Seconds until the task fits.
     after_s: f64,
+    /// Whether it is not reserved for a first task yet.
     newly_reserved: bool,
     name: &'a str,
 }
 
 impl ClusterState {
-    /// Machines for the overdue first tasks of large jobs that are larger than other
-    /// pending tasks: the ones on which they will fit first. Returns the CPUs of the
-    /// smallest task that may start there, by machine.
+    /// Reserves machines for the overdue first tasks of large jobs that are larger than
+    /// the smallest pending task: for each, the machine on which it will fit first.
+    /// Returns, by name of the machine, the CPUs of the smallest task that may start
+    /// there.
     pub(super) fn reserve_for_unstarted(
         &self,
         claims: &BTreeMap<String, StartClaim>,
@@ -46,7 +50,7 @@
         }
         let machines = self.machines_with_ends(now);
         let max_reserved = (machines.len() as f64 * MAX_RESERVED_SHARE).ceil() as usize;
-        // Resources that jobs before have been promised.
+        // Resources promised to jobs earlier in the order, by machine.
         let mut promised: BTreeMap<&str, Resources> = BTreeMap::new();
         for job in jobs {
             if reserved.len() >= max_reserved {
@@ -62,8 +66,8 @@
         reserved
     }
 
-    /// Large jobs whose first task is overdue and larger than the smallest pending
-    /// task, in the order of their acceptance.
+    /// Large jobs whose first task is overdue and larger than the smallest pending task,
+    /// in the order of their acceptance; at most [`MAX_RESERVING_JOBS`].
     fn jobs_to_reserve_for(&self, claims: &BTreeMap<String, StartClaim>) -> Vec<&Job> {
         let mut jobs: Vec<(u32, &Job)> = claims
             .iter()
@@ -82,6 +86,7 @@
             .collect()
     }
 
+    /// The usable machines with the expected ends of their attempts.
     fn machines_with_ends(&self, now: f64) -> Vec<MachineWithEnds<'_>> {
         self.usable_workers(now)
             .map(|worker| MachineWithEnds {
@@ -91,6 +96,7 @@
             .collect()
     }
 
+    /// Expected ends of the attempts that occupy capacity of a worker, earliest first.
     fn attempts_by_end<'a>(&self, worker: &'a Worker, now: f64) -> Vec<ExpectedEnd<'a>> {
         let attempts = worker.attempts.iter().filter(|a| a.occupies_capacity());
         let mut ends: Vec<ExpectedEnd> = attempts
@@ -106,8 +112,8 @@
         ends
     }
 
-    /// Name of the machine on which a task of the job will fit first; of equals, one
-    /// that is reserved already.
+    /// Name of the machine on which a task of the job will fit first. Of machines with
+    /// equal times, one that is already reserved comes first, then by name.
     fn best_machine_to_reserve<'a>(
         &self,
         machines: &[MachineWithEnds<'a>],
@@ -142,13 +148,15 @@
         best.map(|b| b.name)
     }
 
+    /// Whether the worker's machine is reserved for a first task already.
     fn is_reserved_for_start(&self, worker: &Worker) -> bool {
         self.start_deadlines.reserved.contains_key(&worker.name)
     }
 
-    /// Seconds until a task of the job fits a machine of which `promised` is not to
-    /// be counted; `None`: never. A machine that is reserved already gets a small
-    /// advantage, so that what has become free there is not given away.
+    /// Seconds until a task of the job fits a machine, without the resources `promised`
+    /// to other jobs there; `None` if it never does. For a machine that is already
+    /// reserved, a heartbeat interval is subtracted, so that the reservation doesn't move
+    /// to another machine and resources that have become free there are not given away.
     fn time_until_fit(
         &self,
         machine: &MachineWithEnds,
