--- a/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
@@ -1,8 +1,8 @@
-//! Batch deadlines (cutoffs) and priority rules: which cutoff a job counts for,
-//! which cutoffs are at risk, and how much that boosts a job.
+//! Batch deadlines (cutoffs) and priority rules: which cutoff a job counts for, which
+//! cutoffs are at risk, and how far a job is boosted for that or for its rank.
 //!
-//! A boost orders pending tasks within one step of user priority. It never decides
-//! what is preempted: user priorities and team guarantees alone do.
+//! A boost affects the order of pending tasks within one user priority only. It never
+//! decides what is preempted: user priorities and team guarantees alone do.
 
 pub(crate) mod state;
 
@@ -14,57 +14,62 @@
 };
 use tallygauge_priority::{MAX_RANK, PriorityRules};
 
-/// Part of the way to the utility of the next priority that a full boost goes; less
-/// than 1, so that it never gets there.
+/// Fraction of the distance from the utility of a job's priority to that of the next
+/// higher one which a full boost covers, on a logarithmic scale. Less than 1, so that a
+/// boosted job never reaches the next priority.
 const MAX_BOOST_FRACTION: f64 = 0.9;
 
-/// Utility that a priority above the highest would have, as a multiple of the
-/// highest one's.
+/// Utility towards which jobs of the highest priority are boosted, as a multiple of the
+/// utility of that priority.
 const ABOVE_HIGHEST_FACTOR: f64 = 2.0;
 
-/// Length of the windows that inferred cutoffs are gathered in, in leases.
+/// Length of the time windows in which inferred cutoffs are grouped, as a multiple of
+/// the lease duration.
 const INFERENCE_WINDOW_LEASES: f64 = 8.0;
 
 /// Open work that counts for a cutoff.
 struct CutoffWork {
     /// Time of day of the cutoff.
     cutoff: f64,
+    /// Whether operators declared it; otherwise it was inferred from jobs.
     declared: bool,
+    /// Number of open jobs.
     jobs: usize,
+    /// CPU-seconds of work left.
     cpu_s: f64,
-    /// Run time of the longest task.
-    longest_s: f64,
-    /// CPUs that each team with such work may use, by team.
+    /// Run time of the longest task, in seconds.
+    longest_task_s: f64,
+    /// Maximum CPUs of each team with such work, by index of the team.
     max_cpus_by_team: BTreeMap<usize, f64>,
 }
 
 /// Open work by the name of its cutoff.
 type WorkByCutoff = BTreeMap<Arc<str>, CutoffWork>;
 
-/// An open cutoff, for operators.
+/// Status of an open cutoff, for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CutoffStatus {
-    /// Its name.
+    /// Name of the cutoff.
     pub name: String,
     /// Whether operators declared it; otherwise it was inferred from jobs.
     pub declared: bool,
     /// Seconds until the cutoff.
     pub left_s: f64,
-    /// Jobs done, and how many of these too late.
+    /// Number of jobs done, and how many of these were done after the cutoff.
     pub done: (u32, u32),
     /// Number of open jobs.
     pub open: usize,
-    /// Whether it will be met, as of the last update.
+    /// Forecast of whether it will be met, as of the last update.
     pub forecast: Option<Forecast>,
 }
 
 impl ClusterState {
-    /// Sets the cutoffs that operators declared, and whether inferred ones boost jobs
-    /// as well.
+    /// Sets the cutoffs that operators declared, and whether inferred cutoffs boost jobs
+    /// as well. Assigns the jobs to cutoffs anew.
     pub fn set_cutoff_rules(&mut self, rules: Vec<CutoffRule>, act_on_inferred: bool) {
         self.batch_deadlines.rules = rules;
         self.batch_deadlines.act_on_inferred = act_on_inferred;
-        // A cutoff may move while its batch runs.
+        // A declared cutoff may be moved while its batch runs.
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
             let job = self.jobs.get_mut(&id);
@@ -74,18 +79,18 @@
         }
     }
 
-    /// Restores the counts that an earlier leader recorded.
+    /// Restores the counts for open cutoffs that an earlier leader recorded.
     pub fn restore_deadline_tracker(&mut self, tracker: DeadlineTracker) {
         self.batch_deadlines.tracker = tracker;
     }
 
-    /// The counts for each open cutoff, to be recorded.
+    /// The counts for each open cutoff, for the leader to record.
     #[must_use]
     pub fn deadline_tracker(&self) -> &DeadlineTracker {
         &self.batch_deadlines.tracker
     }
 
-    /// Sets the priority rules in force from now on. They must have been recorded.
+    /// Puts priority rules into force. They must have been recorded before.
     pub fn set_priority_rules(&mut self, rules: PriorityRules) {
         self.batch_deadlines.priority_rules = rules;
         self.needs_scheduling = true;
@@ -97,8 +102,9 @@
         &self.batch_deadlines.priority_rules
     }
 
-    /// Sets the time of day at which a job that was just added was accepted, as in
-    /// its record: every leader finds the same cutoff for it.
+    /// Sets the time of day at which a job that was just added was accepted, and assigns
+    /// the job to its cutoff. The time is the one in the job's record, so that every
+    /// leader finds the same cutoff.
     pub fn set_accepted_time_of_day(&mut self, id: &str, time_of_day: f64) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -112,18 +118,19 @@
         };
         job.accepted_time_of_day = Some(time_of_day);
         job.cutoff = cutoff;
-        if let Some(due) = job.cutoff.clone()
-            && let Some(CutoffEvent::Opened(name)) = self.batch_deadlines.tracker.add_job(&due)
+        if let Some(window) = job.cutoff.clone()
+            && let Some(CutoffEvent::Opened(name)) = self.batch_deadlines.tracker.add_job(&window)
         {
             self.events.push(ClusterEvent::CutoffOpened {
                 cutoff: name,
-                is_declared: due.declared,
+                is_declared: window.declared,
             });
         }
     }
 
-    /// The cutoff that a job counts for: the first declared one that applies to it,
-    /// else one inferred from its deadline, if it has one.
+    /// The cutoff that a job counts for: the earliest declared one that applies to it, or
+    /// else one inferred from the shorter of its deadline and that of its class, if there
+    /// is one.
     fn find_cutoff(&self, job: &Job, accepted_time_of_day: f64) -> Option<CutoffWindow> {
         let (class, team) = (&job.spec.class, &job.spec.team);
         let rules = self.batch_deadlines.rules.iter();
@@ -147,7 +154,7 @@
         ))
     }
 
-    /// Counts a job that is done for its cutoff.
+    /// Counts a job towards its cutoff, if it is complete.
     pub(crate) fn record_cutoff_completion(&mut self, job: &Job, now: f64) {
         let time_of_day = self.time_of_day(now);
         if let Some(cutoff) = job.cutoff.as_ref().filter(|_| job.is_complete()) {
@@ -156,9 +163,8 @@
         }
     }
 
-    /// Updates the forecasts of all cutoffs, expires those that have passed, and
-    /// updates the boosts of all jobs. To be called about four times a heartbeat
-    /// interval.
+    /// Updates the forecasts of all cutoffs, expires those that have passed, and updates
+    /// the boosts of all jobs. To be called about four times per heartbeat interval.
     pub fn update_deadline_risk(&mut self, now: f64) {
         let time_of_day = self.time_of_day(now);
         let work = self.work_by_cutoff();
@@ -174,25 +180,27 @@
         self.update_boosts(time_of_day);
     }
 
+    /// Sums up the open work of each cutoff.
     fn work_by_cutoff(&self) -> WorkByCutoff {
         let mut work_by_cutoff = WorkByCutoff::new();
         for job in self.jobs.values() {
             let Some(cutoff) = &job.cutoff else { continue };
             if !work_by_cutoff.contains_key(&cutoff.name) {
-                work_by_cutoff.insert(cutoff.name.clone(), CutoffWork::none_for(cutoff));
+                work_by_cutoff.insert(cutoff.name.clone(), CutoffWork::empty_for(cutoff));
             }
             let Some(work) = work_by_cutoff.get_mut(&cutoff.name) else {
                 continue;
             };
             work.jobs += 1;
             work.cpu_s += self.remaining_cpu_s(job);
-            work.longest_s = work.longest_s.max(self.remaining_s(job, 0.0));
+            work.longest_task_s = work.longest_task_s.max(self.remaining_s(job, 0.0));
             let max_cpus = self.config.teams[job.team].max_cpus;
             work.max_cpus_by_team.insert(job.team, max_cpus);
         }
         work_by_cutoff
     }
 
+    /// Forecasts by name of the cutoff.
     fn forecast_cutoffs(
         &self,
         work: &WorkByCutoff,
@@ -205,14 +213,14 @@
                 left_s: work.cutoff - time_of_day,
                 cpu_s: work.cpu_s,
                 cpus: work.max_cpus_by_team.values().sum(),
-                longest_s: work.longest_s,
+                longest_s: work.longest_task_s,
             })
             .collect();
-        let found = forecast_cutoffs(&loads, self.usable_or_booting_cpus(now));
-        work.keys().cloned().zip(found).collect()
+        let forecasts = forecast_cutoffs(&loads, self.usable_or_booting_cpus(now));
+        work.keys().cloned().zip(forecasts).collect()
     }
 
-    /// Events for the cutoffs that have come to be at risk since the last update.
+    /// Events for the cutoffs that are at risk and were not at the last update.
     fn new_risk_events(
         &self,
         work: &WorkByCutoff,
@@ -220,8 +228,8 @@
     ) -> Vec<ClusterEvent> {
         let mut events = Vec::new();
         for ((name, work), forecast) in work.iter().zip(forecasts.values()) {
-            let before = self.batch_deadlines.forecasts.get(name);
-            if forecast.at_risk && !before.is_some_and(|f| f.at_risk) {
+            let previous = self.batch_deadlines.forecasts.get(name);
+            if forecast.at_risk && !previous.is_some_and(|f| f.at_risk) {
                 events.push(ClusterEvent::CutoffAtRisk {
                     cutoff: name.clone(),
                     is_declared: work.declared,
@@ -235,20 +243,20 @@
         events
     }
 
-    /// Updates how far each job is boosted within its priority: fully if its cutoff
-    /// is at risk, else by its rank.
+    /// Updates how far each job is boosted within its priority: fully if its cutoff is at
+    /// risk, otherwise in proportion to its rank.
     fn update_boosts(&mut self, time_of_day: f64) {
         let deadlines = &self.batch_deadlines;
-        let is_open = |window: &str, time_of_day: f64| {
-            let mut rules = deadlines.rules.iter().filter(|r| r.name == window);
+        let is_open = |rule_name: &str, time_of_day: f64| {
+            let mut rules = deadlines.rules.iter().filter(|r| r.name == rule_name);
             rules.any(|r| r.window_at(time_of_day).is_some())
         };
         let has_ranks = deadlines.priority_rules.current().is_some();
         for job in self.jobs.values_mut() {
             let is_at_risk = job.cutoff.as_ref().is_some_and(|cutoff| {
-                let acts = cutoff.declared || deadlines.act_on_inferred;
+                let may_boost = cutoff.declared || deadlines.act_on_inferred;
                 let forecast = deadlines.forecasts.get(&cutoff.name);
-                acts && forecast.is_some_and(|f| f.at_risk)
+                may_boost && forecast.is_some_and(|f| f.at_risk)
             });
             let rank = if has_ranks {
                 let accepted = job.accepted_time_of_day.unwrap_or(time_of_day);
@@ -262,8 +270,8 @@
         }
     }
 
-    /// Utility of a job's tasks that end at `end`, for the order among pending
-    /// tasks: boosted towards the utility of the next priority.
+    /// Utility of a job's tasks that end at `end`, for the order of pending tasks: boosted
+    /// towards the utility of the next higher priority.
     pub(crate) fn ordering_utility(&self, job: &Job, end: f64) -> f64 {
         let utility = self.utility(job, end);
         if job.boost <= 0.0 {
@@ -276,7 +284,7 @@
         utility * (next / own).powf(job.boost * MAX_BOOST_FRACTION)
     }
 
-    /// Open cutoffs, for operators.
+    /// Status of each open cutoff, for operators.
     #[must_use]
     pub fn cutoff_statuses(&self, now: f64) -> Vec<CutoffStatus> {
         let time_of_day = self.time_of_day(now);
@@ -299,20 +307,20 @@
 }
 
 impl CutoffWork {
-    /// No work yet for a cutoff.
-    fn none_for(cutoff: &CutoffWindow) -> Self {
+    /// No work yet, for a cutoff.
+    fn empty_for(cutoff: &CutoffWindow) -> Self {
         Self {
             cutoff: cutoff.cutoff,
             declared: cutoff.declared,
             jobs: 0,
             cpu_s: 0.0,
-            longest_s: 0.0,
+            longest_task_s: 0.0,
             max_cpus_by_team: BTreeMap::new(),
         }
     }
 }
 
-/// The event that tells operators how a cutoff expired.
+/// The event that tells operators what became of a cutoff when it was checked for expiry.
 fn expiry_event(event: CutoffEvent, open_jobs: &dyn Fn(&str) -> usize) -> ClusterEvent {
     match event {
         CutoffEvent::Opened(cutoff) => ClusterEvent::CutoffOpened {
