--- a/crates/tallygauge-scheduler/src/fleet_capacity.rs
+++ b/crates/tallygauge-scheduler/src/fleet_capacity.rs
@@ -1,10 +1,10 @@
-//! Capacity of the machines that there are and of the machine types on offer.
+//! Capacity of the existing machines and of the machine types that can be rented.
 
 use crate::{cluster_state::ClusterState, model::*};
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
 impl Resources {
-    /// How many such tasks fit.
+    /// How many tasks of `spec` fit into these resources.
     pub(crate) fn count_fitting_tasks(&self, spec: &JobSpec) -> u32 {
         count_fitting(self.cpus, spec.cpus)
             .min(count_fitting(self.gpus, spec.gpus))
@@ -13,7 +13,7 @@
 }
 
 impl Worker {
-    /// Whether its machine is on its way: rented, and not up yet.
+    /// Whether its machine has been rented, is not up yet and is not leaving.
     pub(crate) fn is_booting(&self) -> bool {
         !self.is_up() && self.leaving.is_none()
     }
@@ -38,19 +38,20 @@
         self.total_cpus(workers.filter(|w| w.accepts_work(now, &self.config) || w.is_booting()))
     }
 
-    /// CPUs of these workers' machines, as far as their types are known.
+    /// CPUs of the machines of `workers`. Machines of unknown types are not counted.
     fn total_cpus<'a>(&self, workers: impl Iterator<Item = &'a Worker>) -> f64 {
         let types = workers.filter_map(|w| self.machine_types.get(&w.machine_type));
         types.map(|t| t.cpus).sum()
     }
 
-    /// The longest boot time of a machine type.
+    /// The longest boot time of any machine type.
     pub(crate) fn max_boot_s(&self) -> f64 {
         let boot_times = self.machine_types.values().map(|t| t.boot_s);
         boot_times.fold(0.0, f64::max)
     }
 
-    /// CPUs of the smallest machine type that fits a task of the job.
+    /// CPUs of the smallest machine type that fits a task of the job; `f64::MAX` if none
+    /// does.
     pub(crate) fn smallest_fitting_cpus(&self, job: &Job) -> f64 {
         let fits = |t: &&MachineType| Resources::of_type(t).can_fit(&job.spec);
         let sizes = self.machine_types.values().filter(fits).map(|t| t.cpus);
--- a/crates/tallygauge-scheduler/src/scale_in.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -1,23 +1,28 @@
 //! Scale-in: which machines are surplus, and which can be returned.
 //!
-//! A machine is surplus if open work does not need it, counting what demand may
-//! increase by before another could boot. Since small tasks spread over many machines
-//! would keep all of them from falling empty, surplus ones, expensive and little used
-//! ones first, are the last choice for new tasks, and are returned as soon as they are
-//! empty.
+//! A machine is surplus if it is not needed for open work, nor for the increase of demand
+//! that must be expected within the boot time of a new machine. Machines that are
+//! expensive and little used become surplus first.
+//!
+//! New tasks are placed on surplus machines last, and a surplus machine is returned as
+//! soon as it is empty. Otherwise, small tasks spread over many machines would keep all of
+//! them from becoming empty.
 
 use crate::{cluster_state::ClusterState, demand_history::DemandHistory, model::*};
 
-/// A machine that is returned earlier is charged for this long all the same.
+/// Minimum time that the cloud charges for a machine, even if it is returned earlier.
+/// A machine does not become surplus before.
 const MIN_CHARGED_S: f64 = 60.0;
 
-/// Boot times after which a new leader has seen enough of the demand.
+/// Time after the start of its term for which a new leader doesn't change which machines
+/// are surplus, since it has not seen enough of the demand. A multiple of the longest
+/// boot time.
 const WARM_UP_BOOTS: f64 = 2.0;
 
-/// Boot time of a machine whose type is not known.
+/// Boot time assumed for a machine of an unknown type.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// A machine type by its size.
+/// Size of a machine type.
 struct TypeSize {
     cpus: f64,
     name: String,
@@ -26,51 +31,52 @@
 /// A machine that may be surplus.
 struct SurplusCandidate<'a> {
     was_surplus: bool,
-    /// Price of what is unused, per CPU.
+    /// Price per CPU, times the fraction of its CPUs that are unused.
     unused_price: f64,
-    /// Index of its type in the order of size.
+    /// Index of its type, by ascending size.
     type_index: usize,
     name: &'a str,
 }
 
-/// A machine that becomes surplus, or ceases to be.
+/// A machine that becomes or ceases to be surplus.
 struct SurplusChange {
     worker: String,
     surplus: bool,
 }
 
-/// A machine that can be returned to the cloud now.
+/// A machine that can now be returned to the cloud.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReturnableMachine {
-    /// Its name.
+    /// Name of the machine.
     pub name: String,
     /// Why it is returned.
     pub reason: LeaveReason,
 }
 
 impl ClusterState {
-    /// Marks the machines that are surplus. To be called about once a heartbeat
+    /// Updates which machines are marked as surplus. To be called about once per heartbeat
     /// interval.
     pub fn mark_surplus_machines(&mut self, now: f64) {
         let types = self.types_by_size();
         let boot_s = self.max_boot_s();
         let demand = self.demand_by_size(&types);
-        let mut spare = self.capacity_by_size(&types, now);
+        let mut spare_cpus = self.capacity_by_size(&types, now);
         self.demand_history
             .resize_with(types.len(), DemandHistory::default);
         for (index, history) in self.demand_history.iter_mut().enumerate() {
-            spare[index] -= demand[index] + history.record(now, demand[index], boot_s);
+            spare_cpus[index] -= demand[index] + history.record(now, demand[index], boot_s);
         }
         if now - self.term_started_at < boot_s * WARM_UP_BOOTS {
             return;
         }
-        for change in self.surplus_changes(&types, spare, now) {
+        for change in self.surplus_changes(&types, spare_cpus, now) {
             if let Some(worker) = self.workers.get_mut(&change.worker) {
                 worker.surplus = change.surplus;
             }
         }
     }
 
+    /// The machine types, by ascending size and then by name.
     fn types_by_size(&self) -> Vec<TypeSize> {
         let types = self.machine_types.values();
         let mut sizes: Vec<TypeSize> = types
@@ -83,7 +89,8 @@
         sizes
     }
 
-    /// CPUs of open work that only machines of at least each type's size can serve.
+    /// CPUs of the open work that needs machines of at least the size of each type, in the
+    /// order of `types`.
     fn demand_by_size(&self, types: &[TypeSize]) -> Vec<f64> {
         let mut demand = vec![0.0; types.len()];
         for job in self.jobs.values() {
@@ -98,7 +105,8 @@
         demand
     }
 
-    /// CPUs of the usable machines of at least each type's size.
+    /// CPUs of the usable machines of at least the size of each type, in the order of
+    /// `types`.
     fn capacity_by_size(&self, types: &[TypeSize], now: f64) -> Vec<f64> {
         let mut capacity = vec![0.0; types.len()];
         for worker in self.usable_workers(now) {
@@ -110,21 +118,21 @@
         capacity
     }
 
-    /// Which machines become surplus or cease to be, given the CPUs that are spare by
-    /// size.
+    /// Which machines become or cease to be surplus. `spare_cpus` are the CPUs not needed
+    /// of machines of at least the size of each type, in the order of `types`.
     fn surplus_changes(
         &self,
         types: &[TypeSize],
-        mut spare: Vec<f64>,
+        mut spare_cpus: Vec<f64>,
         now: f64,
     ) -> Vec<SurplusChange> {
         let mut changes = Vec::new();
         for candidate in self.surplus_candidates(types, now) {
             let cpus = types[candidate.type_index].cpus;
-            let spare = &mut spare[..=candidate.type_index];
-            let surplus = spare.iter().all(|s| *s >= cpus);
+            let spare_cpus = &mut spare_cpus[..=candidate.type_index];
+            let surplus = spare_cpus.iter().all(|s| *s >= cpus);
             if surplus {
-                spare.iter_mut().for_each(|s| *s -= cpus);
+                spare_cpus.iter_mut().for_each(|s| *s -= cpus);
             }
             if surplus != candidate.was_surplus {
                 changes.push(SurplusChange {
@@ -136,8 +144,9 @@
         changes
     }
 
-    /// Machines that may be surplus, in the order in which they should be: those that
-    /// were before first, so that not all stay half full, then by price.
+    /// Machines that may be surplus, in the order of preference: those that are surplus
+    /// already first, since otherwise all machines could stay half full, and then by
+    /// descending price of the unused CPUs.
     fn surplus_candidates(&self, types: &[TypeSize], now: f64) -> Vec<SurplusCandidate<'_>> {
         let mut candidates: Vec<SurplusCandidate> = self
             .usable_workers(now)
@@ -151,10 +160,10 @@
                     machine_type.price
                 };
                 let cpus = machine_type.cpus.max(1.0);
-                let unused = worker.free_resources.cpus / cpus;
+                let unused_fraction = worker.free_resources.cpus / cpus;
                 Some(SurplusCandidate {
                     was_surplus: worker.surplus,
-                    unused_price: price / cpus * unused,
+                    unused_price: price / cpus * unused_fraction,
                     type_index,
                     name: &worker.name,
                 })
@@ -169,8 +178,9 @@
         candidates
     }
 
-    /// Marks machines that have been idle for long as leaving, and returns the names of
-    /// all that can be returned now: leaving and empty, or given up.
+    /// Marks empty machines as leaving if they are surplus or have been idle for long.
+    /// Returns all machines that can be returned now: those that are leaving and empty,
+    /// with all ends of tasks durable, and those that are given up.
     pub fn machines_to_return(&mut self, now: f64) -> Vec<ReturnableMachine> {
         let mut returnable = Vec::new();
         let idle_boots = self.config.idle_boots;
@@ -196,7 +206,7 @@
                     at: now,
                 });
             }
-            // Done tasks whose end is not durable yet would run again.
+            // Without the machine, tasks whose end is not durable yet would run again.
             let has_unsaved_ends = worker
                 .attempts
                 .iter()
@@ -222,8 +232,8 @@
         returnable
     }
 
-    /// Records that a request to return machines is being sent: they may be gone at any
-    /// time from now on.
+    /// Records that a request to return machines is being sent. From now on they may
+    /// disappear at any time.
     pub fn mark_return_sent(&mut self, names: &[String]) {
         for name in names {
             if let Some(worker) = self.workers.get_mut(name) {
@@ -233,7 +243,7 @@
     }
 }
 
-/// Index of a worker's machine type.
+/// Index in `types` of a worker's machine type.
 fn type_index(types: &[TypeSize], worker: &Worker) -> Option<usize> {
     types.iter().position(|t| t.name == worker.machine_type)
 }
--- a/crates/tallygauge-scheduler/src/scale_out.rs
+++ b/crates/tallygauge-scheduler/src/scale_out.rs
@@ -1,13 +1,13 @@
 //! Scale-out: which machines to rent for pending tasks.
 //!
-//! Pending tasks are packed into the machines that there are or that are booting, and
-//! then into hypothetical ones, which are what is rented.
+//! Pending tasks are packed into the existing and booting machines. For those that don't
+//! fit, machines are added to a [`RentalPlan`].
 
 mod cheapest_kind;
-mod market;
+mod rental_plan;
 
 use crate::{cluster_state::ClusterState, mapping::TaskGroup, model::*};
-use market::{CloudMarket, HypotheticalMachine, KindRef, UnplaceableTasks};
+use rental_plan::{KindRef, PackableMachine, RentalPlan, UnplaceableTasks};
 use std::collections::BTreeMap;
 use tallygauge_protocol::{
     cloud::{MAX_MACHINES_PER_RENTAL, MachineType},
@@ -17,21 +17,23 @@
 /// Machines to rent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rental {
-    /// Their kind.
+    /// Kind of the machines.
     pub kind: MachineKind,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// Part of their slack that pending tasks may spend on waiting for resources.
+/// Maximum fraction of its slack that a pending task may spend waiting for resources.
 const MAX_SLACK_SPENT: f64 = 0.4;
 
-/// Boot times after which a machine that is still booting is not counted on.
-const MAX_BOOT_TIMES: f64 = 1.7;
+/// Time after which a machine that is still booting is no longer counted on, as a multiple
+/// of the boot time of its type.
+const MAX_BOOT_TIME_FACTOR: f64 = 1.7;
 
 impl ClusterState {
-    /// The cloud had fewer machines of a kind than were asked for: it is not
-    /// asked again for a while, growing with each refusal.
+    /// Records that the cloud had fewer machines of a kind than were requested. The kind is
+    /// not requested again until a backoff time has passed, which grows with each refusal
+    /// up to the third.
     pub fn record_no_capacity(&mut self, kind: &MachineKind, now: f64) {
         let boot_s = self
             .machine_types
@@ -42,14 +44,14 @@
         backoff.until = now + boot_s * 0.1 * f64::from(1u32 << backoff.refusals);
     }
 
-    /// The cloud had all that was asked for.
+    /// Records that the cloud had all machines of a kind that were requested.
     pub fn record_rented(&mut self, kind: &MachineKind) {
         self.capacity_backoff.remove(kind);
     }
 
-    /// Machines to rent now, for pending tasks that neither free resources nor booting
-    /// machines will take. At most as many of a kind as one request may ask for; the
-    /// kind that most machines are wanted of is first.
+    /// Machines to rent now, for pending tasks that fit neither free resources nor booting
+    /// machines. At most [`MAX_MACHINES_PER_RENTAL`] of a kind; the kind with the most
+    /// machines comes first.
     #[must_use]
     pub fn rentals(&self, now: f64) -> Vec<Rental> {
         let mut groups = self.pending_groups(now).groups;
@@ -61,20 +63,21 @@
             .map(|g| g.job.spec.cpus)
             .fold(f64::MAX, f64::min);
         self.sort_by_rental_order(&mut groups);
-        let mut market = self.cloud_market(smallest_cpus, now);
+        let mut plan = self.new_rental_plan(smallest_cpus, now);
         for group in groups {
-            self.pack(&group, now, &mut market);
-            market.drop_full_machines(smallest_cpus);
-            if market.has_full_rental() {
+            self.pack(&group, now, &mut plan);
+            plan.drop_full_machines(smallest_cpus);
+            if plan.has_full_rental() {
                 break;
             }
         }
-        self.relocate_to_smaller(now, &mut market);
-        market.into_rentals()
+        self.relocate_to_smaller(now, &mut plan);
+        plan.into_rentals()
     }
 
-    /// Sorts groups in the order in which machines are rented for them: those within
-    /// their team's guarantee first, then by priority and age.
+    /// Sorts groups in the order in which machines are rented for them: those of jobs
+    /// within their team's guarantee first, then by descending priority, then by age,
+    /// oldest first.
     fn sort_by_rental_order(&self, groups: &mut [TaskGroup]) {
         let within_guarantee = self.jobs_within_guarantee();
         groups.sort_by(|a, b| {
@@ -86,16 +89,17 @@
         });
     }
 
-    /// The machines that pending tasks, of at least `smallest_cpus`, can be packed into.
-    fn cloud_market(&self, smallest_cpus: f64, now: f64) -> CloudMarket<'_> {
+    /// A plan that rents nothing yet, with the existing and booting machines that have at
+    /// least `smallest_cpus` CPUs free for pending tasks.
+    fn new_rental_plan(&self, smallest_cpus: f64, now: f64) -> RentalPlan<'_> {
         let teams = self.config.teams.iter().zip(&self.quota_usage);
-        let mut market = CloudMarket::new(teams);
+        let mut plan = RentalPlan::new(teams);
         for worker in self.workers.values() {
-            market.count_in_zone(&worker.zone);
+            plan.count_machine_in_zone(&worker.zone);
             if self.can_pack_into(worker, now)
                 && worker.free_resources.cpus + EPSILON >= smallest_cpus
             {
-                market.machines.push(HypotheticalMachine {
+                plan.machines.push(PackableMachine {
                     kind: KindRef {
                         machine_type: &worker.machine_type,
                         zone: &worker.zone,
@@ -105,11 +109,11 @@
                 });
             }
         }
-        market
+        plan
     }
 
-    /// Whether pending tasks can count on a worker's machine: it will stay, and it is
-    /// up, or boots and does not take much longer for that than usual.
+    /// Whether pending tasks can be packed into a worker's machine: it is going to stay,
+    /// is reachable, and is either up or has not been booting for much longer than usual.
     fn can_pack_into(&self, worker: &Worker, now: f64) -> bool {
         let Some(machine_type) = self.machine_types.get(&worker.machine_type) else {
             return false;
@@ -122,57 +126,59 @@
         if worker.is_up() {
             now - worker.last_heartbeat_at < self.config.lease_s
         } else {
-            now - worker.rented_at < machine_type.boot_s * MAX_BOOT_TIMES
+            now - worker.rented_at < machine_type.boot_s * MAX_BOOT_TIME_FACTOR
         }
     }
 
-    /// Packs the tasks of a group into machines, and adds machines for those that are
-    /// left.
-    fn pack<'a>(&'a self, group: &TaskGroup<'a>, now: f64, market: &mut CloudMarket<'a>) {
+    /// Packs the tasks of a group into the machines of the plan, and adds machines to rent
+    /// for those that are left.
+    fn pack<'a>(&'a self, group: &TaskGroup<'a>, now: f64, plan: &mut RentalPlan<'a>) {
         let job = group.job;
         let task_count = group.task_count();
-        let mut left = market.take_quota(job, task_count);
-        // With a machine that the job may use, tasks can wait for it to become free.
-        let mut can_wait = market.fill_machines(job, &mut left);
-        // Part of a machine's time until the horizon that is not used by the tasks it
-        // was rented for.
-        let mut unused_load: f64 = 0.0;
-        while left > 0 {
-            let cheapest = self.cheapest_kind(job, task_count, now, &market.machines_by_zone, None);
+        let mut tasks_left = plan.take_quota(job, task_count);
+        // If there is a machine that the job may use, tasks can wait until it has free
+        // resources.
+        let mut can_wait = plan.fill_machines(job, &mut tasks_left);
+        // Load of the tasks assigned to new slots so far, beyond what these slots can run
+        // until the horizon. It is taken off what the next slot can run.
+        let mut excess_load: f64 = 0.0;
+        while tasks_left > 0 {
+            let cheapest = self.cheapest_kind(job, task_count, now, &plan.machines_by_zone, None);
             let Some(offer) = cheapest else {
-                market
-                    .unplaceable
-                    .push(UnplaceableTasks { job, count: left });
+                plan.unplaceable.push(UnplaceableTasks {
+                    job,
+                    count: tasks_left,
+                });
                 return;
             };
             let load_per_task = self.load_per_task(group, offer.machine_type, now);
-            let tasks = if can_wait {
-                ((1.0 - unused_load) / load_per_task).ceil().max(1.0)
+            let tasks_in_slot = if can_wait {
+                ((1.0 - excess_load) / load_per_task).ceil().max(1.0)
             } else {
                 1.0
             };
-            if can_wait && tasks > f64::from(left) {
+            if can_wait && tasks_in_slot > f64::from(tasks_left) {
                 return;
             }
-            unused_load = (unused_load + tasks * load_per_task - 1.0).max(0.0);
-            left -= tasks as u32;
+            excess_load = (excess_load + tasks_in_slot * load_per_task - 1.0).max(0.0);
+            tasks_left -= tasks_in_slot as u32;
             can_wait = true;
-            let mut machine = HypotheticalMachine {
+            let mut machine = PackableMachine {
                 kind: offer.kind(),
                 free_resources: Resources::of_type(offer.machine_type),
             };
             machine.free_resources.add_scaled(&job.spec, -1.0);
-            left -= machine.take(&job.spec, left);
-            market.machines.push(machine);
-            if market.rent(offer.kind()) >= MAX_MACHINES_PER_RENTAL {
+            tasks_left -= machine.pack(&job.spec, tasks_left);
+            plan.machines.push(machine);
+            if plan.rent(offer.kind()) >= MAX_MACHINES_PER_RENTAL {
                 return;
             }
         }
     }
 
-    /// Part of a slot's time until the horizon that a task of the group takes. Tasks
-    /// that are short against a boot, or that can wait, run one after another in the
-    /// same slot.
+    /// Fraction of a slot's time until the horizon that a task of the group takes; less
+    /// than 1 if several tasks can run one after another in the same slot. That holds for
+    /// tasks that are short compared with a boot, or that have slack to wait.
     fn load_per_task(&self, group: &TaskGroup, machine_type: &MachineType, now: f64) -> f64 {
         let run_s = self.remaining_s(group.job, group.checkpointed_s());
         let boot_horizon_s = machine_type.boot_s * self.config.horizon_boots;
@@ -180,20 +186,22 @@
         (run_s / horizon_s).min(1.0)
     }
 
-    /// Seconds that a task of the job could still wait and end in time.
+    /// Seconds that a task of the job with `run_s` left to run can still wait and end by
+    /// its deadline; 0 if the job has no deadline.
     fn slack_s(&self, job: &Job, run_s: f64, now: f64) -> f64 {
         self.deadline_at(job)
             .map_or(0.0, |deadline| deadline - now - run_s)
     }
 
-    /// Where no machine can be rented that is large enough for what is pending, rents
-    /// smaller ones for attempts that run on large machines and don't need them.
-    fn relocate_to_smaller<'a>(&'a self, now: f64, market: &mut CloudMarket<'a>) {
-        let Some(first) = market.unplaceable.first() else {
+    /// If there are pending tasks for which no machine that is large enough can be rented,
+    /// rents smaller machines for attempts that run on large machines and fit smaller
+    /// ones.
+    fn relocate_to_smaller<'a>(&'a self, now: f64, plan: &mut RentalPlan<'a>) {
+        let Some(first) = plan.unplaceable.first() else {
             return;
         };
         let large_task = &first.job.spec;
-        let unplaceable = market.unplaceable.iter();
+        let unplaceable = plan.unplaceable.iter();
         let needed_cpus: f64 = unplaceable
             .map(|u| u.job.spec.cpus * f64::from(u.count))
             .sum();
@@ -207,21 +215,22 @@
             cpus_left -= cpus.max(0.0);
             while cpus > EPSILON {
                 let too_small_for = Some(large_task.as_ref());
-                let machines_by_zone = &market.machines_by_zone;
+                let machines_by_zone = &plan.machines_by_zone;
                 let cheapest =
                     self.cheapest_kind(job, u32::MAX, now, machines_by_zone, too_small_for);
                 let Some(offer) = cheapest else {
                     break;
                 };
                 cpus -= offer.machine_type.cpus;
-                if market.rent(offer.kind()) >= MAX_MACHINES_PER_RENTAL {
+                if plan.rent(offer.kind()) >= MAX_MACHINES_PER_RENTAL {
                     return;
                 }
             }
         }
     }
 
-    /// Attempts on machines that fit the large task, and what is free on others.
+    /// Attempts on machines that are large enough for `large_task`, and the CPUs that are
+    /// free on others.
     fn relocatable_attempts(&self, large_task: &JobSpec) -> RelocatableAttempts<'_> {
         let mut relocatable = RelocatableAttempts::default();
         for worker in self.workers.values() {
@@ -242,7 +251,7 @@
     }
 }
 
-/// What could move from large machines to smaller ones.
+/// What could be moved from large machines to smaller ones.
 #[derive(Default)]
 struct RelocatableAttempts<'a> {
     /// CPUs of attempts on large machines, by job.
--- a/crates/tallygauge-scheduler/src/scale_out/cheapest_kind.rs
+++ b/crates/tallygauge-scheduler/src/scale_out/cheapest_kind.rs
@@ -1,18 +1,18 @@
-//! Which kind of machine serves a job's tasks at the lowest price.
+//! Determines which kind of machine runs a job's tasks at the lowest cost.
 
-use super::market::KindRef;
+use super::rental_plan::KindRef;
 use crate::{cluster_state::ClusterState, model::*};
 use std::collections::BTreeMap;
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
-/// Part of a spot machine's price that its interruptions are expected to cost.
-const SPOT_RISK: f64 = 0.15;
+/// Expected cost of the interruptions of a spot machine, as a fraction of its price.
+const SPOT_INTERRUPTION_COST: f64 = 0.15;
 
-/// Lowest fetch rate that is reckoned with, GB/s.
+/// Minimum rate of image fetches that is assumed for a machine type, in GB/s.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
-/// Relative cost of each machine that is in a zone already: between zones that cost
-/// the same, machines are spread.
+/// Fraction by which each machine that is already in a zone increases the cost of further
+/// ones there, so that machines are spread between zones that cost the same.
 const ZONE_SPREAD_COST: f64 = 1e-4;
 
 /// A kind of machine that can be rented.
@@ -32,10 +32,10 @@
         }
     }
 
-    /// Price of the machine per second, with the expected cost of interruptions.
+    /// Price of the machine per second, including the expected cost of interruptions.
     fn price(&self) -> f64 {
         if self.spot {
-            self.machine_type.spot_price * (1.0 + SPOT_RISK)
+            self.machine_type.spot_price * (1.0 + SPOT_INTERRUPTION_COST)
         } else {
             self.machine_type.price
         }
@@ -43,8 +43,9 @@
 }
 
 impl ClusterState {
-    /// The kind of machine that serves the job's tasks at the lowest price, of those
-    /// too small for a task of `too_small_for`, if given.
+    /// Of the kinds of machines that can be rented, the one that runs tasks of the job at
+    /// the lowest cost per task. If `too_small_for` is given, only machine types too small
+    /// for such a task are considered.
     pub(super) fn cheapest_kind(
         &self,
         job: &Job,
@@ -61,7 +62,7 @@
             if !whole.can_fit(&job.spec) || too_small_for.is_some_and(|s| whole.can_fit(s)) {
                 continue;
             }
-            let slots = whole.count_fitting_tasks(&job.spec).min(task_count);
+            let slots_per_machine = whole.count_fitting_tasks(&job.spec).min(task_count);
             for zone in &machine_type.zones {
                 for spot in [true, false] {
                     let offer = Offer {
@@ -72,9 +73,10 @@
                     if !self.can_rent(offer, job, now) {
                         continue;
                     }
-                    let in_zone = machines_by_zone.get(zone.as_str()).copied().unwrap_or(0);
-                    let cost = self.cost_per_task(offer, job, slots)
-                        * (1.0 + in_zone as f64 * ZONE_SPREAD_COST);
+                    let machines_in_zone =
+                        machines_by_zone.get(zone.as_str()).copied().unwrap_or(0);
+                    let cost = self.cost_per_task(offer, job, slots_per_machine)
+                        * (1.0 + machines_in_zone as f64 * ZONE_SPREAD_COST);
                     if best.as_ref().is_none_or(|b| cost < b.0) {
                         best = Some((cost, offer));
                     }
@@ -84,8 +86,8 @@
         best.map(|(_, offer)| offer)
     }
 
-    /// Whether the job may use such a machine, and the cloud has not refused one of
-    /// late.
+    /// Whether the job may use such a machine, and the kind is not in backoff after a
+    /// refusal by the cloud.
     fn can_rent(&self, offer: Offer, job: &Job, now: f64) -> bool {
         let Offer {
             machine_type: t,
@@ -104,8 +106,9 @@
         !backoff.is_some_and(|backoff| backoff.until > now)
     }
 
-    /// Cost of one task of the job on a new machine with so many slots, with the time
-    /// that is paid for before the first task runs.
+    /// Cost of one task of the job on a new machine that runs `slots` tasks at a time,
+    /// including the boot and the image fetch that are paid for before the first task
+    /// runs.
     fn cost_per_task(&self, offer: Offer, job: &Job, slots: u32) -> f64 {
         let machine_type = offer.machine_type;
         let gb_per_s = machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
--- a/crates/tallygauge-scheduler/src/scale_out/rental_plan.rs
+++ b/crates/tallygauge-scheduler/src/scale_out/rental_plan.rs
@@ -1,4 +1,4 @@
-//! Machines that pending tasks are packed into, and those to be rented.
+//! Plan of the machines to rent, and of the tasks packed into existing and new machines.
 
 use super::Rental;
 use crate::{cluster_state::QuotaUsage, model::*};
@@ -13,48 +13,50 @@
     pub(super) spot: bool,
 }
 
-/// A machine that tasks are packed into: there already, or to be rented.
-pub(super) struct HypotheticalMachine<'a> {
+/// A machine that tasks can be packed into: an existing or booting one, or one to be
+/// rented.
+pub(super) struct PackableMachine<'a> {
     pub(super) kind: KindRef<'a>,
     pub(super) free_resources: Resources,
 }
 
-impl HypotheticalMachine<'_> {
-    /// Packs up to `max_tasks` tasks into it. Returns how many fit.
-    pub(super) fn take(&mut self, spec: &JobSpec, max_tasks: u32) -> u32 {
+impl PackableMachine<'_> {
+    /// Packs up to `max_tasks` tasks into the machine. Returns how many fit.
+    pub(super) fn pack(&mut self, spec: &JobSpec, max_tasks: u32) -> u32 {
         let count = self.free_resources.count_fitting_tasks(spec).min(max_tasks);
         self.free_resources.add_scaled(spec, -f64::from(count));
         count
     }
 }
 
-/// Resources that a team's limit leaves.
+/// Resources that a team can still use within its quota.
 struct QuotaHeadroom {
     cpus: f64,
     gpus: f64,
 }
 
-/// Tasks that no machine can be rented for.
+/// Tasks of a job for which no machine can be rented.
 pub(super) struct UnplaceableTasks<'a> {
     pub(super) job: &'a Job,
     pub(super) count: u32,
 }
 
-/// State of one computation of rentals.
-pub(super) struct CloudMarket<'a> {
+/// The machines to rent, as planned so far in one computation of rentals.
+pub(super) struct RentalPlan<'a> {
     /// Machines with free resources.
-    pub(super) machines: Vec<HypotheticalMachine<'a>>,
-    /// How many machines are in each zone, with those to be rented.
+    pub(super) machines: Vec<PackableMachine<'a>>,
+    /// Number of machines in each zone, including those to be rented.
     pub(super) machines_by_zone: BTreeMap<&'a str, usize>,
-    /// How many machines are to be rented.
+    /// Number of machines to be rented, by kind.
     rented: BTreeMap<KindRef<'a>, u32>,
-    /// By team.
+    /// What each team's quota leaves, by index of the team.
     headroom: Vec<QuotaHeadroom>,
+    /// Pending tasks for which no machine can be rented.
     pub(super) unplaceable: Vec<UnplaceableTasks<'a>>,
 }
 
-impl<'a> CloudMarket<'a> {
-    /// No machines yet, with what the teams' limits leave.
+impl<'a> RentalPlan<'a> {
+    /// A plan without machines, with the resources that the quotas of `teams` leave.
     pub(super) fn new<'t>(teams: impl Iterator<Item = (&'t TeamConfig, &'t QuotaUsage)>) -> Self {
         let headroom = teams.map(|(team, usage)| QuotaHeadroom {
             cpus: team.max_cpus - usage.cpus,
@@ -69,12 +71,13 @@
         }
     }
 
-    pub(super) fn count_in_zone(&mut self, zone: &'a str) {
+    /// Counts one more machine in a zone.
+    pub(super) fn count_machine_in_zone(&mut self, zone: &'a str) {
         *self.machines_by_zone.entry(zone).or_default() += 1;
     }
 
-    /// Takes up to `max_tasks` tasks of the job off its team's limit. Returns how many
-    /// it allows.
+    /// Takes the resources of up to `max_tasks` tasks of the job from the quota of its
+    /// team. Returns the number of tasks that the quota allows.
     pub(super) fn take_quota(&mut self, job: &Job, max_tasks: u32) -> u32 {
         let spec = &job.spec;
         let headroom = &mut self.headroom[job.team];
@@ -86,12 +89,12 @@
         count
     }
 
-    /// Packs tasks of the job into the machines until none is left. Returns whether
-    /// there is a machine that the job may use.
-    pub(super) fn fill_machines(&mut self, job: &Job, left: &mut u32) -> bool {
-        let mut has_allowed = false;
+    /// Packs tasks of the job into the machines, and subtracts their number from `tasks_left`.
+    /// Stops when none is left. Returns whether it found a machine that the job may use.
+    pub(super) fn fill_machines(&mut self, job: &Job, tasks_left: &mut u32) -> bool {
+        let mut found_allowed_machine = false;
         for machine in &mut self.machines {
-            if *left == 0 {
+            if *tasks_left == 0 {
                 break;
             }
             let kind = machine.kind;
@@ -101,34 +104,36 @@
                 kind.spot,
                 &job.attempts_by_zone,
             ) {
-                has_allowed = true;
-                *left -= machine.take(&job.spec, *left);
+                found_allowed_machine = true;
+                *tasks_left -= machine.pack(&job.spec, *tasks_left);
             }
         }
-        has_allowed
+        found_allowed_machine
     }
 
-    /// Adds a machine to be rented. Returns how many of its kind are.
+    /// Adds a machine to be rented. Returns the number of machines of its kind to be
+    /// rented.
     pub(super) fn rent(&mut self, kind: KindRef<'a>) -> u32 {
-        self.count_in_zone(kind.zone);
+        self.count_machine_in_zone(kind.zone);
         let count = self.rented.entry(kind).or_default();
         *count += 1;
         *count
     }
 
-    /// Drops machines without room for a task of `smallest_cpus`.
+    /// Drops machines that have too few free CPUs for a task of `smallest_cpus`.
     pub(super) fn drop_full_machines(&mut self, smallest_cpus: f64) {
         self.machines
             .retain(|m| m.free_resources.cpus + EPSILON >= smallest_cpus);
     }
 
-    /// Whether as many machines of a kind are to be rented as one request may ask for.
+    /// Whether the machines to be rented of any kind fill a request to the cloud
+    /// ([`MAX_MACHINES_PER_RENTAL`]).
     pub(super) fn has_full_rental(&self) -> bool {
         let mut counts = self.rented.values();
         counts.any(|count| *count >= MAX_MACHINES_PER_RENTAL)
     }
 
-    /// What is to be rented, the kind with most machines first.
+    /// The machines to be rented, the kind with the most machines first.
     pub(super) fn into_rentals(self) -> Vec<Rental> {
         let mut rentals: Vec<Rental> = self
             .rented
