--- a/crates/tallygauge-scheduler/src/minimum_share/selection.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/selection.rs
@@ -241,10 +241,10 @@
 /// Fraction of the machines that jobs with priority may use: each class with such jobs
 /// gets an equal part, and so do all other classes with pending work together.
 fn machine_share(open_jobs: &[OpenJob], claims: &HashMap<String, PriorityClaim>) -> f64 {
-    let claiming_classes: BTreeSet<usize> = claims.values().map(|c| c.group).collect();
-    let others_wait = open_jobs.iter().any(|open| {
-        !claiming_classes.contains(&open.job.group_ids[0]) && open.job.has_pending_tasks()
-    });
-    let parts = claiming_classes.len() + usize::from(others_wait);
-    claiming_classes.len() as f64 / parts.max(1) as f64
+    let with_claims: BTreeSet<usize> = claims.values().map(|c| c.group).collect();
+    let others_wait = open_jobs
+        .iter()
+        .any(|open| !with_claims.contains(&open.job.group_ids[0]) && open.job.has_pending_tasks());
+    let parts = with_claims.len() + usize::from(others_wait);
+    with_claims.len() as f64 / parts.max(1) as f64
 }
--- a/crates/tallygauge-scheduler/src/scale_in.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -10,8 +10,8 @@
 
 use crate::{cluster_state::ClusterState, demand_history::DemandHistory, model::*};
 
-/// Minimum time that the cloud charges for a machine, even if it is returned earlier.
-/// A machine does not become surplus before.
+/// Minimum time that the cloud charges for a machine, even if it is returned earlier. A
+/// machine does not become surplus before that.
 const MIN_CHARGED_S: f64 = 60.0;
 
 /// Time after the start of its term for which a new leader doesn't change which machines
@@ -118,8 +118,9 @@
         capacity
     }
 
-    /// Which machines become or cease to be surplus. `spare_cpus` are the CPUs not needed
-    /// of machines of at least the size of each type, in the order of `types`.
+    /// Which machines become or cease to be surplus. For each of `types`, `spare_cpus` has
+    /// the CPUs of the machines of at least its size that are not needed; below 0, CPUs are
+    /// missing.
     fn surplus_changes(
         &self,
         types: &[TypeSize],
@@ -232,8 +233,8 @@
         returnable
     }
 
-    /// Records that a request to return machines is being sent. From now on they may
-    /// disappear at any time.
+    /// Records that a request to return machines is being sent. From now on, the
+    /// machines may disappear at any time.
     pub fn mark_return_sent(&mut self, names: &[String]) {
         for name in names {
             if let Some(worker) = self.workers.get_mut(name) {
--- a/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
@@ -90,9 +90,9 @@
     assert_eq!((cutoff.open, cutoff.forecast.unwrap().at_risk), (2, true));
     // A job of a higher priority stays ahead, and the boost doesn't change the utility that
     // preemption goes by.
-    let mut urgent = job(4, "archive", 1);
-    urgent.priority = Priority::High;
-    add_job(&mut cluster, urgent, TEST_START);
+    let mut high_priority = job(4, "archive", 1);
+    high_priority.priority = Priority::High;
+    add_job(&mut cluster, high_priority, TEST_START);
     assert_eq!(pending_order(&mut cluster, 100.0)[0], "req-4");
     let boosted = &cluster.jobs["req-2"];
     assert!(cluster.ordering_utility(boosted, 100.0) > cluster.utility(boosted, 100.0));
