--- a/crates/tallygauge-scheduler/src/start_deadline/mod.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/mod.rs
@@ -44,8 +44,9 @@
 /// is not large has priority.
 const SMALL_JOB_AFTER: f64 = 0.85;
 
-/// Maximum fraction of the usable CPUs for placing further tasks of large jobs near
-/// their start deadline before other tasks, after the first task of each.
+/// Maximum fraction of the usable CPUs up to which large jobs near their start deadline
+/// get further tasks placed before those of other jobs. The first task of each job is
+/// placed regardless of it.
 const MAX_LARGE_JOB_SHARE: f64 = 0.1;
 
 /// Maximum fraction of the usable CPUs for placing the first tasks of jobs that are not
@@ -197,8 +198,9 @@
                 .is_some_and(|j| j.unstarted.contains(attempt.index))
     }
 
-    /// CPUs, of `total_cpus`, that further tasks of large jobs near their start deadline
-    /// may use with priority.
+    /// CPUs that further tasks of large jobs near their start deadline may use with
+    /// priority: [`MAX_LARGE_JOB_SHARE`] of `total_cpus`, less those that attempts of all
+    /// jobs with a start claim use already.
     pub(crate) fn cpus_left_for_unstarted(&self, total_cpus: f64) -> f64 {
         let ids = self.start_deadlines.claims.keys();
         let jobs = ids.filter_map(|id| self.jobs.get(id));
