--- a/crates/tallygauge/src/cloud/rentals.rs
+++ b/crates/tallygauge/src/cloud/rentals.rs
@@ -45,7 +45,7 @@
             requests += u64::from(pending.is_some());
         }
         // A leader whose term is unconfirmed rents nothing: another may do so.
-        let Some(request) = pending.take_if(|_| controller.may_command()) else {
+        let Some(request) = pending.take_if(|_| controller.is_unfenced_leader()) else {
             continue;
         };
         match rent(controller, &request).await {
@@ -68,7 +68,7 @@
     // What the previous leader rented last may not be listed yet.
     let list_lag_s = controller.settings.deployment.cloud.list_lag_s;
     let is_list_complete = session.term == FIRST_TERM || controller.now() - started_at > list_lag_s;
-    if !is_list_complete || !controller.may_command() {
+    if !is_list_complete || !controller.is_unfenced_leader() {
         return None;
     }
     let rentals = controller.with_cluster(|cluster| cluster.rentals(controller.now()))?;
--- a/crates/tallygauge/src/cloud/returns.rs
+++ b/crates/tallygauge/src/cloud/returns.rs
@@ -70,7 +70,7 @@
 /// use these machines, only those are returned that can't confirm that their
 /// cancelled tasks have stopped.
 fn take_due_returns(controller: &Controller) -> Vec<ReturnableMachine> {
-    if !controller.may_command() {
+    if !controller.is_unfenced_leader() {
         return Vec::new();
     }
     let now = controller.now();
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -209,7 +209,7 @@
     /// Whether this controller is the leader and may answer and command workers. To
     /// be called right before acting, as [`Self::holds_unexpired_lease`] is.
     #[must_use]
-    pub fn may_command(&self) -> bool {
+    pub fn is_unfenced_leader(&self) -> bool {
         let (now, fence_s) = (self.now(), self.fence_s());
         let leadership = self.leadership.lock();
         leadership
--- a/crates/tallygauge/src/direct_messages.rs
+++ b/crates/tallygauge/src/direct_messages.rs
@@ -76,7 +76,7 @@
     let timeout = Duration::from_secs_f64(lease_s * TIMEOUT_LEASE_FRACTION);
     // This task may have waited for its turn, or the process may have been paused,
     // since the message was made.
-    if !controller.may_command() {
+    if !controller.is_unfenced_leader() {
         return Delivery::NotSent;
     }
     let keep_alive = !controller.connection_limits.is_low();
