--- a/crates/tallygauge/src/leader/recovery.rs
+++ b/crates/tallygauge/src/leader/recovery.rs
@@ -102,7 +102,7 @@
         scheduler_config(controller, term),
         time.now,
         controller.tasks_per_chunk(),
-        scheduling_loop::record_bytes(controller),
+        scheduling_loop::max_record_bytes(controller),
     );
     if let Some(types) = controller.catalogue.get() {
         cluster.set_machine_types(&types);
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -6,7 +6,7 @@
     deadline_settings::CutoffSettings,
     leader_transaction::{max_writes, new_transaction},
     pacing::heartbeat_intervals,
-    scheduling_loop::record_bytes,
+    scheduling_loop::max_record_bytes,
 };
 use serde_json::Value;
 use std::{collections::BTreeMap, sync::Arc};
@@ -131,7 +131,7 @@
         term_condition: &'a Condition,
         stored: &StoredRecords,
     ) -> Self {
-        let max_record_bytes = record_bytes(controller);
+        let max_record_bytes = max_record_bytes(controller);
         let versions = stored
             .entries
             .iter()
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -4,7 +4,7 @@
     controller::Controller,
     leader_transaction::{max_writes, new_transaction, set_record, step_down_if_deposed},
     pacing::heartbeat_intervals,
-    scheduling_loop::VALUE_BYTES,
+    scheduling_loop::MAX_TRANSACTION_VALUE_BYTES,
     store_keys::{active_job_key, completion_page_key, terminal_job_key},
     user_api::TerminalJobRecord,
 };
@@ -80,7 +80,7 @@
         tokio::time::sleep(pause).await;
         resolve_pages_in_doubt(controller).await;
         let flush = controller
-            .with_cluster(|cluster| cluster.next_flush(max_writes, VALUE_BYTES))
+            .with_cluster(|cluster| cluster.next_flush(max_writes, MAX_TRANSACTION_VALUE_BYTES))
             .flatten();
         if let Some(flush) = flush {
             commit_pages(controller, term_condition, &flush).await;
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -13,7 +13,7 @@
 
 /// Bytes that the values of one transaction may take: the rest of its body is for
 /// conditions and keys.
-pub(crate) const VALUE_BYTES: usize = BODY_LIMIT * 3 / 4;
+pub(crate) const MAX_TRANSACTION_VALUE_BYTES: usize = BODY_LIMIT * 3 / 4;
 
 /// Part of the store's limit of a value that records are filled to.
 const VALUE_FILL: f64 = 0.9;
@@ -29,9 +29,9 @@
 
 /// Bytes that one record may have.
 #[must_use]
-pub fn record_bytes(controller: &Controller) -> usize {
+pub fn max_record_bytes(controller: &Controller) -> usize {
     let max_value_bytes = controller.settings.deployment.store.max_value_kib * 1024.0;
-    ((max_value_bytes * VALUE_FILL) as usize).min(VALUE_BYTES)
+    ((max_value_bytes * VALUE_FILL) as usize).min(MAX_TRANSACTION_VALUE_BYTES)
 }
 
 /// Runs scheduling rounds until the term is lost. An event starts a round at once, but
@@ -112,7 +112,11 @@
         if placed + preempted > 0 {
             tracing::debug!(placed, preempted, "scheduling round");
         }
-        cluster.take_placement_batches(record_bytes(controller), max_jobs, controller.time_of_day())
+        cluster.take_placement_batches(
+            max_record_bytes(controller),
+            max_jobs,
+            controller.time_of_day(),
+        )
     });
     batches.unwrap_or_default()
 }
