--- a/crates/tallygauge/src/leader/election.rs
+++ b/crates/tallygauge/src/leader/election.rs
@@ -142,7 +142,7 @@
         lease_renewed_at: lease_requested_at,
         watch_confirmed_at: started_at,
         watched_revision: 0,
-        last_heartbeat_at: controller.now(),
+        last_worker_heartbeat_at: controller.now(),
     })
 }
 
--- a/crates/tallygauge/src/leader/recovery.rs
+++ b/crates/tallygauge/src/leader/recovery.rs
@@ -210,7 +210,7 @@
         leadership.cluster = Some(cluster);
         leadership.watched_revision = revision;
         // No heartbeat could be answered until now.
-        leadership.last_heartbeat_at = controller.now();
+        leadership.last_worker_heartbeat_at = controller.now();
     }
     tracing::info!(term, jobs, machines, "recovered cluster state");
 }
--- a/crates/tallygauge/src/leadership.rs
+++ b/crates/tallygauge/src/leadership.rs
@@ -36,7 +36,7 @@
     /// Revision up to which the cluster state has followed active jobs.
     pub watched_revision: u64,
     /// When a worker last sent a heartbeat.
-    pub last_heartbeat_at: f64,
+    pub last_worker_heartbeat_at: f64,
 }
 
 impl Leadership {
@@ -57,7 +57,7 @@
     own: Mutex<Option<Leadership>>,
     view: Mutex<LeaderView>,
     candidacy_suspended_until: Mutex<f64>,
-    follower_heartbeat_at: Mutex<f64>,
+    last_worker_heartbeat_as_follower: Mutex<f64>,
     stepped_down: Notify,
     view_changed: Notify,
 }
@@ -72,7 +72,7 @@
             own: Mutex::default(),
             view: Mutex::default(),
             candidacy_suspended_until: Mutex::new(f64::NEG_INFINITY),
-            follower_heartbeat_at: Mutex::new(f64::NEG_INFINITY),
+            last_worker_heartbeat_as_follower: Mutex::new(f64::NEG_INFINITY),
             stepped_down: Notify::new(),
             view_changed: Notify::new(),
         }
@@ -164,14 +164,14 @@
     }
 
     /// Records that a worker sent a heartbeat while this controller is a follower.
-    pub fn record_follower_heartbeat(&self, now: f64) {
-        *lock(&self.follower_heartbeat_at) = now;
+    pub fn record_worker_heartbeat_as_follower(&self, now: f64) {
+        *lock(&self.last_worker_heartbeat_as_follower) = now;
     }
 
     /// When a worker last sent a heartbeat while this controller was a follower.
     #[must_use]
-    pub fn follower_heartbeat_at(&self) -> f64 {
-        *lock(&self.follower_heartbeat_at)
+    pub fn last_worker_heartbeat_as_follower(&self) -> f64 {
+        *lock(&self.last_worker_heartbeat_as_follower)
     }
 }
 
--- a/crates/tallygauge/src/leadership/tests.rs
+++ b/crates/tallygauge/src/leadership/tests.rs
@@ -16,7 +16,7 @@
         lease_renewed_at: 10.0,
         watch_confirmed_at: 10.0,
         watched_revision: 0,
-        last_heartbeat_at: 10.0,
+        last_worker_heartbeat_at: 10.0,
     }
 }
 
--- a/crates/tallygauge/src/worker_api.rs
+++ b/crates/tallygauge/src/worker_api.rs
@@ -48,7 +48,7 @@
 /// follower. Peers are told, so that a leader that workers can't reach yields.
 #[must_use]
 pub fn has_recent_heartbeats(controller: &Controller) -> bool {
-    let last_heartbeat_at = controller.leadership.follower_heartbeat_at();
+    let last_heartbeat_at = controller.leadership.last_worker_heartbeat_as_follower();
     let interval_s = controller.settings.deployment.workers.heartbeat_interval_s;
     controller.now() - last_heartbeat_at < interval_s * RECENT_HEARTBEAT_INTERVALS
 }
@@ -64,7 +64,8 @@
         .lock()
         .as_ref()
         .is_some_and(|leadership| {
-            expects_heartbeats(leadership) && now - leadership.last_heartbeat_at > max_silence_s
+            expects_heartbeats(leadership)
+                && now - leadership.last_worker_heartbeat_at > max_silence_s
         })
 }
 
@@ -146,7 +147,7 @@
     let needs_scheduling = std::mem::take(&mut cluster.needs_scheduling);
     let commands = cluster.commands(&heartbeat.machine, now);
     cluster.record_heartbeat_response(&heartbeat.machine, &commands, now);
-    leadership.last_heartbeat_at = now;
+    leadership.last_worker_heartbeat_at = now;
     let response = HeartbeatResponse {
         token: leadership.term,
         commands,
@@ -161,7 +162,7 @@
 fn redirect_to_leader(controller: &Controller) -> HeartbeatReply {
     controller
         .leadership
-        .record_follower_heartbeat(controller.now());
+        .record_worker_heartbeat_as_follower(controller.now());
     let leader = controller.leadership.view().leader;
     match leader {
         Some(name) if name != controller.settings.node_name => {
