--- a/crates/tallygauge/src/leadership.rs
+++ b/crates/tallygauge/src/leadership.rs
@@ -59,7 +59,7 @@
     candidacy_suspended_until: Mutex<f64>,
     last_worker_heartbeat_as_follower: Mutex<f64>,
     stepped_down: Notify,
-    view_changed: Notify,
+    leader_changed: Notify,
 }
 
 impl LeadershipState {
@@ -74,7 +74,7 @@
             candidacy_suspended_until: Mutex::new(f64::NEG_INFINITY),
             last_worker_heartbeat_as_follower: Mutex::new(f64::NEG_INFINITY),
             stepped_down: Notify::new(),
-            view_changed: Notify::new(),
+            leader_changed: Notify::new(),
         }
     }
 
@@ -97,7 +97,7 @@
 
     /// The highest term observed and its leader.
     #[must_use]
-    pub fn view(&self) -> LeaderView {
+    pub fn leader_view(&self) -> LeaderView {
         lock(&self.view).clone()
     }
 
@@ -121,7 +121,7 @@
             }
             view.term = term;
         }
-        self.view_changed.notify_waiters();
+        self.leader_changed.notify_waiters();
         if self.own_term().is_some_and(|own_term| own_term < term) {
             self.step_down("observed a higher term");
         }
@@ -148,8 +148,8 @@
     }
 
     /// Waits until another term or another leader is observed.
-    pub async fn wait_for_view_change(&self) {
-        self.view_changed.notified().await;
+    pub async fn wait_for_leader_change(&self) {
+        self.leader_changed.notified().await;
     }
 
     /// Stops this controller from campaigning before the given time.
--- a/crates/tallygauge/src/leadership/tests.rs
+++ b/crates/tallygauge/src/leadership/tests.rs
@@ -38,7 +38,7 @@
     let state = leader_of_term(3);
     assert!(state.is_leader());
     assert_eq!(state.own_term(), Some(3));
-    assert_eq!(state.view(), view(3, Some(NODE)));
+    assert_eq!(state.leader_view(), view(3, Some(NODE)));
 }
 
 #[test]
@@ -46,9 +46,9 @@
     let state = leader_of_term(3);
     state.observe_term(4, None);
     assert!(!state.is_leader());
-    assert_eq!(state.view(), view(4, None));
+    assert_eq!(state.leader_view(), view(4, None));
     state.observe_term(4, Some("n-b"));
-    assert_eq!(state.view(), view(4, Some("n-b")));
+    assert_eq!(state.leader_view(), view(4, Some("n-b")));
 }
 
 #[test]
@@ -57,17 +57,17 @@
     state.observe_term(2, Some("n-b"));
     state.observe_term(3, None);
     assert_eq!(state.own_term(), Some(3));
-    assert_eq!(state.view(), view(3, Some(NODE)));
+    assert_eq!(state.leader_view(), view(3, Some(NODE)));
 }
 
 #[test]
 fn stepping_down_clears_the_observed_leader_unless_it_is_another() {
     let state = leader_of_term(3);
     state.step_down("test");
-    assert_eq!(state.view(), view(3, None));
+    assert_eq!(state.leader_view(), view(3, None));
     state.observe_term(4, Some("n-b"));
     state.step_down("test");
-    assert_eq!(state.view(), view(4, Some("n-b")));
+    assert_eq!(state.leader_view(), view(4, Some("n-b")));
 }
 
 #[test]
--- a/crates/tallygauge/src/peers.rs
+++ b/crates/tallygauge/src/peers.rs
@@ -38,9 +38,9 @@
     controller.relay.set(Arc::new(relay));
     let mut announced_term = 0;
     loop {
-        let view_change = controller.leadership.wait_for_view_change();
+        let view_change = controller.leadership.wait_for_leader_change();
         let _ = tokio::time::timeout(POLL_INTERVAL, view_change).await;
-        let view = controller.leadership.view();
+        let view = controller.leadership.leader_view();
         let announcement = announcement(&view);
         let is_leader = view.leader.as_ref() == Some(&controller.settings.node_name);
         if is_leader && view.term > announced_term {
--- a/crates/tallygauge/src/peers/relay.rs
+++ b/crates/tallygauge/src/peers/relay.rs
@@ -45,7 +45,7 @@
     fn relay<'a>(&'a self, method: &'a Method, path: &'a str, body: &'a [u8]) -> RelayFuture<'a> {
         Box::pin(async move {
             let _permit = self.permits.try_acquire().ok()?;
-            let leader = self.controller.upgrade()?.leadership.view().leader;
+            let leader = self.controller.upgrade()?.leadership.leader_view().leader;
             // The store serves the leader, or another will soon be elected.
             let (leaders, followers): (Vec<_>, Vec<_>) = self
                 .peers
--- a/crates/tallygauge/src/peers/service.rs
+++ b/crates/tallygauge/src/peers/service.rs
@@ -42,7 +42,7 @@
         let announced = request.into_inner();
         let leader = (!announced.leader.is_empty()).then_some(announced.leader.as_str());
         self.0.observe_term(announced.term, leader);
-        let view = self.0.leadership.view();
+        let view = self.0.leadership.leader_view();
         Ok(Response::new(Announcement {
             term: view.term,
             leader: view.leader.unwrap_or_default(),
--- a/crates/tallygauge/src/worker_api.rs
+++ b/crates/tallygauge/src/worker_api.rs
@@ -163,7 +163,7 @@
     controller
         .leadership
         .record_worker_heartbeat_as_follower(controller.now());
-    let leader = controller.leadership.view().leader;
+    let leader = controller.leadership.leader_view().leader;
     match leader {
         Some(name) if name != controller.settings.node_name => {
             HeartbeatReply::Redirected(Redirect { leader: Some(name) })
