--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -15,7 +15,7 @@
     scheduler_config::max_direct_messages,
     settings::Settings,
     store_client::new_store_client,
-    task_counts::TaskCounts,
+    task_counts::TaskCountCache,
     user_api::JobRefresh,
     version_checks::{VersionCheckQueue, VersionChecks},
     wall_clock::WallClock,
@@ -84,7 +84,7 @@
     /// Jobs as last read from the store.
     pub job_cache: JobCache,
     /// Task counts of active jobs as read from the leader.
-    pub task_counts: TaskCounts,
+    pub task_counts: TaskCountCache,
     /// Checks of versions against the store.
     pub version_checks: VersionChecks,
     /// Wakes the scheduling loop: the cluster state has changed.
@@ -135,7 +135,7 @@
             settings,
             operator_settings,
             job_cache: JobCache::new(cached_jobs.max(MIN_CACHED_JOBS)),
-            task_counts: TaskCounts::default(),
+            task_counts: TaskCountCache::default(),
             version_checks,
             wake_scheduler: Notify::new(),
             wake_completions: Notify::new(),
--- a/crates/tallygauge/src/task_counts.rs
+++ b/crates/tallygauge/src/task_counts.rs
@@ -13,7 +13,7 @@
 /// counts and get the last ones read; the peer client reads from the leader those
 /// that were asked for.
 #[derive(Default)]
-pub struct TaskCounts {
+pub struct TaskCountCache {
     state: Mutex<State>,
 }
 
@@ -30,7 +30,7 @@
     read_at: f64,
 }
 
-impl TaskCounts {
+impl TaskCountCache {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("task counts lock")
     }
--- a/crates/tallygauge/tests/user_state.rs
+++ b/crates/tallygauge/tests/user_state.rs
@@ -3,7 +3,7 @@
 use tallygauge::{
     job_cache::{CachedJob, JobCache},
     pending_callers::PendingCallers,
-    task_counts::TaskCounts,
+    task_counts::TaskCountCache,
     user_api::TerminalJobRecord,
 };
 use tallygauge_protocol::users::JobStatus;
@@ -64,7 +64,7 @@
 
 #[test]
 fn task_counts_are_read_for_requested_jobs_and_expire() {
-    let counts = TaskCounts::default();
+    let counts = TaskCountCache::default();
     assert_eq!(counts.get_and_request("req-1"), TaskCount::default());
     assert_eq!(counts.take_requested(), ["req-1"]);
     assert!(counts.take_requested().is_empty());
