--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -1,10 +1,10 @@
 //! Leader election and the terms that this controller leads.
 //!
 //! `election` wins a term under a lease, `lease` renews the lease, `recovery`
-//! restores the cluster state from the store, and `duties` runs the background
+//! restores the cluster state from the store, and `background_loops` runs the background
 //! loops of the term. Whatever ends first ends the term.
 
-mod duties;
+mod background_loops;
 mod election;
 mod lease;
 mod recovery;
@@ -86,7 +86,7 @@
     tokio::select! {
         biased;
         () = lease::renew_until_lost(controller, lease) => {}
-        () = duties::run(controller, term, &term_condition) => {}
+        () = background_loops::run(controller, term, &term_condition) => {}
         () = controller.leadership.wait_until_deposed(term) => {}
     }
     controller.step_down("the term has ended");
--- a/crates/tallygauge/src/leader/duties.rs
+++ b/crates/tallygauge/src/leader/background_loops.rs
@@ -18,8 +18,8 @@
     tokio::join!(
         job_watch_loop::run(controller, revision),
         scheduling_loop::run(controller, term_condition),
-        progress::complete_jobs(controller, term_condition),
-        progress::flush_pages(controller, term_condition),
+        progress::commit_completed_jobs(controller, term_condition),
+        progress::flush_completion_pages(controller, term_condition),
         cleanup::run(controller, term_condition),
         summary::run(controller),
         leader_records::run(controller, term_condition, records),
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -131,7 +131,7 @@
 
 /// Runs the loops that must not queue behind requests: leadership, version checks,
 /// and the caches of machine types and active jobs. Simulations run these alone.
-/// The loops of a term are listed in `leader::duties`.
+/// The loops of a term are listed in `leader::background_loops`.
 pub async fn background(controller: Arc<Controller>, version_checks: VersionCheckQueue) {
     tokio::join!(
         load_catalogue(&controller),
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -32,7 +32,7 @@
 
 /// Makes completions of jobs durable for as long as this controller leads. A
 /// transaction in doubt keeps only its own jobs waiting. Never returns.
-pub async fn complete_jobs(controller: &Controller, term_condition: &Condition) {
+pub async fn commit_completed_jobs(controller: &Controller, term_condition: &Condition) {
     let min_pause = heartbeat_intervals(controller, MIN_FLUSH_INTERVALS);
     let max_wait = heartbeat_intervals(controller, MAX_FLUSH_INTERVALS);
     let max_jobs = max_writes(controller) / WRITES_PER_COMPLETION;
@@ -73,7 +73,7 @@
 
 /// Makes finished tasks of unfinished jobs durable for as long as this controller
 /// leads. One flush at a time: a page is conditioned on its version. Never returns.
-pub async fn flush_pages(controller: &Arc<Controller>, term_condition: &Condition) {
+pub async fn flush_completion_pages(controller: &Arc<Controller>, term_condition: &Condition) {
     let pause = heartbeat_intervals(controller, MAX_FLUSH_INTERVALS);
     let max_writes = max_writes(controller);
     loop {
