--- a/crates/tallygauge-sim/tests/message_faults.rs
+++ b/crates/tallygauge-sim/tests/message_faults.rs
@@ -2,7 +2,7 @@
 //! controllers, isolated controllers and users that wait for an answer.
 
 use std::time::Duration;
-use tallygauge::reconciliation::RepairedJobs;
+use tallygauge::reconciliation::JobRepairCounts;
 use tallygauge::{reconciliation, user_api, worker_api::has_recent_heartbeats};
 use tallygauge_protocol::users::JobStatus;
 use tallygauge_sim::{
@@ -238,14 +238,14 @@
     controller_a.with_cluster(|cluster| cluster.jobs.retain(|id, _| *id != lost));
     assert_eq!(
         reconciliation::reconcile_with_store(&controller_a).await,
-        RepairedJobs {
+        JobRepairCounts {
             added: 1,
             removed: 0
         }
     );
     assert_eq!(
         reconciliation::reconcile_with_store(&controller_a).await,
-        RepairedJobs {
+        JobRepairCounts {
             added: 0,
             removed: 0
         }
--- a/crates/tallygauge/src/reconciliation.rs
+++ b/crates/tallygauge/src/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Periodic reconciliation: the cluster state is compared with itself and with the
-//! records of active jobs. Every difference is logged and repaired.
+//! Periodic reconciliation. The cluster state is checked for internal consistency and
+//! compared with the stored records of active jobs. Every difference is logged and repaired.
 
 use crate::{
     controller::Controller,
@@ -12,30 +12,31 @@
 use tallygauge_scheduler::ClusterState;
 use tallygauge_store::RequestPriority;
 
-/// Jobs and machines checked in one step.
-const STEP_SIZE: usize = 16;
+/// Maximum number of jobs, and of machines, that one step checks.
+const MAX_ITEMS_PER_STEP: usize = 16;
 
-/// Heartbeat intervals between two steps.
-const STEP_INTERVALS: f64 = 0.5;
+/// Pause between two steps, in heartbeat intervals.
+const STEP_HEARTBEAT_INTERVALS: f64 = 0.5;
 
-/// Jobs that reconciliation with the store repaired.
+/// Numbers of jobs that the reconciliation with the store added or removed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct RepairedJobs {
-    /// Active jobs that the cluster state did not know.
+pub struct JobRepairCounts {
+    /// Active jobs that the cluster state lacked.
     pub added: usize,
-    /// Ended jobs that the cluster state still had.
+    /// Ended jobs that the cluster state still contained.
     pub removed: usize,
 }
 
-/// Reconciles for as long as this controller leads: a step of the cluster state at a
-/// time, and all records of active jobs once per worker lease. Never returns.
+/// Reconciles for as long as this controller leads. The cluster state is checked step by
+/// step; all records of active jobs are compared once per duration of a worker's lease.
+/// Never returns.
 pub async fn run(controller: &Controller) {
     let lease_s = controller.settings.deployment.workers.lease_s;
-    let pause = heartbeat_intervals(controller, STEP_INTERVALS);
+    let pause = heartbeat_intervals(controller, STEP_HEARTBEAT_INTERVALS);
     let mut listed_at = controller.now();
     loop {
         tokio::time::sleep(pause).await;
-        reconcile_step(controller);
+        check_consistency_step(controller);
         let now = controller.now();
         if now - listed_at > lease_s {
             listed_at = now;
@@ -44,10 +45,10 @@
     }
 }
 
-/// Compares the next jobs and machines of the cluster state with each other.
-fn reconcile_step(controller: &Controller) {
+/// Checks the next jobs and machines of the cluster state against each other.
+fn check_consistency_step(controller: &Controller) {
     let differences = controller
-        .with_cluster(|cluster| cluster.reconcile(STEP_SIZE))
+        .with_cluster(|cluster| cluster.reconcile(MAX_ITEMS_PER_STEP))
         .unwrap_or_default();
     for difference in &differences {
         tracing::warn!(%difference, "reconciliation repaired the cluster state");
@@ -59,29 +60,34 @@
 
 /// Compares the cluster state with the records of active jobs and repairs it.
 ///
-/// The cluster state must have every active job up to the watched revision: one that is
-/// older and was not in it before the records were listed was lost. A job that was in it
-/// and has no record at a later time has ended.
-pub async fn reconcile_with_store(controller: &Controller) -> RepairedJobs {
+/// The ids of the jobs in the cluster state are taken before the records are listed. Two
+/// differences are repaired:
+///
+/// - The cluster state must contain every active job whose record is not newer than the
+///   watched revision. A job with such a record and without an id among those taken was
+///   lost, and is added.
+/// - A job with an id among those taken, and without a record in the later listing, has
+///   ended, and is removed.
+pub async fn reconcile_with_store(controller: &Controller) -> JobRepairCounts {
     let Some(snapshot) = take_snapshot(controller) else {
-        return RepairedJobs::default();
+        return JobRepairCounts::default();
     };
     let Ok(stored) = controller
         .store
         .list(RequestPriority::Maintenance, ACTIVE_JOB_PREFIX)
         .await
     else {
-        return RepairedJobs::default();
+        return JobRepairCounts::default();
     };
     let differences = compare_jobs(&snapshot.job_ids, stored.entries, snapshot.watched_revision);
     let repaired = repair_in_term(controller, snapshot.term, differences);
-    if repaired != RepairedJobs::default() {
+    if repaired != JobRepairCounts::default() {
         controller.wake_scheduler.notify_one();
     }
     repaired
 }
 
-/// The active jobs that the cluster state knew before the records were listed.
+/// The active jobs in the cluster state before the records were listed.
 struct JobSnapshot {
     term: u64,
     watched_revision: u64,
@@ -101,14 +107,14 @@
 
 /// Differences between the cluster state and the records of active jobs.
 struct JobDifferences {
-    /// Records of jobs that the cluster state should have.
+    /// Records of active jobs that the cluster state lacks.
     missing: Vec<KeyValue>,
-    /// Ids of jobs that it should not have.
+    /// Ids of jobs that the cluster state contains although they have ended.
     ended: Vec<String>,
 }
 
-/// Compares the ids that the cluster state knew, having followed all changes up to
-/// `watched_revision`, with the records listed after that.
+/// Compares `known`, the ids of the jobs in a cluster state that contained all changes up
+/// to `watched_revision`, with `stored`, the records that were listed afterwards.
 fn compare_jobs(
     known: &BTreeSet<String>,
     stored: Vec<KeyValue>,
@@ -126,15 +132,19 @@
     }
 }
 
-/// Repairs the cluster state if the term has not changed meanwhile.
-fn repair_in_term(controller: &Controller, term: u64, differences: JobDifferences) -> RepairedJobs {
+/// Repairs the cluster state, unless the term has changed in the meantime.
+fn repair_in_term(
+    controller: &Controller,
+    term: u64,
+    differences: JobDifferences,
+) -> JobRepairCounts {
     let (now, time_of_day) = (controller.now(), controller.time_of_day());
     let mut leadership = controller.leadership.lock();
     let leadership = leadership.as_mut().filter(|current| current.term == term);
     let Some(cluster) = leadership.and_then(|current| current.cluster.as_mut()) else {
-        return RepairedJobs::default();
+        return JobRepairCounts::default();
     };
-    RepairedJobs {
+    JobRepairCounts {
         added: add_missing_jobs(cluster, differences.missing, now, time_of_day),
         removed: remove_ended_jobs(cluster, &differences.ended, now),
     }
--- a/crates/tallygauge/src/reconciliation/tests.rs
+++ b/crates/tallygauge/src/reconciliation/tests.rs
@@ -1,4 +1,4 @@
-//! Which differences between the store and the cluster state are faults.
+//! Which differences between the stored records and the cluster state are repaired.
 
 use super::*;
 
@@ -10,9 +10,10 @@
     }
 }
 
-// A job newer than the watched revision is not lost: the watch brings it.
+// A job whose record is newer than the watched revision is not lost: the watch of active jobs
+// will add it.
 #[test]
-fn only_jobs_older_than_the_watched_revision_are_missing() {
+fn only_jobs_with_records_up_to_the_watched_revision_are_missing() {
     let known = BTreeSet::from(["req-1".to_string(), "req-4".to_string()]);
     let stored = vec![stored_job(1, 5), stored_job(2, 7), stored_job(3, 11)];
     let differences = compare_jobs(&known, stored, 10);
