--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -32,62 +32,63 @@
 use tallygauge_store::{StoreClient, http::HttpClient};
 use tokio::{sync::Notify, time::Instant};
 
-/// Fraction of the time between a worker's lease expiry and the cancellation
-/// timeout for which an unconfirmed leader goes on answering workers.
+/// Time for which a leader keeps answering workers while its term is not confirmed, as a
+/// fraction of the difference between the cancellation timeout and a worker's lease.
 const FENCE_FRACTION: f64 = 0.85;
 
-/// The leader's lease, as a fraction of a worker's lease.
+/// Time to live of the leader's lease, as a fraction of a worker's lease.
 const LEADER_LEASE_FRACTION: f64 = 1.0 / 6.0;
 
-/// Fraction of the leader's lease after which it no longer counts as held: the rest
-/// is a margin for acting on it.
+/// Fraction of the leader's lease after which the leader no longer relies on it. The
+/// remainder is a margin for actions that rely on the lease.
 const SAFE_LEASE_FRACTION: f64 = 0.9;
 
-/// Pause before a failed request to the store is repeated: the leader's lease,
-/// divided by this.
+/// The pause before a failed store request is retried is the time to live of the
+/// leader's lease divided by this.
 const STORE_RETRY_DIVISOR: u32 = 8;
 
-/// Cached jobs for each megabyte of the process's memory: a job takes about a
-/// kilobyte at most, and the cache a tenth of the memory.
+/// Capacity of the job cache, in jobs per megabyte of the process's memory limit. A job
+/// takes at most about one kilobyte, so the cache takes at most about a tenth of the
+/// memory.
 const CACHED_JOBS_PER_MB: f64 = 100.0;
 
-/// Jobs that are cached however little memory there is.
+/// Minimum capacity of the job cache, in jobs, however low the memory limit is.
 const MIN_CACHED_JOBS: usize = 1000;
 
-/// Bytes of a store's value for each task of a chunk of a completion page: a task
-/// takes seven at worst, so that a page holds several chunks.
+/// The number of tasks per chunk of a completion page is the store's value size limit in
+/// bytes divided by this. A task takes seven bytes at worst, so a page holds several chunks.
 const VALUE_BYTES_PER_CHUNK_TASK: f64 = 40.0;
 
-/// Tasks of a chunk, however small the store's values are.
+/// Minimum number of tasks per chunk, however low the store's value size limit is.
 const MIN_TASKS_PER_CHUNK: u32 = 16;
 
-/// One controller of the cluster; the tasks of the process share it.
+/// One controller of the cluster, shared by all Tokio tasks of its process.
 pub struct Controller {
-    /// Platform's settings.
+    /// The platform's settings, which describe the deployment.
     pub settings: Settings,
-    /// Operators' settings.
+    /// The operators' own settings.
     pub operator_settings: OperatorSettings,
     /// Client of the key-value store.
     pub store: StoreClient,
     /// Client for the cloud provider and for direct messages to workers.
     pub http: HttpClient,
-    /// Connections against the limit.
+    /// Open connections, counted against the process's limit.
     pub connection_limits: ConnectionLimits,
-    /// Own term, and the leader as far as it is known.
+    /// The term that this controller leads, if any, and the leader that it has observed.
     pub leadership: LeadershipState,
     /// Load of this process.
     pub load: ProcessLoad,
-    /// Other controllers that answer this one.
+    /// Tracks which other controllers answer this one.
     pub peer_reachability: PeerReachability,
     /// Machine types of the cloud provider.
     pub catalogue: MachineCatalogue,
     /// Jobs as last read from the store.
     pub job_cache: JobCache,
-    /// Task counts of active jobs as read from the leader.
+    /// On a follower: task counts of active jobs, as last read from the leader.
     pub task_counts: TaskCountCache,
-    /// Checks of versions against the store.
+    /// Batched checks of known key versions against the store.
     pub version_checks: VersionChecks,
-    /// Wakes the scheduling loop: the cluster state has changed.
+    /// Wakes the scheduling loop after a change of the cluster state.
     pub wake_scheduler: Notify,
     /// Wakes the loop that makes completed tasks durable.
     pub wake_completions: Notify,
@@ -95,7 +96,7 @@
     pub wake_cloud: Notify,
     /// Relays users' requests to other controllers.
     pub relay: PeerRelay,
-    /// Users that poll without an answer.
+    /// Users that are polling and have not been answered yet.
     pub pending_callers: PendingCallers,
     /// Decides when all active jobs are read into the cache.
     pub job_refresh: JobRefresh,
@@ -105,8 +106,9 @@
 }
 
 impl Controller {
-    /// A follower, and the queue of its version checks, to be served. `store_http` carries the
-    /// requests to the store, `http` those to the cloud provider and the workers.
+    /// Creates a controller in the follower role, and the queue of its version checks, which
+    /// the caller has to serve. `store_http` carries the requests to the store, `http` those
+    /// to the cloud provider and the workers.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -150,29 +152,29 @@
         (Arc::new(controller), version_check_queue)
     }
 
-    /// Seconds of the process's monotonic clock, from a start above 0, so that times
-    /// before the process started can be expressed.
+    /// Reading of the process's monotonic clock, in seconds. The clock starts above 0, so
+    /// that times before the start of the process can be expressed.
     #[must_use]
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
 
-    /// What [`Self::now`] returned at an instant.
+    /// The value of [`Self::now`] at an instant.
     #[must_use]
     pub fn instant_to_seconds(&self, instant: Instant) -> f64 {
         self.clock.seconds_at(instant)
     }
 
-    /// Seconds since the Unix epoch by the wall clock: for display and deadlines,
-    /// never for safety.
+    /// Wall-clock time, in seconds since the Unix epoch. It serves for display and for
+    /// deadlines; safety must never depend on it.
     #[must_use]
     pub fn time_of_day(&self) -> f64 {
         self.clock.time_of_day()
     }
 
-    /// Seconds for which a leader goes on answering workers without its term being
-    /// confirmed. The leases that its last answers renewed then expire before any
-    /// cancellation made elsewhere times out.
+    /// Seconds for which a leader keeps answering workers while its term is not confirmed.
+    /// The limit ensures that the worker leases which its last answers renewed expire
+    /// before any cancellation accepted by another controller times out.
     #[must_use]
     pub fn fence_s(&self) -> f64 {
         let workers = &self.settings.deployment.workers;
@@ -186,16 +188,16 @@
         Duration::from_secs_f64(lease_s * LEADER_LEASE_FRACTION)
     }
 
-    /// Pause before a failed request to the store is repeated, where it has no
-    /// backoff of its own.
+    /// Pause before a failed store request is retried by a caller that has no backoff of
+    /// its own.
     #[must_use]
     pub fn store_retry_pause(&self) -> Duration {
         self.leader_lease_ttl() / STORE_RETRY_DIVISOR
     }
 
-    /// Whether no other controller can be the leader now, since this one's lease has
-    /// certainly not expired. To be called right before acting, with no await in
-    /// between: a process may be suspended for seconds at any of them.
+    /// Whether this controller's leader lease has certainly not expired, so that no other
+    /// controller can be the leader. Call this immediately before acting on it, with no
+    /// await in between: a process may be suspended for seconds at any await.
     #[must_use]
     pub fn holds_unexpired_lease(&self) -> bool {
         let now = self.now();
@@ -206,8 +208,9 @@
             .is_some_and(|leadership| now - leadership.lease_renewed_at < safe_s)
     }
 
-    /// Whether this controller is the leader and may answer and command workers. To
-    /// be called right before acting, as [`Self::holds_unexpired_lease`] is.
+    /// Whether this controller is the leader and is not fenced, so that it may answer and
+    /// command workers. Call this immediately before acting on it, as
+    /// [`Self::holds_unexpired_lease`].
     #[must_use]
     pub fn is_unfenced_leader(&self) -> bool {
         let (now, fence_s) = (self.now(), self.fence_s());
@@ -217,14 +220,14 @@
             .is_some_and(|leadership| !leadership.is_fenced(now, fence_s))
     }
 
-    /// Fraction of the optional work that this process has time for.
+    /// Fraction of its optional work that this process currently has time for.
     #[must_use]
     pub fn spare_time_fraction(&self) -> f64 {
         self.load.spare_time_fraction()
     }
 
-    /// Fraction of the direct messages that this process has time and connections
-    /// for.
+    /// Fraction of the maximum number of direct messages that this process currently has
+    /// time and free connections for.
     #[must_use]
     pub fn direct_message_fraction(&self) -> f64 {
         let max_messages = max_direct_messages(&self.settings) as f64;
@@ -232,9 +235,12 @@
             .min(self.connection_limits.free() as f64 / max_messages)
     }
 
-    /// Whether users are better served by the other controllers: this one is the
-    /// leader, was recently overloaded or short of connections, and at least half of
-    /// the others are reachable.
+    /// Whether users should be served by other controllers. This is the case while all of
+    /// the following hold:
+    ///
+    /// - this controller is the leader;
+    /// - it was recently overloaded or short of connections;
+    /// - at least half of the other controllers are reachable.
     #[must_use]
     pub fn sheds_user_load(&self) -> bool {
         let half_of_peers = self.settings.peers.len().div_ceil(2).max(1);
@@ -243,8 +249,8 @@
             && self.leadership.is_leader()
     }
 
-    /// Seconds after which a user who has not asked again is assumed to have been
-    /// answered by another controller.
+    /// Seconds after which a user who has not polled again is assumed to have been answered
+    /// by another controller.
     #[must_use]
     pub fn caller_expiry_s(&self) -> f64 {
         self.settings.deployment.workers.lease_s
@@ -261,34 +267,34 @@
         self.has_reached_store.load(Ordering::Relaxed)
     }
 
-    /// Whether this controller is isolated: neither the store nor any peer answers
-    /// it, so that it can tell users nothing. In an outage of the store alone the
-    /// peers do answer.
+    /// Whether this controller is isolated and has no current information for users:
+    /// neither the store nor any peer has answered it for the duration of a leader lease.
+    /// An outage of the store alone does not isolate it, since its peers still answer.
     #[must_use]
     pub fn is_isolated(&self) -> bool {
-        let patience_s = self.leader_lease_ttl().as_secs_f64();
-        let store_fails = self
+        let max_silence_s = self.leader_lease_ttl().as_secs_f64();
+        let store_unavailable = self
             .store
             .failing_since()
-            .is_some_and(|since| since.elapsed().as_secs_f64() > patience_s);
-        let silent_s = self.now() - self.peer_reachability.last_contact_at();
-        store_fails && silent_s > patience_s && !self.settings.peers.is_empty()
+            .is_some_and(|since| since.elapsed().as_secs_f64() > max_silence_s);
+        let peer_silence_s = self.now() - self.peer_reachability.last_contact_at();
+        store_unavailable && peer_silence_s > max_silence_s && !self.settings.peers.is_empty()
     }
 
-    /// Tasks whose completions share a chunk of a completion page.
+    /// Number of tasks whose completions share one chunk of a completion page.
     #[must_use]
     pub fn tasks_per_chunk(&self) -> u32 {
         let value_bytes = self.settings.deployment.store.max_value_kib * 1024.0;
         ((value_bytes / VALUE_BYTES_PER_CHUNK_TASK) as u32).max(MIN_TASKS_PER_CHUNK)
     }
 
-    /// Locks a mutex; never to be held across an await.
+    /// Locks a mutex. The guard must not be held across an await.
     pub fn lock<'a, T>(&self, mutex: &'a Mutex<T>) -> MutexGuard<'a, T> {
         locking::lock(mutex)
     }
 
-    /// Calls `work` with the cluster state; `None` unless this controller is the
-    /// leader and has recovered the cluster state.
+    /// Calls `work` with the cluster state and returns its result, or `None` unless this
+    /// controller is the leader and has recovered the cluster state.
     pub fn with_cluster<R>(&self, work: impl FnOnce(&mut ClusterState) -> R) -> Option<R> {
         self.leadership
             .lock()
@@ -297,13 +303,13 @@
             .map(work)
     }
 
-    /// A random duration below `max`, so that controllers do not act in step.
+    /// A random duration below `max`, which keeps controllers from acting in lockstep.
     #[must_use]
     pub fn jitter(&self, max: Duration) -> Duration {
         max.mul_f64(self.lock(&self.jitter).random())
     }
 
-    /// Makes [`Self::jitter`] repeatable, for simulations.
+    /// Seeds [`Self::jitter`], so that simulations are reproducible.
     pub fn seed_jitter(&self, seed: u64) {
         *self.lock(&self.jitter) = StdRng::seed_from_u64(seed);
     }
--- a/crates/tallygauge/src/process_clock.rs
+++ b/crates/tallygauge/src/process_clock.rs
@@ -1,11 +1,11 @@
-//! The times that a controller reckons with.
+//! The clocks of a controller process.
 
 use crate::wall_clock::WallClock;
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Reading of the monotonic clock when the process starts: above 0, so that times
-/// before the start can be expressed.
+/// Reading of the monotonic clock at the start of the process, in seconds. It is above 0, so
+/// that times before the start can be expressed.
 const START_S: f64 = 1.0;
 
 /// The process's monotonic clock, and the wall clock.
@@ -15,7 +15,7 @@
 }
 
 impl ProcessClock {
-    /// A monotonic clock that starts now.
+    /// Starts the monotonic clock now.
     pub(crate) fn start(wall_clock: Arc<dyn WallClock>) -> Self {
         Self {
             started_at: Instant::now(),
@@ -23,18 +23,18 @@
         }
     }
 
-    /// Seconds of the monotonic clock.
+    /// Reading of the monotonic clock, in seconds.
     pub(crate) fn now(&self) -> f64 {
         self.seconds_at(Instant::now())
     }
 
-    /// What [`Self::now`] returned at an instant.
+    /// The value of [`Self::now`] at an instant.
     pub(crate) fn seconds_at(&self, instant: Instant) -> f64 {
         let since_start = instant.saturating_duration_since(self.started_at);
         since_start.as_secs_f64() + START_S
     }
 
-    /// Seconds since the Unix epoch by the wall clock.
+    /// Wall-clock time, in seconds since the Unix epoch.
     pub(crate) fn time_of_day(&self) -> f64 {
         self.wall_clock.since_epoch().as_secs_f64()
     }
--- a/crates/tallygauge/src/store_keys.rs
+++ b/crates/tallygauge/src/store_keys.rs
@@ -1,14 +1,14 @@
-//! Keys of the records in the consensus-backed key-value store.
+//! Keys of the records in the key-value store, which replicates them by consensus.
 
-/// Prefix of the leader key and the term key.
+/// Prefix of the leader key and of the term key.
 pub const ELECTION_PREFIX: &str = "t/";
-/// Key of the leader record, which is removed with the leader's lease.
+/// Key of the leader record, which the store removes when the leader's lease ends.
 pub const LEADER_KEY: &str = "t/leader";
-/// Key of the term record, which outlives every lease.
+/// Key of the term record, which is not bound to a lease.
 pub const TERM_KEY: &str = "t/term";
 /// Prefix of the records of active jobs.
 pub const ACTIVE_JOB_PREFIX: &str = "o/";
-/// Prefix of the pages of completed tasks.
+/// Prefix of the completion pages, which record completed tasks.
 pub const COMPLETION_PAGE_PREFIX: &str = "f/";
 /// Prefix of the placement batches.
 pub const PLACEMENT_BATCH_PREFIX: &str = "p/";
@@ -16,7 +16,7 @@
 /// Prefix of the records of terminal jobs.
 const TERMINAL_JOB_PREFIX: &str = "j/";
 
-/// Key of an active (pending or running) job.
+/// Key of the record of an active (pending or running) job.
 #[must_use]
 pub fn active_job_key(id: &str) -> String {
     format!("{ACTIVE_JOB_PREFIX}{id}")
@@ -28,13 +28,13 @@
     key.strip_prefix(ACTIVE_JOB_PREFIX)
 }
 
-/// Key of a job in a terminal state.
+/// Key of the record of a job in a terminal state.
 #[must_use]
 pub fn terminal_job_key(id: &str) -> String {
     format!("{TERMINAL_JOB_PREFIX}{id}")
 }
 
-/// Key of a page of completed tasks.
+/// Key of a completion page.
 #[must_use]
 pub fn completion_page_key(page: u32) -> String {
     format!("{COMPLETION_PAGE_PREFIX}{page}")
--- a/crates/tallygauge/src/wall_clock.rs
+++ b/crates/tallygauge/src/wall_clock.rs
@@ -1,8 +1,8 @@
-//! The time of day, as a dependency that simulations can replace.
+//! Wall-clock time, behind a trait that simulations can implement.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A source of the time of day.
+/// A source of wall-clock time.
 pub trait WallClock: Send + Sync {
     /// Time since the Unix epoch.
     fn since_epoch(&self) -> Duration;
