--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -1,8 +1,12 @@
 //! Leader election and the terms that this controller leads.
 //!
-//! `election` wins a term under a lease, `lease` renews the lease, `recovery`
-//! restores the cluster state from the store, and `background_loops` runs the background
-//! loops of the term. Whatever ends first ends the term.
+//! - `election` campaigns for a term under a lease.
+//! - `lease` renews the lease.
+//! - `recovery` restores the cluster state from the store.
+//! - `background_loops` runs the background loops of the term.
+//!
+//! The term ends as soon as the renewal or the background loops end or the controller
+//! steps down.
 
 mod background_loops;
 mod election;
@@ -14,18 +18,19 @@
 use std::sync::Arc;
 use tallygauge_store::StoreError;
 
-/// Fraction of the store's request limits that the leader may use.
+/// Fraction of the store's request rate limits that the leader may use.
 const LEADER_REQUEST_SHARE: f64 = 0.55;
 
-/// Fraction of the store's request limits that all followers share.
+/// Fraction of the store's request rate limits that all followers together may use.
 const FOLLOWERS_REQUEST_SHARE: f64 = 0.45;
 
-/// Pause of a controller that leaves an election to others: the lease's time to
-/// live, divided by this.
+/// The leader lease's time to live divided by this is the pause between two reads of the term
+/// while candidacy is suspended, and the upper limit of the random pause after a term that
+/// this controller led.
 const CANDIDACY_PAUSE_DIVISOR: u32 = 4;
 
-/// Follows the elections, and leads every term that this controller wins. Never
-/// returns.
+/// Observes the elections, campaigns when there is no leader, and leads every term that
+/// this controller wins. Never returns.
 pub async fn run(controller: Arc<Controller>) {
     let ttl = controller.leader_lease_ttl();
     loop {
@@ -48,16 +53,17 @@
     }
 }
 
-/// Pauses before the next election request, so that candidates do not act in step.
+/// Pauses before the next election request; the jitter keeps candidates from acting in
+/// lockstep.
 async fn pause_after_error(controller: &Controller) {
     let pause = controller.store_retry_pause();
     tokio::time::sleep(pause + controller.jitter(pause)).await;
 }
 
-/// Campaigns under a new lease and leads the term if it is won, until it ends.
+/// Campaigns under a new lease and, if the term is won, leads it until it ends.
 ///
 /// # Errors
-/// When the lease is not granted.
+/// Returns an error when the lease is not granted.
 async fn campaign_and_lead(
     controller: &Arc<Controller>,
     observed: &election::ObservedTerm,
@@ -93,7 +99,7 @@
     set_request_share(controller, false);
 }
 
-/// Sets this controller's share of the store's request limits.
+/// Sets this controller's share of the store's request rate limits.
 fn set_request_share(controller: &Controller, is_leader: bool) {
     let deployment = &controller.settings.deployment;
     let followers = f64::from(deployment.count.max(2) - 1);
@@ -109,11 +115,11 @@
         .set_rates(limits.rps * share, limits.writes_per_s * share);
 }
 
-/// Steps down in favour of a controller that workers can reach, and leaves the next
-/// elections to the others for the duration of a worker's lease.
+/// Steps down in favour of a controller that workers can reach, and does not campaign for
+/// the duration of a worker's lease.
 pub fn yield_leadership(controller: &Controller) {
     let leadership = &controller.leadership;
     let pause_s = controller.settings.deployment.workers.lease_s;
     leadership.suspend_candidacy_until(controller.now() + pause_s);
-    leadership.step_down("workers reach other controllers only");
+    leadership.step_down("workers reach only other controllers");
 }
--- a/crates/tallygauge/src/leader/background_loops.rs
+++ b/crates/tallygauge/src/leader/background_loops.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use tallygauge_protocol::state::Condition;
 
-/// Recovers the cluster state and then runs every background loop of the term. The
-/// loops end with the term, when the caller drops this future: they run in the
-/// caller's task and spawn none of their own, but for messages in flight.
+/// Recovers the cluster state and then runs every background loop of the term. The loops
+/// end with the term, when the caller drops this future: they run in the caller's Tokio
+/// task and spawn no tasks of their own, except for direct messages in flight.
 pub(super) async fn run(controller: &Arc<Controller>, term: u64, term_condition: &Condition) {
     let RecoveredTerm { revision, records } = recover_with_retries(controller, term).await;
     direct_messages::send_direct_messages(controller);
@@ -33,7 +33,7 @@
         match recovery::recover_cluster_state(controller, term).await {
             Ok(recovered) => return recovered,
             Err(error) => {
-                tracing::warn!(%error, "cluster state not recovered, will retry");
+                tracing::warn!(%error, "failed to recover the cluster state, retrying");
                 tokio::time::sleep(controller.store_retry_pause()).await;
             }
         }
--- a/crates/tallygauge/src/leader/election.rs
+++ b/crates/tallygauge/src/leader/election.rs
@@ -1,5 +1,5 @@
-//! Leader election: the leader key is held under a lease, the term key counts up
-//! with each election and is a condition of every write of the leader.
+//! Leader election. The elected controller holds the leader key under a lease. The term
+//! key counts the elections and is a condition of every write of the leader.
 
 use super::stored_value::{ReadError, decode_value};
 use crate::{
@@ -11,17 +11,19 @@
 use tallygauge_protocol::state::{Condition, Transaction, Write};
 use tallygauge_store::{Listing, RequestPriority, TransactionOutcome, WatchOutcome};
 
-/// Timeout of a watch of the term, in lease times to live. A watch that is lost
-/// silently must not delay an election for long.
+/// Timeout of a watch of the term, in multiples of the leader lease's time to live. It
+/// limits how long a silently lost watch can delay an election.
 const WATCH_TIMEOUT_TTLS: u32 = 2;
 
-/// Longest pause after a failed watch: the lease's time to live, divided by this.
+/// The longest pause after a failed watch is the leader lease's time to live divided by
+/// this.
 const WATCH_RETRY_DIVISOR: u32 = 4;
 
-/// Longest wait for a campaign's outcome: the lease's time to live, divided by this.
+/// The longest wait for a campaign's outcome is the leader lease's time to live divided by
+/// this.
 const CAMPAIGN_TIMEOUT_DIVISOR: u32 = 2;
 
-/// Value of the leader key, which is removed with the lease.
+/// Value of the leader key, which the store removes when the lease ends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct LeaderRecord {
     #[serde(rename = "node")]
@@ -38,13 +40,14 @@
     controller: String,
 }
 
-/// The current term, as read from the store.
+/// The term and its leader, as read from the store.
 pub(super) struct ObservedTerm {
     leader: Option<LeaderRecord>,
     /// The term; 0 before the first election.
     pub(super) term: u64,
+    /// Version of the term key; 0 before the first election.
     term_version: u64,
-    /// Revision at which the term was read.
+    /// Revision of the store at which the term was read.
     pub(super) revision: u64,
 }
 
@@ -65,8 +68,9 @@
 /// Reads the term and its leader.
 ///
 /// # Errors
-/// When the store does not answer, or the term record is malformed. A malformed
-/// leader record is taken as no leader: a campaign fails while its key exists.
+/// Returns an error when the store does not answer or the term record is malformed. A
+/// malformed leader record is read as no leader, which is safe: a campaign fails as long
+/// as the leader key exists.
 pub(super) async fn read_term(controller: &Controller) -> Result<ObservedTerm, ReadError> {
     let Listing { entries, revision } = controller
         .store
@@ -89,7 +93,8 @@
     Ok(observed)
 }
 
-/// Waits until the leader or the term changes after `revision`.
+/// Waits until the leader or the term changes after `revision`, or until the watch times
+/// out or fails.
 pub(super) async fn wait_for_term_change(controller: &Controller, revision: u64) {
     let ttl = controller.leader_lease_ttl();
     let timeout = ttl * WATCH_TIMEOUT_TTLS;
@@ -103,9 +108,9 @@
     }
 }
 
-/// Tries to win the term after the observed one, under a lease that was requested
-/// at `lease_requested_at`. `None` when another controller was faster, or when the
-/// outcome can't be known.
+/// Campaigns for the term after the observed one, under a lease that was requested at
+/// `lease_requested_at`. Returns `None` when another controller was elected first or when
+/// the outcome cannot be determined.
 pub(super) async fn campaign(
     controller: &Controller,
     observed: &ObservedTerm,
@@ -127,7 +132,7 @@
     let term_version = match result.outcome {
         Ok(TransactionOutcome::Committed(version)) => version,
         _ if !result.in_doubt => return None,
-        // An earlier attempt may have been executed: then the records say so.
+        // An earlier attempt may have been executed; the stored records show whether it was.
         _ => confirm_election(controller, &leader).await?,
     };
     tracing::info!(term = leader.term, "elected leader");
@@ -146,8 +151,8 @@
     })
 }
 
-/// Takes the leader key, if it is free, and counts up the term, if it is still the
-/// observed one.
+/// The transaction that sets the leader key and increments the term, on the conditions
+/// that the leader key is absent and that the term is still the observed one.
 fn election_transaction(observed: &ObservedTerm, leader: &LeaderRecord) -> Option<Transaction> {
     let term = TermRecord {
         term: leader.term,
@@ -177,7 +182,8 @@
     })
 }
 
-/// The version of the term record, if this controller's election is on record.
+/// Returns the version of the term key if the stored records show that this controller was
+/// elected.
 async fn confirm_election(controller: &Controller, leader: &LeaderRecord) -> Option<u64> {
     let current = read_term(controller).await.ok()?;
     let is_elected = current.leader.as_ref() == Some(leader) && current.term == leader.term;
--- a/crates/tallygauge/src/leader/lease.rs
+++ b/crates/tallygauge/src/leader/lease.rs
@@ -2,40 +2,41 @@
 
 use crate::controller::Controller;
 
-/// Timeout of a renewal: the lease's time to live, divided by this.
-const TIMEOUT_DIVISOR: u32 = 3;
+/// The timeout of a renewal is the lease's time to live divided by this.
+const RENEWAL_TIMEOUT_DIVISOR: u32 = 3;
 
-/// Pause after a renewal: the lease's time to live, divided by this.
-const INTERVAL_DIVISOR: u32 = 4;
+/// The pause after a successful renewal is the lease's time to live divided by this.
+const RENEWAL_PAUSE_DIVISOR: u32 = 4;
 
-/// Pause after a failed renewal: the lease's time to live, divided by this.
-const RETRY_DIVISOR: u32 = 10;
+/// The pause after a failed renewal is the lease's time to live divided by this.
+const RENEWAL_RETRY_DIVISOR: u32 = 10;
 
-/// Renews the lease until it has certainly expired. While the store does not answer,
-/// the term goes on: the leader fences itself and cannot write.
+/// Renews the lease until the store reports that it has expired. While the store does not
+/// answer, the term continues: the leader fences itself and cannot write.
 pub(super) async fn renew_until_lost(controller: &Controller, lease: u64) {
     let ttl = controller.leader_lease_ttl();
     loop {
         let sent_at = controller.now();
         match controller
             .store
-            .renew_lease(lease, ttl / TIMEOUT_DIVISOR)
+            .renew_lease(lease, ttl / RENEWAL_TIMEOUT_DIVISOR)
             .await
         {
             Ok(true) => {
                 record_renewal(controller, sent_at);
-                tokio::time::sleep(ttl / INTERVAL_DIVISOR).await;
+                tokio::time::sleep(ttl / RENEWAL_PAUSE_DIVISOR).await;
             }
             Ok(false) => {
                 tracing::info!("leader lease expired");
                 return;
             }
-            Err(_) => tokio::time::sleep(ttl / RETRY_DIVISOR).await,
+            Err(_) => tokio::time::sleep(ttl / RENEWAL_RETRY_DIVISOR).await,
         }
     }
 }
 
-/// A renewal confirms both the lease and the term as of when it was sent.
+/// Records a renewal, which confirms both the lease and the term as of the time at which
+/// it was sent.
 fn record_renewal(controller: &Controller, sent_at: f64) {
     if let Some(leadership) = controller.leadership.lock().as_mut() {
         leadership.term_confirmed_at = leadership.term_confirmed_at.max(sent_at);
--- a/crates/tallygauge/src/leader/recovery.rs
+++ b/crates/tallygauge/src/leader/recovery.rs
@@ -17,31 +17,32 @@
 };
 use tallygauge_store::RequestPriority;
 
-/// What the background loops of a term start from.
+/// Result of the recovery, with which the background loops of the term start.
 pub(super) struct RecoveredTerm {
-    /// Revision after which active jobs must be watched.
+    /// Revision of the store after which active jobs must be watched.
     pub(super) revision: u64,
-    /// Records of earlier leaders, as found.
+    /// Auxiliary records that earlier leaders stored.
     pub(super) records: StoredRecords,
 }
 
-/// All records from which the cluster state is rebuilt.
+/// All stored records from which the cluster state is rebuilt.
 struct DurableState {
     active_jobs: Vec<KeyValue>,
     completion_pages: Vec<KeyValue>,
     placement_batches: Vec<KeyValue>,
     records: StoredRecords,
-    /// Revision at which the active jobs were listed. They are listed first, and
-    /// the watch goes on from there, so that no change is missed.
+    /// Revision of the store at which the active jobs were listed. They are listed before
+    /// the other records, and the watch starts from this revision, so that no change is
+    /// missed.
     revision: u64,
 }
 
-/// When the records were read.
+/// Time at which the records were read, by both clocks.
 #[derive(Clone, Copy)]
 struct RecoveryTime {
-    /// Seconds of the process's clock.
+    /// Seconds of the process's monotonic clock.
     now: f64,
-    /// Seconds since the Unix epoch.
+    /// Wall-clock time, in seconds since the Unix epoch.
     time_of_day: f64,
 }
 
@@ -52,7 +53,8 @@
 /// installs it in the term.
 ///
 /// # Errors
-/// When the store does not answer or a record is malformed; nothing is installed.
+/// Returns an error, and installs nothing, when the store does not answer or a record is
+/// malformed.
 pub(super) async fn recover_cluster_state(
     controller: &Controller,
     term: u64,
@@ -111,7 +113,8 @@
     cluster
 }
 
-/// Restores what earlier leaders recorded. What is missing is rebuilt in time.
+/// Restores the auxiliary records of earlier leaders. Missing ones are rebuilt in the course
+/// of the term.
 fn restore_leader_records(cluster: &mut ClusterState, records: &StoredRecords) {
     if let Some(service_counts) = records.decode(None) {
         cluster.restore_service_counts(service_counts);
@@ -152,7 +155,8 @@
     Ok(completed)
 }
 
-/// Adds the active jobs, and drops the completed tasks of all others.
+/// Adds the active jobs to the cluster state, and drops the completed tasks of all jobs
+/// that are not active.
 fn restore_active_jobs(
     cluster: &mut ClusterState,
     rows: Vec<KeyValue>,
@@ -190,13 +194,14 @@
         if let Some(name) = key.strip_prefix(PLACEMENT_BATCH_PREFIX) {
             cluster.restore_placements(name, &record, time.now, time.time_of_day);
         }
-        // There may be many: requests of users and workers go in between.
+        // There may be many batches: let requests of users and workers run in between.
         tokio::task::yield_now().await;
     }
     Ok(())
 }
 
-/// Makes the recovered state that of the term, if the term has not ended meanwhile.
+/// Installs the recovered cluster state in the term, unless the term has ended in the
+/// meantime.
 fn install_cluster_state(
     controller: &Controller,
     term: u64,
@@ -209,7 +214,7 @@
     if let Some(leadership) = leadership.as_mut().filter(|own| own.term == term) {
         leadership.cluster = Some(cluster);
         leadership.watched_revision = revision;
-        // No heartbeat could be answered until now.
+        // No heartbeat could be answered before the recovery, so silence counts from here.
         leadership.last_worker_heartbeat_at = controller.now();
     }
     tracing::info!(term, jobs, machines, "recovered cluster state");
--- a/crates/tallygauge/src/leader/stored_value.rs
+++ b/crates/tallygauge/src/leader/stored_value.rs
@@ -1,4 +1,4 @@
-//! Values of the store that a leader must be able to read.
+//! Decoding of stored records that a leader must be able to read.
 
 use serde::de::DeserializeOwned;
 use tallygauge_protocol::state::KeyValue;
@@ -7,15 +7,15 @@
 /// Why a record could not be read from the store.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadError {
-    /// The request was refused or not answered.
+    /// The store refused the request or did not answer it.
     #[error("{0}")]
     Store(StoreError),
-    /// The record exists and is not understood. It must not be passed over.
+    /// The record exists but cannot be decoded. It must not be skipped.
     #[error("malformed record at {key}: {source}")]
     MalformedRecord {
         /// Key of the record.
         key: String,
-        /// What is wrong with its value.
+        /// Why its value could not be decoded.
         source: serde_json::Error,
     },
 }
@@ -26,8 +26,8 @@
     }
 }
 
-/// Decodes a record's value; logs an error when it is malformed, since an operator
-/// has to mend the record before a leader can do its work.
+/// Decodes a record's value. A malformed record is also logged as an error, since an
+/// operator has to repair it before any leader can work.
 pub(super) fn decode_value<T: DeserializeOwned>(row: KeyValue) -> Result<T, ReadError> {
     serde_json::from_value(row.value).map_err(|source| {
         tracing::error!(error = %source, key = row.key, "malformed record");
--- a/crates/tallygauge/src/leader/stored_value/tests.rs
+++ b/crates/tallygauge/src/leader/stored_value/tests.rs
@@ -1,9 +1,9 @@
-//! Errors of records that a leader can't read.
+//! Errors for stored records that cannot be decoded.
 
 use super::*;
 
 #[test]
-fn a_malformed_record_is_an_error_that_names_its_key() {
+fn decoding_a_malformed_record_fails_with_an_error_that_contains_its_key() {
     let row = KeyValue {
         key: "o/req-1".into(),
         value: serde_json::json!("text"),
--- a/crates/tallygauge/src/leadership.rs
+++ b/crates/tallygauge/src/leadership.rs
@@ -1,4 +1,4 @@
-//! Leadership as this controller knows it: its own term, if it is the leader, and
+//! This controller's knowledge of the leadership: its own term, if it is the leader, and
 //! the highest term that it has observed.
 
 use crate::locking::lock;
@@ -12,38 +12,44 @@
 pub struct LeaderView {
     /// Highest term observed.
     pub term: u64,
-    /// Name of the controller that leads it, while it is known to hold its lease.
+    /// Name of the controller that leads this term; `None` unless that controller is known
+    /// to hold its lease.
     pub leader: Option<String>,
 }
 
-/// The term that this controller leads. All times are seconds of
-/// [`Controller::now`](crate::controller::Controller::now).
+/// State of the term that this controller leads. All times are readings of
+/// [`Controller::now`](crate::controller::Controller::now), in seconds.
 pub struct Leadership {
-    /// The term, which is also the fencing token of every command.
+    /// The term's number, which is also the fencing token of every command to a worker.
     pub term: u64,
-    /// The term record's version: a condition of every write of this term.
+    /// The condition that the term key still has the version of this term. Every write of
+    /// this term carries it.
     pub term_condition: Condition,
-    /// The cluster state; `None` until it is recovered from the store.
+    /// The cluster state; `None` until it has been recovered from the store.
     pub cluster: Option<ClusterState>,
-    /// When the term was last confirmed to be the current one.
+    /// Latest time at which this term is confirmed to have been the current one.
     pub term_confirmed_at: f64,
-    /// When the last acknowledged renewal of the lease was sent: no other
-    /// controller can win a term before the lease's time to live from then is over.
+    /// When the last acknowledged renewal of the leader lease was sent. No other controller
+    /// can win a term until the lease's time to live has passed since then.
     pub lease_renewed_at: f64,
-    /// When the last answered watch of jobs was sent: the cluster state contains
-    /// every cancellation up to then.
+    /// When the last answered watch of active jobs was sent. The cluster state contains
+    /// every cancellation up to this time.
     pub watch_confirmed_at: f64,
-    /// Revision up to which the cluster state has followed active jobs.
+    /// Revision of the store up to which the cluster state contains all changes of active
+    /// jobs.
     pub watched_revision: u64,
-    /// When a worker last sent a heartbeat.
+    /// When a heartbeat of any worker was last received.
     pub last_worker_heartbeat_at: f64,
 }
 
 impl Leadership {
-    /// Whether the leader must neither answer nor command workers: its cluster
-    /// state may lack a cancellation that was acknowledged more than `fence_s` ago,
-    /// or its term may have been superseded that long ago. A leader that has not
-    /// recovered its cluster state is always fenced.
+    /// Whether the leader is fenced, so that it must neither answer nor command workers.
+    /// It is fenced in each of these cases:
+    ///
+    /// - The cluster state may lack a cancellation that was acknowledged more than
+    ///   `fence_s` seconds ago.
+    /// - The term may have been superseded more than `fence_s` seconds ago.
+    /// - The cluster state has not been recovered.
     #[must_use]
     pub fn is_fenced(&self, now: f64, fence_s: f64) -> bool {
         let confirmed_at = self.term_confirmed_at.min(self.watch_confirmed_at);
@@ -51,7 +57,8 @@
     }
 }
 
-/// Own leadership, the observed leader, and whether this controller may campaign.
+/// The term that this controller leads, if any, the leader that it has observed, and
+/// whether it may campaign.
 pub struct LeadershipState {
     node_name: String,
     own: Mutex<Option<Leadership>>,
@@ -63,8 +70,8 @@
 }
 
 impl LeadershipState {
-    /// A follower that has not observed any term. `node_name` is the name under
-    /// which this controller is elected.
+    /// Creates the state of a follower that has not observed any term. `node_name` is the
+    /// name under which this controller is elected.
     #[must_use]
     pub fn new(node_name: String) -> Self {
         Self {
@@ -78,24 +85,26 @@
         }
     }
 
-    /// Locks the term that this controller leads; `None` while it is a follower.
+    /// Locks the state of the term that this controller leads, which is `None` while it is a
+    /// follower.
     pub fn lock(&self) -> MutexGuard<'_, Option<Leadership>> {
         lock(&self.own)
     }
 
-    /// Whether this controller is the leader, as far as it knows.
+    /// Whether this controller considers itself the leader. Its term may already have been
+    /// superseded.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.lock().is_some()
     }
 
-    /// The term that this controller leads.
+    /// The term that this controller leads; `None` while it is a follower.
     #[must_use]
     pub fn own_term(&self) -> Option<u64> {
         self.lock().as_ref().map(|leadership| leadership.term)
     }
 
-    /// The highest term observed and its leader.
+    /// The highest term observed, and its leader if it is known.
     #[must_use]
     pub fn leader_view(&self) -> LeaderView {
         lock(&self.view).clone()
@@ -108,8 +117,8 @@
         self.observe_term(term, Some(&self.node_name));
     }
 
-    /// Records that a term exists, and its leader if it is known. Steps down from
-    /// any lower term.
+    /// Records that a term exists, and its leader if it is known. Steps down if this
+    /// controller leads a lower term.
     pub fn observe_term(&self, term: u64, leader: Option<&str>) {
         {
             let mut view = lock(&self.view);
@@ -127,7 +136,7 @@
         }
     }
 
-    /// Ends own leadership, if any; `cause` is for the log.
+    /// Ends the term that this controller leads, if any, and logs `cause`.
     pub fn step_down(&self, cause: &str) {
         if let Some(leadership) = self.lock().take() {
             tracing::info!(term = leadership.term, cause, "stepped down");
@@ -152,7 +161,7 @@
         self.leader_changed.notified().await;
     }
 
-    /// Stops this controller from campaigning before the given time.
+    /// Keeps this controller from campaigning before the given time.
     pub fn suspend_candidacy_until(&self, time: f64) {
         *lock(&self.candidacy_suspended_until) = time;
     }
@@ -163,12 +172,12 @@
         now < *lock(&self.candidacy_suspended_until)
     }
 
-    /// Records that a worker sent a heartbeat while this controller is a follower.
+    /// Records that a worker's heartbeat was received while this controller is a follower.
     pub fn record_worker_heartbeat_as_follower(&self, now: f64) {
         *lock(&self.last_worker_heartbeat_as_follower) = now;
     }
 
-    /// When a worker last sent a heartbeat while this controller was a follower.
+    /// When a worker's heartbeat was last received while this controller was a follower.
     #[must_use]
     pub fn last_worker_heartbeat_as_follower(&self) -> f64 {
         *lock(&self.last_worker_heartbeat_as_follower)
