--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -12,10 +12,10 @@
 use tallygauge_scheduler::PageWrite;
 use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
-/// Heartbeat intervals between two transactions.
-const CLEANUP_INTERVALS: f64 = 0.5;
+/// Pause between two removal transactions, in heartbeat intervals.
+const CLEANUP_HEARTBEAT_INTERVALS: f64 = 0.5;
 
-/// Records that nothing refers to any more, as many as one transaction may remove.
+/// Records that are no longer referenced, at most as many as one transaction may remove.
 struct ObsoleteRecords {
     batches: Vec<Arc<str>>,
     pages: Vec<PageWrite>,
@@ -27,11 +27,12 @@
     }
 }
 
-/// Removes obsolete records for as long as this controller leads. A removal whose
-/// answer is lost is made again later: removing twice does no harm, and a page is
-/// conditioned on its version. Never returns.
+/// Removes obsolete records for as long as this controller leads. Never returns.
+///
+/// A removal whose answer is lost is repeated later. This is safe: removing a placement
+/// batch twice has no effect, and the removal of a page is conditioned on its version.
 pub async fn run(controller: &Controller, term_condition: &Condition) {
-    let pause = heartbeat_intervals(controller, CLEANUP_INTERVALS);
+    let pause = heartbeat_intervals(controller, CLEANUP_HEARTBEAT_INTERVALS);
     loop {
         tokio::time::sleep(pause).await;
         remove_obsolete_records(controller, term_condition).await;
@@ -54,7 +55,8 @@
     record_removal(controller, &obsolete, outcome);
 }
 
-/// The records to be removed next; `None` without leadership.
+/// The records to be removed next; `None` unless this controller is the leader and has
+/// recovered the cluster state.
 fn find_obsolete_records(controller: &Controller) -> Option<ObsoleteRecords> {
     let max_records = max_writes(controller) / 2;
     controller.with_cluster(|cluster| {
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -1,5 +1,5 @@
-//! Auxiliary records of the leader in the key-value store: read once when a term
-//! begins, written behind, many per transaction.
+//! Auxiliary records of the leader in the key-value store. They are read once when a term
+//! begins, and written asynchronously (write-behind), many records per transaction.
 
 use crate::{
     controller::Controller,
@@ -15,41 +15,41 @@
 use tallygauge_scheduler::{PriorityRules, RulesChange};
 use tallygauge_store::{Listing, RequestPriority, StoreError, TransactionOutcome};
 
-/// Prefix of the keys of the leader's records.
+/// Key prefix of the leader's records.
 const KEY_PREFIX: &str = "s/";
 
-/// Heartbeat intervals between two looks for records that have changed.
-const STAGE_INTERVALS: f64 = 2.0;
+/// Pause between two stagings of changed records, in heartbeat intervals.
+const STAGE_HEARTBEAT_INTERVALS: f64 = 2.0;
 
-/// Heartbeat intervals between two log lines with the state of all records.
-const STATUS_LOG_INTERVALS: f64 = 16.0;
+/// Interval between two log lines with the status of all records, in heartbeat intervals.
+const STATUS_LOG_HEARTBEAT_INTERVALS: f64 = 16.0;
 
-/// Shards that the record of image locations may have.
-const IMAGE_SHARDS: usize = 4;
+/// Maximum number of shards of the image locations record.
+const MAX_IMAGE_LOCATION_SHARDS: usize = 4;
 
-/// Records of one write-ahead transaction.
+/// Maximum number of records in one write-ahead transaction.
 const MAX_WRITE_AHEAD_RECORDS: usize = 2;
 
-/// Bytes that are added to a record when it is encoded.
+/// Bytes reserved in a record for what its encoding adds.
 const ENCODING_OVERHEAD_BYTES: usize = 64;
 
-/// A record's value and the version of its key.
+/// A record's stored value and the version of its key.
 #[derive(Debug, Clone)]
-struct StoredEntry {
+struct VersionedValue {
     value: Value,
     version: u64,
 }
 
-/// Records as they were stored when the term began, by name.
+/// The leader's records as they were stored when the term began, by name.
 #[derive(Debug, Default, Clone)]
 pub struct StoredRecords {
-    entries: BTreeMap<String, StoredEntry>,
-    /// The cutoffs in force.
+    entries: BTreeMap<String, VersionedValue>,
+    /// The stored cutoffs, which are in force.
     pub cutoffs: Option<CutoffSettings>,
 }
 
 impl StoredRecords {
-    /// Decodes a record, or one of its shards. One that can't be decoded is logged and
+    /// Decodes a record, or one of its shards. A record that cannot be decoded is logged and
     /// treated as missing.
     #[must_use]
     pub fn decode<T: Record>(&self, shard: Option<usize>) -> Option<T> {
@@ -58,7 +58,11 @@
         match decode(value) {
             Ok(stored) => stored.map(|stored| stored.record),
             Err(error) => {
-                tracing::warn!(record = name, %error, "ignored a stored record, it is rebuilt");
+                tracing::warn!(
+                    record = name,
+                    %error,
+                    "ignored an unreadable leader record, it will be rebuilt"
+                );
                 None
             }
         }
@@ -67,13 +71,13 @@
     /// Decodes all shards of a record.
     #[must_use]
     pub fn decode_shards<T: Record>(&self) -> Vec<T> {
-        (0..IMAGE_SHARDS)
+        (0..MAX_IMAGE_LOCATION_SHARDS)
             .filter_map(|shard| self.decode(Some(shard)))
             .collect()
     }
 }
 
-/// Reads what earlier leaders stored. It may be missing or unreadable, which never keeps
+/// Reads the records that earlier leaders stored. Missing or unreadable records never keep
 /// a controller from leading.
 pub async fn load(controller: &Controller) -> StoredRecords {
     let mut stored = StoredRecords::default();
@@ -89,7 +93,7 @@
         } in entries
         {
             if let Some(name) = key.strip_prefix(KEY_PREFIX) {
-                let entry = StoredEntry { value, version };
+                let entry = VersionedValue { value, version };
                 stored.entries.insert(name.to_string(), entry);
             }
         }
@@ -98,11 +102,12 @@
     stored
 }
 
-/// Writes the leader's records for as long as this controller leads: declared settings
-/// ahead, the others behind. What is not written for want of request budget is written
-/// later. Never returns.
+/// Writes the leader's records for as long as this controller leads. Declared settings are
+/// written ahead, that is before they are put into force; all other records are written
+/// behind. A record for which the request budget does not suffice is written later. Never
+/// returns.
 pub async fn run(controller: &Arc<Controller>, term_condition: &Condition, stored: StoredRecords) {
-    let pause = heartbeat_intervals(controller, STAGE_INTERVALS);
+    let pause = heartbeat_intervals(controller, STAGE_HEARTBEAT_INTERVALS);
     let mut writer = RecordWriter::new(controller, term_condition, &stored);
     writer.stage_declared_settings(stored.cutoffs.as_ref());
     writer.commit_write_ahead().await;
@@ -115,7 +120,7 @@
     }
 }
 
-/// The records of one term, and the versions of their keys.
+/// Writes the records of one term, and keeps track of the versions of their keys.
 struct RecordWriter<'a> {
     controller: &'a Arc<Controller>,
     term_condition: &'a Condition,
@@ -147,8 +152,8 @@
         }
     }
 
-    /// Stages the cutoffs and priority rules that this controller's settings declare, if
-    /// they are newer than those in force.
+    /// Stages the cutoffs and priority rules declared in this controller's settings, if they
+    /// are newer than those in force.
     fn stage_declared_settings(&mut self, cutoffs_in_force: Option<&CutoffSettings>) {
         self.stage_declared_cutoffs(cutoffs_in_force);
         self.stage_declared_rules();
@@ -166,7 +171,7 @@
         {
             tracing::warn!(
                 version = version_in_force,
-                "other cutoffs of this version are in force: raise the version"
+                "declared cutoffs differ from those in force: raise their version"
             );
         }
     }
@@ -185,20 +190,23 @@
             Some(RulesChange::New(rules)) => match self.records.stage(None, &rules, now) {
                 Ok(_) => tracing::info!(version, "declared priority rules"),
                 Err(error) => {
-                    tracing::warn!(%error, "priority rules can't be stored and are not in force");
+                    tracing::warn!(
+                        %error,
+                        "priority rules cannot be stored and are not put into force"
+                    );
                 }
             },
             Some(RulesChange::VersionConflict) => {
                 tracing::warn!(
                     version,
-                    "other priority rules of this version are in force: raise the version"
+                    "declared priority rules differ from those in force: raise their version"
                 );
             }
             Some(RulesChange::Unchanged) | None => {}
         }
     }
 
-    /// Commits write-ahead records until all are durable, before anything else.
+    /// Commits the staged write-ahead records, and retries until all of them are durable.
     async fn commit_write_ahead(&mut self) {
         while let Some(batch) =
             self.records
@@ -212,7 +220,7 @@
         }
     }
 
-    /// Puts the declared settings into force, now that they are durable.
+    /// Puts the staged settings into force. To be called once they are durable.
     fn apply_declared_settings(&self) {
         if let Some(rules) = self.records.desired::<PriorityRules>() {
             self.controller
@@ -225,7 +233,7 @@
         self.controller.wake_scheduler.notify_one();
     }
 
-    /// Stages the records that follow from the cluster state as it is now.
+    /// Stages the records that are derived from the current cluster state.
     fn stage_cluster_records(&mut self) {
         let now = self.controller.time_of_day();
         let max_bytes = self
@@ -234,7 +242,7 @@
         let min_fetch_s = self.controller.operator_settings.locality.remember_from;
         let Some((images, service_counts, deadlines)) = self.controller.with_cluster(|cluster| {
             (
-                cluster.image_locations(min_fetch_s, max_bytes, IMAGE_SHARDS),
+                cluster.image_locations(min_fetch_s, max_bytes, MAX_IMAGE_LOCATION_SHARDS),
                 cluster.service_counts_record(max_bytes),
                 cluster.deadline_tracker().clone(),
             )
@@ -249,7 +257,7 @@
             staged.push(self.records.stage(Some(shard), record, now));
         }
         for error in staged.into_iter().filter_map(Result::err) {
-            tracing::warn!(%error, "record can't be stored");
+            tracing::warn!(%error, "leader record cannot be stored");
         }
     }
 
@@ -263,9 +271,9 @@
         }
     }
 
-    /// Sends a batch once, and records what became of it.
+    /// Sends a batch once, and records the outcome.
     async fn commit(&mut self, batch: &WriteBatch) {
-        let transaction = self.batch_transaction(batch);
+        let transaction = self.write_transaction(batch);
         let outcome = self
             .controller
             .store
@@ -278,7 +286,7 @@
                 }
                 self.records.mark_written(batch, self.controller.now());
             }
-            // A write in doubt may have been executed.
+            // A write in doubt may have been executed, so the known versions may be stale.
             Ok(TransactionOutcome::Conflict { .. })
             | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => {
                 self.reload_versions().await;
@@ -287,9 +295,9 @@
         }
     }
 
-    /// The transaction of a batch, conditioned on the term and on each record being as
-    /// it was last written: a late write must not replace a newer one.
-    fn batch_transaction(&self, batch: &WriteBatch) -> Transaction {
+    /// The transaction that writes a batch. It is conditioned on the term and on the last
+    /// known version of each record, so that a delayed write cannot replace a newer one.
+    fn write_transaction(&self, batch: &WriteBatch) -> Transaction {
         let mut transaction = new_transaction(self.term_condition);
         for entry in &batch.entries {
             let key = format!("{KEY_PREFIX}{}", entry.name);
@@ -323,10 +331,10 @@
         }
     }
 
-    /// Logs the size and age of all records from time to time.
+    /// Logs the size and age of all records, unless they were logged recently.
     fn log_status(&mut self) {
         let now = self.controller.now();
-        let interval = heartbeat_intervals(self.controller, STATUS_LOG_INTERVALS);
+        let interval = heartbeat_intervals(self.controller, STATUS_LOG_HEARTBEAT_INTERVALS);
         if now - self.status_logged_at <= interval.as_secs_f64() {
             return;
         }
--- a/crates/tallygauge/src/leader_records/tests.rs
+++ b/crates/tallygauge/src/leader_records/tests.rs
@@ -1,8 +1,8 @@
-//! Where the leader's records are in the key-value store.
+//! Keys of the leader's records in the key-value store.
 
 use super::*;
 
 #[test]
-fn leader_records_have_the_stored_key_prefix() {
+fn key_prefix_of_the_stored_leader_records_is_unchanged() {
     assert_eq!(KEY_PREFIX, "s/");
 }
--- a/crates/tallygauge/src/leader_transaction.rs
+++ b/crates/tallygauge/src/leader_transaction.rs
@@ -1,5 +1,5 @@
-//! What the leader's transactions have in common: all are conditioned on the term, so
-//! that a deposed leader can't write.
+//! Common parts of the leader's transactions. All of them are conditioned on the term, so
+//! that a deposed leader cannot write.
 
 use crate::{controller::Controller, store_keys::TERM_KEY};
 use serde::Serialize;
@@ -13,13 +13,13 @@
     }
 }
 
-/// Writes of one transaction, as the store limits them.
+/// Maximum number of writes in one transaction, a limit of the store.
 pub(crate) fn max_writes(controller: &Controller) -> usize {
     let limits = &controller.settings.deployment.store;
     limits.max_writes_per_transaction
 }
 
-/// A write of a record without a lease.
+/// A write that sets a record, which is not bound to a lease.
 pub(crate) fn set_record(key: String, record: &impl Serialize) -> Write {
     Write::Set {
         key,
@@ -28,12 +28,12 @@
     }
 }
 
-/// Steps down if a transaction failed on its term condition: another controller has
-/// been elected. Returns whether it did.
+/// Steps down if a transaction failed on its term condition, which means that another
+/// controller has been elected. Returns whether this is the case.
 pub(crate) fn step_down_if_deposed(controller: &Controller, failed_keys: &[String]) -> bool {
     let is_deposed = failed_keys.iter().any(|key| key == TERM_KEY);
     if is_deposed {
-        controller.step_down("a write found another term");
+        controller.step_down("a transaction failed on its term condition");
     }
     is_deposed
 }
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -1,4 +1,4 @@
-//! Durable placements: batches whose transactions are in flight concurrently.
+//! Makes placements durable, in batches whose transactions run concurrently.
 
 use crate::{
     controller::Controller,
@@ -16,25 +16,27 @@
 use tallygauge_store::{CommitResult, RequestPriority, TransactionOutcome};
 use tokio::time::Instant;
 
-/// Part of the store's writes of a second that may be placements in flight.
+/// Maximum number of placement batches in flight, as a fraction of the number of writes
+/// that the store allows per second.
 const IN_FLIGHT_WRITE_SHARE: f64 = 0.125;
 
-/// Batches that may be in flight however few writes the store allows.
+/// Lower limit of the maximum number of batches in flight, however few writes the store
+/// allows.
 const MIN_IN_FLIGHT: usize = 3;
 
-/// Writes the leader's placement batches. One in doubt holds back its own tasks,
-/// capacity and quota, and nothing else: scheduling rounds go on over the rest.
+/// Writes the leader's placement batches. A batch whose outcome is in doubt blocks only its
+/// own tasks, capacity and quota: scheduling rounds continue with all others.
 pub struct PlacementWriter<'a> {
     controller: &'a Arc<Controller>,
     term_condition: &'a Condition,
-    /// Planned, and not sent yet because enough others are in flight.
+    /// Batches not sent yet because the maximum number of batches is in flight.
     queued: VecDeque<PlacementBatch>,
     in_flight: FuturesUnordered<BoxFuture<'a, ()>>,
     max_in_flight: usize,
 }
 
 impl<'a> PlacementWriter<'a> {
-    /// A writer with nothing in flight, for the term of `term_condition`.
+    /// Creates a writer without batches for the term of `term_condition`.
     #[must_use]
     pub fn new(controller: &'a Arc<Controller>, term_condition: &'a Condition) -> Self {
         let writes_per_s = controller.settings.deployment.store.writes_per_s;
@@ -48,13 +50,14 @@
         }
     }
 
-    /// Whether another round may plan placements: they could be sent at once.
+    /// Whether another scheduling round may place tasks: no batch is queued, and fewer than
+    /// the maximum number are in flight.
     #[must_use]
     pub fn has_capacity(&self) -> bool {
         self.queued.is_empty() && self.in_flight.len() < self.max_in_flight
     }
 
-    /// Queues batches; they are sent in order, as capacity allows.
+    /// Queues batches, which are sent in this order as batches in flight complete.
     pub fn push(&mut self, batches: Vec<PlacementBatch>) {
         self.queued.extend(batches);
         self.send_queued();
@@ -69,8 +72,8 @@
         }
     }
 
-    /// Drives the batches in flight until `work` is done. Capacity that becomes free
-    /// where there was none wakes the scheduler.
+    /// Polls the batches in flight until `work` completes. Wakes the scheduling loop when the
+    /// writer had no capacity and has some again.
     pub async fn run_until(&mut self, work: impl Future<Output = ()>) {
         tokio::pin!(work);
         loop {
@@ -90,10 +93,13 @@
     }
 }
 
-/// The transaction that makes a batch durable. It is conditioned on the term, on the
-/// batch's name being new, and on the records of the jobs, so that nothing starts after
-/// a cancellation.
-fn batch_transaction(term_condition: &Condition, batch: &PlacementBatch) -> Transaction {
+/// The transaction that makes a batch durable. It is conditioned on the following:
+///
+/// - The term is unchanged.
+/// - No batch of this name is stored.
+/// - The active records of the batch's jobs are unchanged, so that no task starts after a
+///   cancellation.
+fn placement_transaction(term_condition: &Condition, batch: &PlacementBatch) -> Transaction {
     let key = placement_batch_key(&batch.name);
     let mut transaction = new_transaction(term_condition);
     transaction.conditions.push(Condition {
@@ -109,17 +115,17 @@
     transaction
 }
 
-/// Makes a batch durable; only then may its start commands go out.
+/// Makes a batch durable. Its start commands may only be sent after that.
 ///
-/// Unanswered, the same transaction is sent until it is answered: it can be executed at
-/// most once, and a conflict is final, since neither a removed job nor a past term comes
-/// back.
+/// A transaction that is not answered is sent again until it is. This is safe: it can be
+/// executed at most once, and a conflict is final, since neither a removed job nor a past
+/// term comes back.
 async fn commit_batch(
     controller: &Arc<Controller>,
     term_condition: &Condition,
     batch: PlacementBatch,
 ) {
-    let transaction = batch_transaction(term_condition, &batch);
+    let transaction = placement_transaction(term_condition, &batch);
     let result = controller
         .store
         .commit_with_retries(RequestPriority::Placement, &transaction, None)
@@ -142,7 +148,7 @@
     direct_messages::send_direct_messages(controller);
 }
 
-/// Whether a batch was committed; `None` when the controller was deposed.
+/// Determines whether a batch was committed; `None` when this controller was deposed.
 async fn resolve_commit(
     controller: &Controller,
     batch: &PlacementBatch,
@@ -158,14 +164,15 @@
                 return None;
             }
             remove_ended_jobs(controller, batch, &failed_keys);
-            // An earlier attempt that was executed is in the store by now.
+            // If an earlier attempt was executed, the batch is in the store by now.
             Some(result.in_doubt && is_stored(controller, batch).await)
         }
         Ok(TransactionOutcome::LeaseExpired) | Err(_) => Some(false),
     }
 }
 
-/// The term was in force when a transaction that has been committed was sent.
+/// Records that the term was current at `sent_at`, when a transaction that has since been
+/// committed was sent.
 fn confirm_term(controller: &Controller, sent_at: Instant) {
     if let Some(leadership) = controller.leadership.lock().as_mut() {
         let confirmed_at = controller.instant_to_seconds(sent_at);
@@ -173,8 +180,8 @@
     }
 }
 
-/// Removes jobs of a batch whose records are gone; the watch of active jobs tells how
-/// they ended.
+/// Removes from the cluster state those jobs of a batch whose active records caused the
+/// conflict, since they have ended. The watch of active jobs reports how they ended.
 fn remove_ended_jobs(controller: &Controller, batch: &PlacementBatch, failed_keys: &[String]) {
     let now = controller.now();
     controller.with_cluster(|cluster| {
@@ -186,7 +193,7 @@
     });
 }
 
-/// Whether a batch is in the store, asked until the store answers.
+/// Reads whether a batch is in the store, and retries until the store answers.
 async fn is_stored(controller: &Controller, batch: &PlacementBatch) -> bool {
     let key = placement_batch_key(&batch.name);
     let pause = controller.store_retry_pause();
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -1,4 +1,5 @@
-//! Durable progress: completions of whole jobs, and pages of finished tasks.
+//! Makes progress durable: completions of whole jobs, and completion pages with the finished
+//! tasks of jobs that are not complete.
 
 use crate::{
     controller::Controller,
@@ -17,24 +18,24 @@
 use tallygauge_scheduler::{Completion, Flush, PageWrite};
 use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
-/// Heartbeat intervals after which completed jobs and finished tasks are looked for
-/// even if nothing woke the loop.
-const MAX_FLUSH_INTERVALS: f64 = 0.4;
+/// Longest wait before completed jobs are collected, when no notification arrives earlier,
+/// and pause before finished tasks are collected, in heartbeat intervals.
+const MAX_FLUSH_HEARTBEAT_INTERVALS: f64 = 0.4;
 
-/// Heartbeat intervals between two looks for completed jobs, at the least.
-const MIN_FLUSH_INTERVALS: f64 = 0.05;
+/// Minimum pause between two collections of completed jobs, in heartbeat intervals.
+const MIN_FLUSH_HEARTBEAT_INTERVALS: f64 = 0.05;
 
-/// Completion transactions in flight at a time.
+/// Maximum number of completion transactions in flight.
 const MAX_IN_FLIGHT: usize = 4;
 
-/// Writes of one job's completion: its active record goes, its terminal one comes.
+/// Writes per completed job: one removes its active record, one sets its terminal record.
 const WRITES_PER_COMPLETION: usize = 2;
 
-/// Makes completions of jobs durable for as long as this controller leads. A
-/// transaction in doubt keeps only its own jobs waiting. Never returns.
+/// Makes completions of jobs durable for as long as this controller leads. A transaction
+/// whose outcome is in doubt delays only its own jobs. Never returns.
 pub async fn commit_completed_jobs(controller: &Controller, term_condition: &Condition) {
-    let min_pause = heartbeat_intervals(controller, MIN_FLUSH_INTERVALS);
-    let max_wait = heartbeat_intervals(controller, MAX_FLUSH_INTERVALS);
+    let min_pause = heartbeat_intervals(controller, MIN_FLUSH_HEARTBEAT_INTERVALS);
+    let max_wait = heartbeat_intervals(controller, MAX_FLUSH_HEARTBEAT_INTERVALS);
     let max_jobs = max_writes(controller) / WRITES_PER_COMPLETION;
     let mut in_flight = FuturesUnordered::new();
     let mut in_flight_jobs: BTreeSet<String> = BTreeSet::new();
@@ -71,10 +72,11 @@
     }
 }
 
-/// Makes finished tasks of unfinished jobs durable for as long as this controller
-/// leads. One flush at a time: a page is conditioned on its version. Never returns.
+/// Makes finished tasks of incomplete jobs durable for as long as this controller leads.
+/// Only one flush is in flight at a time, since the write of a page is conditioned on the
+/// page's version. Never returns.
 pub async fn flush_completion_pages(controller: &Arc<Controller>, term_condition: &Condition) {
-    let pause = heartbeat_intervals(controller, MAX_FLUSH_INTERVALS);
+    let pause = heartbeat_intervals(controller, MAX_FLUSH_HEARTBEAT_INTERVALS);
     let max_writes = max_writes(controller);
     loop {
         tokio::time::sleep(pause).await;
@@ -83,12 +85,12 @@
             .with_cluster(|cluster| cluster.next_flush(max_writes, MAX_TRANSACTION_VALUE_BYTES))
             .flatten();
         if let Some(flush) = flush {
-            commit_pages(controller, term_condition, &flush).await;
+            commit_flush(controller, term_condition, &flush).await;
         }
     }
 }
 
-/// Commits completions of jobs and returns them, whatever the outcome.
+/// Commits completions of jobs, and returns them whether or not they were committed.
 async fn commit_completions(
     controller: &Controller,
     term_condition: &Condition,
@@ -103,7 +105,7 @@
         Ok(TransactionOutcome::Committed(_)) => record_completions(controller, &completions),
         Ok(TransactionOutcome::Conflict { failed_keys }) => {
             if !step_down_if_deposed(controller, &failed_keys) {
-                drop_jobs_without_record(controller, &completions, &failed_keys);
+                remove_jobs_without_active_record(controller, &completions, &failed_keys);
             }
         }
         Ok(TransactionOutcome::LeaseExpired) | Err(_) => {}
@@ -111,9 +113,9 @@
     completions
 }
 
-/// The transaction that replaces the active records of jobs by terminal ones. It is
-/// conditioned on the active records, as a cancellation is, so that only one of the two
-/// is committed; for the same reason it may be sent several times.
+/// The transaction that replaces the active records of completed jobs by terminal records.
+/// Like a cancellation, it is conditioned on the active records, so that only one of the
+/// two is committed. For the same reason it can safely be sent several times.
 fn completion_transaction(term_condition: &Condition, completions: &[Completion]) -> Transaction {
     let mut transaction = new_transaction(term_condition);
     for completion in completions {
@@ -133,7 +135,8 @@
     transaction
 }
 
-/// Removes jobs whose completion was committed from the cluster state.
+/// Removes from the cluster state the jobs whose completion was committed, and caches their
+/// terminal records.
 fn record_completions(controller: &Controller, completions: &[Completion]) {
     let now = controller.now();
     for completion in completions {
@@ -149,9 +152,9 @@
     controller.wake_scheduler.notify_one();
 }
 
-/// Removes jobs whose active record is gone: they were cancelled first, or an
-/// unanswered attempt to complete them was executed.
-fn drop_jobs_without_record(
+/// Removes from the cluster state the jobs whose active record is gone: they were cancelled
+/// before their completion, or an unanswered attempt to commit the completion was executed.
+fn remove_jobs_without_active_record(
     controller: &Controller,
     completions: &[Completion],
     failed_keys: &[String],
@@ -165,8 +168,8 @@
     }
 }
 
-/// Adds pages to a transaction, each conditioned on its version: a late write must not
-/// replace a newer one.
+/// Adds writes of completion pages to a transaction. Each is conditioned on the page's
+/// version, so that a delayed write cannot replace a newer one.
 pub(crate) fn add_page_writes(transaction: &mut Transaction, pages: &[PageWrite]) {
     for page in pages {
         let key = completion_page_key(page.page);
@@ -183,7 +186,7 @@
 }
 
 /// Commits a flush of completion pages and records its outcome.
-async fn commit_pages(controller: &Controller, term_condition: &Condition, flush: &Flush) {
+async fn commit_flush(controller: &Controller, term_condition: &Condition, flush: &Flush) {
     if flush.pages.writes.is_empty() {
         return;
     }
@@ -210,7 +213,7 @@
     });
 }
 
-/// Reads the versions of pages that a write in doubt may have changed.
+/// Reads the versions of pages that a write with an unknown outcome may have changed.
 async fn resolve_pages_in_doubt(controller: &Controller) {
     let pages = controller
         .with_cluster(|cluster| cluster.completion_pages.pages_in_doubt())
