--- a/crates/tallygauge/src/direct_messages.rs
+++ b/crates/tallygauge/src/direct_messages.rs
@@ -1,4 +1,5 @@
-//! Direct messages: commands that the leader sends to workers between heartbeats.
+//! Direct messages: commands that the leader sends to workers without waiting for their
+//! heartbeats.
 
 use crate::controller::Controller;
 use std::{sync::Arc, time::Duration};
@@ -7,38 +8,41 @@
 use tallygauge_store::http::RequestError;
 use warp::http::{Method, StatusCode};
 
-/// Part of a worker's lease that it may take to answer a direct message.
-const TIMEOUT_LEASE_FRACTION: f64 = 1.0 / 6.0;
+/// Timeout of a direct message, as a fraction of a worker's lease.
+const TIMEOUT_FRACTION: f64 = 1.0 / 6.0;
 
-/// What became of a direct message.
-enum Delivery {
-    /// It was not sent: the worker has certainly not executed its commands.
+/// Outcome of sending a direct message.
+enum DeliveryOutcome {
+    /// The message was not sent: the worker has certainly not executed its commands.
     NotSent,
-    /// It was sent and brought no usable answer: it may have been executed.
+    /// The message was sent and got no usable answer: its commands may have been executed.
     Unanswered,
-    /// The worker executed or refused it, and answered with its state.
+    /// The worker executed or refused the commands, and answered with its state.
     Answered(Heartbeat),
 }
 
-/// What a delivery meant for this controller.
+/// Effect of a message's outcome on this controller.
 enum DeliveryEffect {
-    /// Nothing: it is not the leader of that term any more.
+    /// None, since this controller no longer leads the term of the message.
     Ignored,
     /// The cluster state was updated.
     Applied,
-    /// The cluster state was updated, and the worker has seen this higher term.
+    /// The cluster state was updated, and the worker reported this higher term.
     Superseded(u64),
 }
 
-/// Sends all direct messages that are due, each in a task of its own. Their number
-/// is bounded, as a worker has at most one under way. A leader that is fenced off
-/// from answering heartbeats sends none. Called after every scheduling round, and
-/// whenever placements have become durable.
+/// Sends all direct messages that are due, each in a Tokio task of its own. The number of
+/// these tasks is bounded, since a worker has at most one message in flight. A fenced leader
+/// sends none. Called after every scheduling round, and whenever placements have become
+/// durable.
 pub fn send_direct_messages(controller: &Arc<Controller>) {
-    let (now, fence) = (controller.now(), controller.fence_s());
+    let (now, fence_s) = (controller.now(), controller.fence_s());
     let (term, messages) = {
         let mut leadership = controller.leadership.lock();
-        let Some(leadership) = leadership.as_mut().filter(|l| !l.is_fenced(now, fence)) else {
+        let Some(leadership) = leadership
+            .as_mut()
+            .filter(|own| !own.is_fenced(now, fence_s))
+        else {
             return;
         };
         let (term, fraction) = (leadership.term, controller.direct_message_fraction());
@@ -53,10 +57,10 @@
     }
 }
 
-/// Sends one direct message, and applies its result if the term is still the same.
+/// Sends one direct message, and applies the outcome if this controller still leads `term`.
 async fn deliver_direct_message(controller: &Controller, term: u64, message: DirectMessage) {
-    let delivery = post_commands(controller, term, &message).await;
-    match apply_delivery(controller, term, &message, &delivery) {
+    let outcome = post_commands(controller, term, &message).await;
+    match apply_outcome(controller, term, &message, &outcome) {
         DeliveryEffect::Ignored => return,
         DeliveryEffect::Applied => {}
         DeliveryEffect::Superseded(higher_term) => controller.observe_term(higher_term, None),
@@ -65,7 +69,11 @@
     controller.wake_completions.notify_one();
 }
 
-async fn post_commands(controller: &Controller, term: u64, message: &DirectMessage) -> Delivery {
+async fn post_commands(
+    controller: &Controller,
+    term: u64,
+    message: &DirectMessage,
+) -> DeliveryOutcome {
     let body = DirectCommands {
         token: term,
         incarnation: message.incarnation,
@@ -73,11 +81,11 @@
     };
     let url = format!("http://{}/orders", message.endpoint);
     let lease_s = controller.settings.deployment.workers.lease_s;
-    let timeout = Duration::from_secs_f64(lease_s * TIMEOUT_LEASE_FRACTION);
-    // This task may have waited for its turn, or the process may have been paused,
-    // since the message was made.
+    let timeout = Duration::from_secs_f64(lease_s * TIMEOUT_FRACTION);
+    // Since the message was created, this Tokio task may have waited to be scheduled, or the
+    // process may have been suspended.
     if !controller.is_unfenced_leader() {
-        return Delivery::NotSent;
+        return DeliveryOutcome::NotSent;
     }
     let keep_alive = !controller.connection_limits.is_low();
     let result = controller
@@ -85,33 +93,33 @@
         .send(Method::POST, &url, Some(&body), timeout, keep_alive)
         .await;
     match result {
-        Ok((StatusCode::OK | StatusCode::CONFLICT, body)) => {
-            serde_json::from_slice(&body).map_or(Delivery::Unanswered, Delivery::Answered)
-        }
-        Ok(_) | Err(RequestError::NoResponse) => Delivery::Unanswered,
-        Err(RequestError::NotSent) => Delivery::NotSent,
+        Ok((StatusCode::OK | StatusCode::CONFLICT, body)) => serde_json::from_slice(&body)
+            .map_or(DeliveryOutcome::Unanswered, DeliveryOutcome::Answered),
+        Ok(_) | Err(RequestError::NoResponse) => DeliveryOutcome::Unanswered,
+        Err(RequestError::NotSent) => DeliveryOutcome::NotSent,
     }
 }
 
-/// Updates the cluster state by what became of a message of this term.
-fn apply_delivery(
+/// Applies the outcome of a message to the cluster state, if this controller still leads the
+/// term of the message.
+fn apply_outcome(
     controller: &Controller,
     term: u64,
     message: &DirectMessage,
-    delivery: &Delivery,
+    outcome: &DeliveryOutcome,
 ) -> DeliveryEffect {
     let now = controller.now();
     let mut leadership = controller.leadership.lock();
-    let Some(leadership) = leadership.as_mut().filter(|l| l.term == term) else {
+    let Some(leadership) = leadership.as_mut().filter(|own| own.term == term) else {
         return DeliveryEffect::Ignored;
     };
     let Some(cluster) = leadership.cluster.as_mut() else {
         return DeliveryEffect::Ignored;
     };
-    let answered = matches!(delivery, Delivery::Answered(_));
-    let never_sent = matches!(delivery, Delivery::NotSent);
+    let answered = matches!(outcome, DeliveryOutcome::Answered(_));
+    let never_sent = matches!(outcome, DeliveryOutcome::NotSent);
     cluster.record_direct_message_result(message, answered, never_sent, now);
-    if let Delivery::Answered(heartbeat) = delivery
+    if let DeliveryOutcome::Answered(heartbeat) = outcome
         && heartbeat.machine == message.worker
         && let HeartbeatOutcome::Deposed(higher_term) =
             cluster.apply_direct_reply(now, message, heartbeat)
