--- a/crates/tallygauge/src/event_log.rs
+++ b/crates/tallygauge/src/event_log.rs
@@ -1,10 +1,9 @@
-//! Logs what the scheduler reports: each cluster event as one line, its values as
-//! fields.
+//! Logs the scheduler's cluster events, each as one line with its values as fields.
 
 use tallygauge_protocol::workers::EndCause;
 use tallygauge_scheduler::{ClusterEvent, UnderservedGroup};
 
-/// Logs at `info` if the first argument is true, else at `debug`.
+/// Logs at `info` if the first argument is true, otherwise at `debug`.
 macro_rules! log_info_if {
     ($is_info:expr, $($line:tt)+) => {
         if $is_info {
@@ -15,13 +14,14 @@
     };
 }
 
-/// A value with one decimal, as it is logged.
-fn one_decimal(value: f64) -> f64 {
+/// Rounds a value to one decimal place for the log.
+fn round_to_one_decimal(value: f64) -> f64 {
     (value * 10.0).round() / 10.0
 }
 
-/// `NAME:DONE/OVERDUE/MISSING` for each group, separated by blanks: jobs done within a
-/// day, jobs that should have been served by now, jobs missing to the target share.
+/// Formats each group as `NAME:DONE/OVERDUE/MISSING`, separated by blanks. The values are
+/// the number of jobs done within a day, of jobs that should have been served by now, and of
+/// jobs by which the group falls short of its target share.
 fn format_groups(groups: &[UnderservedGroup]) -> String {
     let formatted: Vec<String> = groups
         .iter()
@@ -35,8 +35,8 @@
     formatted.join(" ")
 }
 
-/// Logs a cluster event: what an operator should see by default at `info`, what
-/// happens to single jobs and attempts at `debug`.
+/// Logs a cluster event. Events that an operator should see by default are logged at `info`,
+/// those of single jobs and attempts at `debug`.
 #[allow(
     clippy::too_many_lines,
     reason = "one flat match with an arm for each event"
@@ -86,7 +86,7 @@
             tasks,
         } => tracing::debug!(
             job,
-            wait_s = one_decimal(*wait_s),
+            wait_s = round_to_one_decimal(*wait_s),
             class,
             tasks,
             "job started"
@@ -99,7 +99,7 @@
             is_large,
         } => tracing::debug!(
             job,
-            wait_s = one_decimal(*wait_s),
+            wait_s = round_to_one_decimal(*wait_s),
             class,
             tasks,
             is_large,
--- a/crates/tallygauge/src/fairness_summary.rs
+++ b/crates/tallygauge/src/fairness_summary.rs
@@ -1,17 +1,20 @@
-//! Service counts of classes and teams as fields of the leader's summary.
+//! Formats the service counts of classes and teams for the leader's periodic log.
 
 use std::fmt::Write as _;
 use tallygauge_scheduler::{ClusterState, GroupKind, GroupStatus};
 
-/// One field for the classes (`^`: the largest jobs of one) and one for the teams,
-/// each group as `name:accepted/cancelled/started/done/late/overdue`. `!N` follows
-/// when N of its jobs are placed first to reach its minimum share, `?N` when N of
-/// them fit on no machine.
+/// Returns two log fields, one for the classes and one for the teams. Each group is formatted
+/// as `name:accepted/cancelled/started/done/late/overdue`, with these marks:
+///
+/// - `^` after the name: the group contains the largest jobs of the class.
+/// - `!N` at the end: N of its jobs are placed first, so that the group reaches its minimum
+///   share.
+/// - `?N` at the end: N of its open jobs fit on no machine.
 #[must_use]
 pub fn format_group_statuses(cluster: &ClusterState) -> (String, String) {
     let (mut classes, mut teams) = (String::new(), String::new());
     for status in cluster.group_statuses() {
-        let (field, suffix) = match status.key.kind {
+        let (field, name_suffix) = match status.key.kind {
             GroupKind::Class => (&mut classes, ""),
             GroupKind::Largest => (&mut classes, "^"),
             GroupKind::Team => (&mut teams, ""),
@@ -19,18 +22,18 @@
         if !field.is_empty() {
             field.push(' ');
         }
-        write_group_status(field, suffix, &status);
+        write_group_status(field, name_suffix, &status);
     }
     (classes, teams)
 }
 
-fn write_group_status(field: &mut String, suffix: &str, status: &GroupStatus) {
+fn write_group_status(field: &mut String, name_suffix: &str, status: &GroupStatus) {
     let (counts, shortfall) = (&status.counts, &status.shortfall);
     let accepted = counts.done + counts.cancelled + u64::from(status.open);
     let started = counts.done + counts.cancelled_after_start + u64::from(status.started);
     let _ = write!(
         field,
-        "{}{suffix}:{accepted}/{}/{started}/{}/{}/{}",
+        "{}{name_suffix}:{accepted}/{}/{started}/{}/{}/{}",
         status.key.name, counts.cancelled, counts.done, counts.late, shortfall.overdue
     );
     if shortfall.to_target_share > 0 {
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -1,31 +1,31 @@
-//! The leader's periodic summary in the log: totals of the cluster state, and why
-//! the oldest pending job waits.
+//! The leader's periodic summary in the log: totals of the cluster state, the reasons for
+//! which the oldest pending job waits, the status of cutoffs, and service counts.
 
 use crate::{controller::Controller, fairness_summary};
 use std::time::Duration;
 use tallygauge_scheduler::{ClusterState, CutoffStatus, Worker};
 
-/// Heartbeat intervals between two summaries.
-const INTERVAL_HEARTBEATS: f64 = 4.0;
+/// Interval between two summaries, in heartbeat intervals.
+const SUMMARY_HEARTBEAT_INTERVALS: f64 = 4.0;
 
-/// Measurements of this process, as opposed to the cluster state.
+/// Measurements of this process, which are not part of the cluster state.
 struct ProcessMeasurements {
     longest_round_s: f64,
     scheduling_delay_s: f64,
-    /// Requests that wait for the rate limiter of the store.
+    /// Requests that wait for the rate limiter of the store client.
     requests_waiting: usize,
     writes_in_doubt: usize,
     oldest_in_doubt: Duration,
-    /// Longest time that a job's user has gone without an answer.
+    /// Longest time for which a polling user has not been answered.
     oldest_unanswered_s: f64,
     connections: usize,
     connections_free: usize,
 }
 
-/// Logs a summary periodically for as long as the term lasts.
+/// Logs a summary periodically for as long as this controller leads. Never returns.
 pub async fn run(controller: &Controller) {
     let heartbeat_interval_s = controller.settings.deployment.workers.heartbeat_interval_s;
-    let interval = Duration::from_secs_f64(heartbeat_interval_s * INTERVAL_HEARTBEATS);
+    let interval = Duration::from_secs_f64(heartbeat_interval_s * SUMMARY_HEARTBEAT_INTERVALS);
     loop {
         tokio::time::sleep(interval).await;
         let process = measure_process(controller);
@@ -40,11 +40,11 @@
 }
 
 fn measure_process(controller: &Controller) -> ProcessMeasurements {
-    let (now, memory_s) = (controller.now(), controller.caller_expiry_s());
+    let (now, expiry_s) = (controller.now(), controller.caller_expiry_s());
     let in_doubt = controller.store.in_doubt_writes();
     let oldest_unanswered_s = controller
         .pending_callers
-        .longest_wait_s(now, memory_s)
+        .longest_wait_s(now, expiry_s)
         .unwrap_or(0.0);
     ProcessMeasurements {
         longest_round_s: controller.load.take_longest_round_s(),
@@ -65,7 +65,11 @@
         tasks_running = running_tasks(cluster),
         tasks_pending = pending_tasks(cluster),
         machines = cluster.workers.len(),
-        machines_up = cluster.workers.values().filter(|w| w.is_up()).count(),
+        machines_up = cluster
+            .workers
+            .values()
+            .filter(|worker| worker.is_up())
+            .count(),
         cpus_starting = cpus.starting,
         cpus_fetching = cpus.fetching,
         cpus_running = cpus.running,
@@ -85,13 +89,13 @@
 }
 
 fn running_tasks(cluster: &ClusterState) -> usize {
-    let occupying = |worker: &Worker| {
+    let count_running = |worker: &Worker| {
         let attempts = worker.attempts.iter();
         attempts
             .filter(|attempt| attempt.occupies_capacity())
             .count()
     };
-    cluster.workers.values().map(occupying).sum()
+    cluster.workers.values().map(count_running).sum()
 }
 
 fn pending_tasks(cluster: &ClusterState) -> usize {
@@ -100,7 +104,7 @@
         .sum()
 }
 
-/// Logs why the job that has waited longest has not started.
+/// Logs why the job that has waited longest for its start has not started.
 fn log_oldest_pending_job(cluster: &ClusterState, now: f64) {
     let Some(job) = cluster.oldest_unstarted_job() else {
         return;
@@ -122,7 +126,7 @@
     );
 }
 
-/// Logs the cutoffs that operators declared or that are at risk.
+/// Logs the status of the cutoffs that operators declared or that are at risk.
 fn log_cutoffs(cluster: &ClusterState, now: f64) {
     let cutoffs: Vec<String> = cluster
         .cutoff_statuses(now)
@@ -142,16 +146,23 @@
         .is_some_and(|forecast| forecast.at_risk)
 }
 
-/// `name:seconds left/jobs done/of these late/jobs open/slack in seconds`; the slack
-/// is absent without a forecast, and `!` follows when the cutoff is at risk.
+/// Formats a cutoff as `name:left/done/late/open/slack`:
+///
+/// - `left`: seconds until the cutoff
+/// - `done`: number of jobs done
+/// - `late`: number of these that were done late
+/// - `open`: number of open jobs
+/// - `slack`: forecast slack in seconds; absent, with its slash, if there is no forecast
+///
+/// A `!` at the end marks a cutoff at risk.
 fn format_cutoff(cutoff: &CutoffStatus) -> String {
     let (name, left_s, open) = (&cutoff.name, cutoff.left_s, cutoff.open);
     let (done, late) = cutoff.done;
     let slack = cutoff.forecast.as_ref().map_or(String::new(), |forecast| {
         format!("/{:.0}", forecast.slack_s)
     });
-    let mark = if is_at_risk(cutoff) { "!" } else { "" };
-    format!("{name}:{left_s:.0}/{done}/{late}/{open}{slack}{mark}")
+    let risk_mark = if is_at_risk(cutoff) { "!" } else { "" };
+    format!("{name}:{left_s:.0}/{done}/{late}/{open}{slack}{risk_mark}")
 }
 
 fn log_group_statuses(cluster: &ClusterState) {
--- a/crates/tallygauge/src/task_counts.rs
+++ b/crates/tallygauge/src/task_counts.rs
@@ -1,4 +1,4 @@
-//! Task counts of active jobs as read from the leader, for display.
+//! A follower's cache of the task counts of active jobs, for display.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -6,12 +6,12 @@
 };
 use tallygauge_scheduler::TaskCount;
 
-/// Seconds after which counts that were not read again are dropped.
+/// Age at which cached counts expire unless they are read again, in seconds.
 const EXPIRY_S: f64 = 60.0;
 
-/// Task counts on a controller that is not the leader. Users' requests ask for
-/// counts and get the last ones read; the peer client reads from the leader those
-/// that were asked for.
+/// Task counts of active jobs on a controller that is not the leader. A user's request
+/// returns the counts that were read last, and requests new ones. The peer client then reads
+/// the requested counts from the leader.
 #[derive(Default)]
 pub struct TaskCountCache {
     state: Mutex<State>,
@@ -20,23 +20,25 @@
 #[derive(Default)]
 struct State {
     counts: HashMap<String, CachedCount>,
-    /// Jobs asked for since counts were last read.
+    /// Ids of the jobs whose counts were requested since the last read.
     requested: BTreeSet<String>,
 }
 
 struct CachedCount {
     count: TaskCount,
-    /// When it was read, in seconds of the controller's clock.
+    /// When the count was read from the leader, in seconds of the controller's clock.
     read_at: f64,
 }
 
 impl TaskCountCache {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("task counts lock")
+        self.state
+            .lock()
+            .expect("a task that held the lock of the task counts panicked")
     }
 
-    /// The last counts of a job, zero if there are none, and a request to read them
-    /// again.
+    /// Returns the cached counts of a job, or zero if there are none, and requests that they
+    /// be read from the leader again.
     pub fn get_and_request(&self, id: &str) -> TaskCount {
         let mut state = self.lock();
         state.requested.insert(id.to_string());
@@ -46,14 +48,14 @@
             .map_or_else(TaskCount::default, |cached| cached.count)
     }
 
-    /// Takes the ids of the jobs whose counts were asked for.
+    /// Takes the ids of the jobs whose counts were requested.
     pub fn take_requested(&self) -> Vec<String> {
         std::mem::take(&mut self.lock().requested)
             .into_iter()
             .collect()
     }
 
-    /// Caches counts read from the leader, and drops those that expired.
+    /// Caches counts that were read from the leader, and drops expired ones.
     pub fn update(&self, counts: impl Iterator<Item = (String, TaskCount)>, now: f64) {
         let mut state = self.lock();
         for (id, count) in counts {
