--- a/crates/tallygauge/src/direct_messages.rs
+++ b/crates/tallygauge/src/direct_messages.rs
@@ -12,7 +12,7 @@
 const TIMEOUT_FRACTION: f64 = 1.0 / 6.0;
 
 /// Outcome of sending a direct message.
-enum DeliveryOutcome {
+enum SendOutcome {
     /// The message was not sent: the worker has certainly not executed its commands.
     NotSent,
     /// The message was sent and got no usable answer: its commands may have been executed.
@@ -69,11 +69,7 @@
     controller.wake_completions.notify_one();
 }
 
-async fn post_commands(
-    controller: &Controller,
-    term: u64,
-    message: &DirectMessage,
-) -> DeliveryOutcome {
+async fn post_commands(controller: &Controller, term: u64, message: &DirectMessage) -> SendOutcome {
     let body = DirectCommands {
         token: term,
         incarnation: message.incarnation,
@@ -85,7 +81,7 @@
     // Since the message was created, this Tokio task may have waited to be scheduled, or the
     // process may have been suspended.
     if !controller.is_unfenced_leader() {
-        return DeliveryOutcome::NotSent;
+        return SendOutcome::NotSent;
     }
     let keep_alive = !controller.connection_limits.is_low();
     let result = controller
@@ -93,10 +89,11 @@
         .send(Method::POST, &url, Some(&body), timeout, keep_alive)
         .await;
     match result {
-        Ok((StatusCode::OK | StatusCode::CONFLICT, body)) => serde_json::from_slice(&body)
-            .map_or(DeliveryOutcome::Unanswered, DeliveryOutcome::Answered),
-        Ok(_) | Err(RequestError::NoResponse) => DeliveryOutcome::Unanswered,
-        Err(RequestError::NotSent) => DeliveryOutcome::NotSent,
+        Ok((StatusCode::OK | StatusCode::CONFLICT, body)) => {
+            serde_json::from_slice(&body).map_or(SendOutcome::Unanswered, SendOutcome::Answered)
+        }
+        Ok(_) | Err(RequestError::NoResponse) => SendOutcome::Unanswered,
+        Err(RequestError::NotSent) => SendOutcome::NotSent,
     }
 }
 
@@ -106,7 +103,7 @@
     controller: &Controller,
     term: u64,
     message: &DirectMessage,
-    outcome: &DeliveryOutcome,
+    outcome: &SendOutcome,
 ) -> DeliveryEffect {
     let now = controller.now();
     let mut leadership = controller.leadership.lock();
@@ -116,10 +113,10 @@
     let Some(cluster) = leadership.cluster.as_mut() else {
         return DeliveryEffect::Ignored;
     };
-    let answered = matches!(outcome, DeliveryOutcome::Answered(_));
-    let never_sent = matches!(outcome, DeliveryOutcome::NotSent);
+    let answered = matches!(outcome, SendOutcome::Answered(_));
+    let never_sent = matches!(outcome, SendOutcome::NotSent);
     cluster.record_direct_message_result(message, answered, never_sent, now);
-    if let DeliveryOutcome::Answered(heartbeat) = outcome
+    if let SendOutcome::Answered(heartbeat) = outcome
         && heartbeat.machine == message.worker
         && let HeartbeatOutcome::Deposed(higher_term) =
             cluster.apply_direct_reply(now, message, heartbeat)
--- a/crates/tallygauge/src/reconciliation.rs
+++ b/crates/tallygauge/src/reconciliation.rs
@@ -64,10 +64,10 @@
 /// differences are repaired:
 ///
 /// - The cluster state must contain every active job whose record is not newer than the
-///   watched revision. A job with such a record and without an id among those taken was
+///   watched revision. A job with such a record whose id was not in the cluster state was
 ///   lost, and is added.
-/// - A job with an id among those taken, and without a record in the later listing, has
-///   ended, and is removed.
+/// - A job whose id was in the cluster state and which has no record in the later listing
+///   has ended, and is removed.
 pub async fn reconcile_with_store(controller: &Controller) -> JobRepairCounts {
     let Some(snapshot) = take_snapshot(controller) else {
         return JobRepairCounts::default();
