--- a/crates/tallygauge-sim/tests/message_faults.rs
+++ b/crates/tallygauge-sim/tests/message_faults.rs
@@ -211,7 +211,7 @@
         controller_b.now() - started_at
     );
     let unanswered = controller_b
-        .pending_callers
+        .unanswered_polls
         .longest_wait_s(controller_b.now(), LEASE_S);
     assert!(
         unanswered.is_none_or(|s| s < HEARTBEAT_INTERVAL_S),
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -8,7 +8,6 @@
     machine_catalogue::MachineCatalogue,
     operator_settings::OperatorSettings,
     peer_reachability::PeerReachability,
-    pending_callers::PendingCallers,
     process_clock::ProcessClock,
     process_load::ProcessLoad,
     relay::PeerRelay,
@@ -16,6 +15,7 @@
     settings::Settings,
     store_client::new_store_client,
     task_counts::TaskCountCache,
+    unanswered_polls::UnansweredPolls,
     user_api::JobRefresh,
     version_checks::{VersionCheckQueue, VersionChecks},
     wall_clock::WallClock,
@@ -97,7 +97,7 @@
     /// Relays users' requests to other controllers.
     pub relay: PeerRelay,
     /// Users that are polling and have not been answered yet.
-    pub pending_callers: PendingCallers,
+    pub unanswered_polls: UnansweredPolls,
     /// Decides when all active jobs are read into the cache.
     pub job_refresh: JobRefresh,
     clock: ProcessClock,
@@ -143,7 +143,7 @@
             wake_completions: Notify::new(),
             wake_cloud: Notify::new(),
             relay: PeerRelay::default(),
-            pending_callers: PendingCallers::default(),
+            unanswered_polls: UnansweredPolls::default(),
             job_refresh: JobRefresh::default(),
             clock: ProcessClock::start(wall_clock),
             jitter: Mutex::new(StdRng::seed_from_u64(rand::random())),
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -43,7 +43,7 @@
     let (now, expiry_s) = (controller.now(), controller.caller_expiry_s());
     let in_doubt = controller.store.in_doubt_writes();
     let oldest_unanswered_s = controller
-        .pending_callers
+        .unanswered_polls
         .longest_wait_s(now, expiry_s)
         .unwrap_or(0.0);
     ProcessMeasurements {
--- a/crates/tallygauge/src/pending_callers.rs
+++ b/crates/tallygauge/src/unanswered_polls.rs
@@ -6,24 +6,24 @@
 };
 
 /// Most jobs whose unanswered polls are remembered.
-const MAX_PENDING_CALLERS: usize = 4096;
+const MAX_POLLED_JOBS: usize = 4096;
 
 /// Jobs that were polled and not answered for yet. Bounded: when it is full, jobs
 /// that nobody polls any more are dropped, and new ones are not remembered.
 #[derive(Default)]
-pub struct PendingCallers {
-    by_job: Mutex<HashMap<String, PendingCaller>>,
+pub struct UnansweredPolls {
+    by_job: Mutex<HashMap<String, UnansweredPoll>>,
 }
 
 /// Times of a job's unanswered polls, in seconds of the controller's clock.
-struct PendingCaller {
+struct UnansweredPoll {
     /// The first poll that got no answer.
     unanswered_since: f64,
     /// The latest poll.
     last_request_at: f64,
 }
 
-impl PendingCaller {
+impl UnansweredPoll {
     /// Whether the job was polled within the last `expiry_s` seconds. Whoever
     /// stopped polling was answered by another controller.
     fn is_waiting(&self, now: f64, expiry_s: f64) -> bool {
@@ -31,14 +31,16 @@
     }
 }
 
-impl PendingCallers {
-    fn lock(&self) -> MutexGuard<'_, HashMap<String, PendingCaller>> {
-        self.by_job.lock().expect("pending callers lock")
+impl UnansweredPolls {
+    fn lock(&self) -> MutexGuard<'_, HashMap<String, UnansweredPoll>> {
+        self.by_job
+            .lock()
+            .expect("a task that held the lock of the unanswered polls panicked")
     }
 
     /// Records a poll of a job. Returns since when the job's polls have had no
     /// answer.
-    pub fn record_request(&self, id: &str, now: f64, expiry_s: f64) -> f64 {
+    pub fn record_poll(&self, id: &str, now: f64, expiry_s: f64) -> f64 {
         let mut by_job = self.lock();
         if let Some(caller) = by_job.get_mut(id) {
             if !caller.is_waiting(now, expiry_s) {
@@ -47,11 +49,11 @@
             caller.last_request_at = now;
             return caller.unanswered_since;
         }
-        if by_job.len() >= MAX_PENDING_CALLERS {
+        if by_job.len() >= MAX_POLLED_JOBS {
             by_job.retain(|_, caller| caller.is_waiting(now, expiry_s));
         }
-        if by_job.len() < MAX_PENDING_CALLERS {
-            let caller = PendingCaller {
+        if by_job.len() < MAX_POLLED_JOBS {
+            let caller = UnansweredPoll {
                 unanswered_since: now,
                 last_request_at: now,
             };
@@ -61,7 +63,7 @@
     }
 
     /// Records that a poll of a job was answered.
-    pub fn record_response(&self, id: &str) {
+    pub fn record_reply(&self, id: &str) {
         self.lock().remove(id);
     }
 
--- a/crates/tallygauge/src/user_api/status.rs
+++ b/crates/tallygauge/src/user_api/status.rs
@@ -14,7 +14,7 @@
         return Reply::no_such_job();
     }
     let (now, expiry_s) = (controller.now(), controller.caller_expiry_s());
-    let unanswered_since = controller.pending_callers.record_request(id, now, expiry_s);
+    let unanswered_since = controller.unanswered_polls.record_poll(id, now, expiry_s);
     let urgency = Urgency {
         priority: RequestPriority::Polls,
         unanswered_since,
@@ -23,7 +23,7 @@
         Ok(found) => found,
         Err(unavailable) => return unavailable.into(),
     };
-    controller.pending_callers.record_response(id);
+    controller.unanswered_polls.record_reply(id);
     match job_response(controller, id, found) {
         Some(response) => Reply::Job {
             status: 200,
--- a/crates/tallygauge/tests/user_state.rs
+++ b/crates/tallygauge/tests/user_state.rs
@@ -2,8 +2,8 @@
 
 use tallygauge::{
     job_cache::{CachedJob, JobCache},
-    pending_callers::PendingCallers,
     task_counts::TaskCountCache,
+    unanswered_polls::UnansweredPolls,
     user_api::TerminalJobRecord,
 };
 use tallygauge_protocol::users::JobStatus;
@@ -51,15 +51,15 @@
 
 #[test]
 fn a_caller_waits_from_its_first_unanswered_poll_until_it_is_answered_or_gone() {
-    let callers = PendingCallers::default();
-    assert_eq!(callers.record_request("req-1", 10.0, 5.0), 10.0);
-    assert_eq!(callers.record_request("req-1", 14.0, 5.0), 10.0);
-    assert_eq!(callers.record_request("req-2", 15.0, 5.0), 15.0);
-    assert_eq!(callers.longest_wait_s(16.0, 5.0), Some(6.0));
-    callers.record_response("req-1");
-    assert_eq!(callers.longest_wait_s(16.0, 5.0), Some(1.0));
-    assert_eq!(callers.longest_wait_s(21.0, 5.0), None);
-    assert_eq!(callers.record_request("req-2", 21.0, 5.0), 21.0);
+    let polls = UnansweredPolls::default();
+    assert_eq!(polls.record_poll("req-1", 10.0, 5.0), 10.0);
+    assert_eq!(polls.record_poll("req-1", 14.0, 5.0), 10.0);
+    assert_eq!(polls.record_poll("req-2", 15.0, 5.0), 15.0);
+    assert_eq!(polls.longest_wait_s(16.0, 5.0), Some(6.0));
+    polls.record_reply("req-1");
+    assert_eq!(polls.longest_wait_s(16.0, 5.0), Some(1.0));
+    assert_eq!(polls.longest_wait_s(21.0, 5.0), None);
+    assert_eq!(polls.record_poll("req-2", 21.0, 5.0), 21.0);
 }
 
 #[test]
