--- a/crates/tallygauge/src/connection_limits.rs
+++ b/crates/tallygauge/src/connection_limits.rs
@@ -23,7 +23,7 @@
 pub struct ConnectionLimits {
     limit: f64,
     /// Connections that workers, users and health checks have opened.
-    pub callers: ConnectionCount,
+    pub incoming: ConnectionCount,
     outgoing: Vec<ConnectionCount>,
 }
 
@@ -34,7 +34,7 @@
     pub fn new(limit: u32, outgoing: Vec<ConnectionCount>) -> Self {
         Self {
             limit: f64::from(limit),
-            callers: ConnectionCount::default(),
+            incoming: ConnectionCount::default(),
             outgoing,
         }
     }
@@ -43,7 +43,7 @@
     #[must_use]
     pub fn used(&self) -> usize {
         let outgoing: usize = self.outgoing.iter().map(ConnectionCount::get).sum();
-        self.callers.get() + outgoing
+        self.incoming.get() + outgoing
     }
 
     /// Number of connections that may still be opened, beyond the reserved ones.
--- a/crates/tallygauge/src/connection_limits/tests.rs
+++ b/crates/tallygauge/src/connection_limits/tests.rs
@@ -12,7 +12,7 @@
         let count = if n % 3 == 0 {
             &outgoing
         } else {
-            &limits.callers
+            &limits.incoming
         };
         guards.push(count.acquire());
         let now = (limits.is_low(), limits.is_critical(), limits.free() == 0);
--- a/crates/tallygauge/src/server.rs
+++ b/crates/tallygauge/src/server.rs
@@ -107,7 +107,7 @@
 pub async fn serve(controller: Arc<Controller>) {
     let address = controller.settings.client_listen;
     let lease_s = controller.settings.deployment.workers.lease_s;
-    let callers = controller.connection_limits.callers.clone();
+    let incoming = controller.connection_limits.incoming.clone();
     let routes = warp::method()
         .and(warp::path::full())
         .and(warp::body::stream())
@@ -128,5 +128,8 @@
     // silent for a lease has lost it. Warp's own accept loop would first find out
     // which version of HTTP each connection speaks, and check that on every poll.
     let idle_timeout = Duration::from_secs_f64(lease_s);
-    accept(listener, service, idle_timeout, |_| Some(callers.acquire())).await;
+    accept(listener, service, idle_timeout, |_| {
+        Some(incoming.acquire())
+    })
+    .await;
 }
