--- a/crates/tallygauge-sim/tests/user_requests.rs
+++ b/crates/tallygauge-sim/tests/user_requests.rs
@@ -268,7 +268,7 @@
         !controller_a.sheds_user_load(),
         "no other controller answers"
     );
-    controller_a.peer_reachability.record_reachable(1);
+    controller_a.peer_reachability.record_reachable_count(1);
     assert!(controller_a.sheds_user_load());
     controller_a.step_down("as a test");
     assert!(!controller_a.sheds_user_load(), "only a leader does");
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -245,7 +245,7 @@
     pub fn sheds_user_load(&self) -> bool {
         let half_of_peers = self.settings.peers.len().div_ceil(2).max(1);
         self.load.should_shed_user_load(self.now())
-            && self.peer_reachability.reachable() >= half_of_peers
+            && self.peer_reachability.reachable_count() >= half_of_peers
             && self.leadership.is_leader()
     }
 
--- a/crates/tallygauge/src/peer_reachability.rs
+++ b/crates/tallygauge/src/peer_reachability.rs
@@ -20,13 +20,13 @@
 
 impl PeerReachability {
     /// Records how many peers answered the latest probe; 0 when none was sent.
-    pub fn record_reachable(&self, count: usize) {
+    pub fn record_reachable_count(&self, count: usize) {
         *lock(&self.reachable) = count;
     }
 
     /// Number of peers that answered the latest probe.
     #[must_use]
-    pub fn reachable(&self) -> usize {
+    pub fn reachable_count(&self) -> usize {
         *lock(&self.reachable)
     }
 
--- a/crates/tallygauge/src/peers.rs
+++ b/crates/tallygauge/src/peers.rs
@@ -138,7 +138,9 @@
     if is_leader && controller.load.should_shed_user_load(controller.now()) {
         reachable = count_reachable(peers, announcement).await;
     }
-    controller.peer_reachability.record_reachable(reachable);
+    controller
+        .peer_reachability
+        .record_reachable_count(reachable);
 }
 
 /// Probes the peers while the store does not serve this controller, to find out
