--- a/crates/tallygauge/src/peers.rs
+++ b/crates/tallygauge/src/peers.rs
@@ -1,5 +1,5 @@
-//! Controller to controller, by gRPC. What peers tell each other is a hint or for
-//! display: safety rests on the store alone.
+//! Communication between controllers, over gRPC. What peers tell each other serves only as
+//! a hint or for display: safety depends on the store alone.
 
 mod relay;
 mod service;
@@ -16,21 +16,26 @@
 use tallygauge_scheduler::TaskCount;
 use tonic::transport::{Channel, Endpoint};
 
-/// Longest time between two looks at what peers should be told or asked.
+/// Maximum pause between two iterations of the loop that announces terms to the peers,
+/// probes them, and reads task counts from the leader.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Timeout of a request to a peer, as a fraction of the heartbeat interval.
-const TIMEOUT_FRACTION: f64 = 0.5;
+const REQUEST_TIMEOUT_FRACTION: f64 = 0.5;
 
-/// Another controller.
+/// Another controller, and a client for its peer interface.
 #[derive(Clone)]
 struct PeerNode {
     name: String,
     client: PeerClient<Channel>,
 }
 
-/// Tells the peers of every new term of this controller, and probes them as needed.
-/// Never returns.
+/// Exchanges information with the peers. Never returns. Each iteration does what applies:
+///
+/// - announces a new term of this controller to all peers;
+/// - yields leadership if workers reach only other controllers;
+/// - probes the peers to decide on load shedding and to detect isolation;
+/// - on a follower, reads task counts from the leader.
 pub async fn run(controller: Arc<Controller>) {
     let peers = connect_peers(&controller.settings);
     let connections = controller.settings.deployment.resource_limits.connections as usize;
@@ -38,17 +43,17 @@
     controller.relay.set(Arc::new(relay));
     let mut announced_term = 0;
     loop {
-        let view_change = controller.leadership.wait_for_leader_change();
-        let _ = tokio::time::timeout(POLL_INTERVAL, view_change).await;
+        let leader_change = controller.leadership.wait_for_leader_change();
+        let _ = tokio::time::timeout(POLL_INTERVAL, leader_change).await;
         let view = controller.leadership.leader_view();
-        let announcement = announcement(&view);
+        let announcement = build_announcement(&view);
         let is_leader = view.leader.as_ref() == Some(&controller.settings.node_name);
         if is_leader && view.term > announced_term {
             announced_term = view.term;
             announce_to_all(&controller, &peers, &announcement);
         }
         if is_leader && worker_api::lacks_heartbeats(&controller) {
-            yield_to_reachable_peer(&controller, &peers, &announcement).await;
+            yield_if_workers_reach_peer(&controller, &peers, &announcement).await;
         }
         probe_for_load_shedding(&controller, &peers, &announcement, is_leader).await;
         probe_for_isolation(&controller, &peers, &announcement).await;
@@ -65,7 +70,7 @@
 
 fn connect_peers(settings: &Settings) -> Vec<PeerNode> {
     let heartbeat_interval_s = settings.deployment.workers.heartbeat_interval_s;
-    let timeout = Duration::from_secs_f64(heartbeat_interval_s * TIMEOUT_FRACTION);
+    let timeout = Duration::from_secs_f64(heartbeat_interval_s * REQUEST_TIMEOUT_FRACTION);
     let peers = settings.peers.iter();
     peers
         .filter_map(|peer| {
@@ -77,7 +82,7 @@
         .collect()
 }
 
-/// A client that connects when it is first used.
+/// Creates a client that connects on its first request.
 fn new_client(address: SocketAddr, timeout: Duration) -> Option<PeerClient<Channel>> {
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
         .ok()?
@@ -86,7 +91,7 @@
     Some(PeerClient::new(endpoint.connect_lazy()))
 }
 
-fn announcement(view: &LeaderView) -> Announcement {
+fn build_announcement(view: &LeaderView) -> Announcement {
     Announcement {
         term: view.term,
         leader: view.leader.clone().unwrap_or_default(),
@@ -94,40 +99,41 @@
     }
 }
 
-/// Announces a term to every peer, each in a task of its own, and takes note of any
-/// higher term that a peer knows.
+/// Announces a term to every peer, each in a separate task, and observes any higher term
+/// that a peer reports in its response.
 fn announce_to_all(controller: &Arc<Controller>, peers: &[PeerNode], announcement: &Announcement) {
     for peer in peers {
         let mut client = peer.client.clone();
         let controller = controller.clone();
         let announcement = announcement.clone();
         tokio::spawn(async move {
-            if let Ok(answer) = client.announce(announcement).await {
-                let answer = answer.into_inner();
-                let leader = (!answer.leader.is_empty()).then_some(answer.leader.as_str());
-                controller.observe_term(answer.term, leader);
+            if let Ok(response) = client.announce(announcement).await {
+                let response = response.into_inner();
+                let leader = (!response.leader.is_empty()).then_some(response.leader.as_str());
+                controller.observe_term(response.term, leader);
             }
         });
     }
 }
 
-/// Yields leadership if a peer gets the workers' heartbeats that this leader lacks.
-async fn yield_to_reachable_peer(
+/// Yields leadership if a peer receives the workers' heartbeats that this leader lacks.
+async fn yield_if_workers_reach_peer(
     controller: &Controller,
     peers: &[PeerNode],
     announcement: &Announcement,
 ) {
     for peer in peers {
-        let answer = peer.client.clone().announce(announcement.clone()).await;
-        if answer.is_ok_and(|answer| answer.into_inner().workers_call) {
+        let response = peer.client.clone().announce(announcement.clone()).await;
+        if response.is_ok_and(|response| response.into_inner().workers_call) {
             leader::yield_leadership(controller);
             return;
         }
     }
 }
 
-/// Counts the reachable peers while this controller is an overloaded leader. At all
-/// other times the count is reset: it is too old when load is shed the next time.
+/// Counts the reachable peers while this controller is an overloaded leader. At all other
+/// times the count is reset to 0, since it would be out of date when load has to be shed
+/// the next time.
 async fn probe_for_load_shedding(
     controller: &Controller,
     peers: &[PeerNode],
@@ -143,32 +149,35 @@
         .record_reachable_count(reachable);
 }
 
-/// Probes the peers while the store does not serve this controller, to find out
-/// whether it is isolated.
+/// Probes the peers while this controller's requests to the store fail, to detect whether
+/// the controller is isolated.
 async fn probe_for_isolation(
     controller: &Controller,
     peers: &[PeerNode],
     announcement: &Announcement,
 ) {
-    let store_is_available = controller.store.failing_since().is_none();
-    if store_is_available || count_reachable(peers, announcement).await > 0 {
+    let is_store_available = controller.store.failing_since().is_none();
+    if is_store_available || count_reachable(peers, announcement).await > 0 {
         controller
             .peer_reachability
             .record_contact(controller.now());
     }
 }
 
-/// Number of peers that answer.
+/// Probes all peers at the same time, and returns the number of those that respond.
 async fn count_reachable(peers: &[PeerNode], announcement: &Announcement) -> usize {
     let probes = peers.iter().map(|peer| {
         let (mut client, announcement) = (peer.client.clone(), announcement.clone());
         async move { client.announce(announcement).await.is_ok() }
     });
-    let answers = join_all(probes).await;
-    answers.into_iter().filter(|answered| *answered).count()
+    let responses = join_all(probes).await;
+    responses
+        .into_iter()
+        .filter(|has_responded| *has_responded)
+        .count()
 }
 
-/// Reads from the leader the task counts that users have asked about.
+/// Reads from the leader the task counts of the jobs that users have polled.
 async fn refresh_task_counts(controller: &Controller, mut leader: PeerClient<Channel>) {
     let ids = controller.task_counts.take_requested();
     if ids.is_empty() {
--- a/crates/tallygauge/src/peers/relay.rs
+++ b/crates/tallygauge/src/peers/relay.rs
@@ -1,4 +1,4 @@
-//! Relays users' requests to the other controllers.
+//! Relays users' requests to the other controllers over gRPC.
 
 use super::PeerNode;
 use crate::{
@@ -10,33 +10,34 @@
 use tokio::sync::Semaphore;
 use warp::http::Method;
 
-/// Number of peers that a request is relayed to before it is given up.
+/// Maximum number of peers to which a request is relayed, one after the other.
 const MAX_ATTEMPTS: usize = 2;
 
-/// Connections of the process for each relayed request that may be in flight.
+/// The maximum number of relayed requests in flight is the process's connection limit
+/// divided by this.
 const CONNECTIONS_PER_REQUEST: usize = 16;
 
-/// The other controllers as relays; the leader is asked first.
+/// Relays requests to the other controllers over gRPC, to the leader first.
 pub(super) struct GrpcRelay {
-    /// Weak, since the controller owns its relay.
+    /// A weak reference, since the controller owns its relay.
     controller: Weak<Controller>,
     peers: Vec<PeerNode>,
-    /// Bounds the requests in flight.
+    /// Limits the number of relayed requests in flight.
     permits: Semaphore,
 }
 
 impl GrpcRelay {
-    /// Relays requests of `controller` to `peers`, over as many `connections` as the
-    /// process may have.
+    /// Creates a relay for the requests that `controller` receives. `max_connections` is
+    /// the connection limit of the process.
     pub(super) fn new(
         controller: Weak<Controller>,
         peers: Vec<PeerNode>,
-        connections: usize,
+        max_connections: usize,
     ) -> Self {
         Self {
             controller,
             peers,
-            permits: Semaphore::new(connections / CONNECTIONS_PER_REQUEST),
+            permits: Semaphore::new(max_connections / CONNECTIONS_PER_REQUEST),
         }
     }
 }
@@ -46,7 +47,8 @@
         Box::pin(async move {
             let _permit = self.permits.try_acquire().ok()?;
             let leader = self.controller.upgrade()?.leadership.leader_view().leader;
-            // The store serves the leader, or another will soon be elected.
+            // The leader comes first: the store serves it, or another controller will soon be
+            // elected.
             let (leaders, followers): (Vec<_>, Vec<_>) = self
                 .peers
                 .iter()
--- a/crates/tallygauge/src/peers/service.rs
+++ b/crates/tallygauge/src/peers/service.rs
@@ -14,9 +14,10 @@
 use tonic::{Request, Response, Status, transport::Server};
 use warp::http::Method;
 
-/// Interval of the keep-alive pings, by which lost connections are found.
+/// Interval of the HTTP/2 keep-alive pings, which detect lost connections.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(20);
 
+/// Serves the peer interface on behalf of a controller.
 struct PeerService(Arc<Controller>);
 
 #[tonic::async_trait]
@@ -39,9 +40,9 @@
         &self,
         request: Request<Announcement>,
     ) -> Result<Response<Announcement>, Status> {
-        let announced = request.into_inner();
-        let leader = (!announced.leader.is_empty()).then_some(announced.leader.as_str());
-        self.0.observe_term(announced.term, leader);
+        let announcement = request.into_inner();
+        let leader = (!announcement.leader.is_empty()).then_some(announcement.leader.as_str());
+        self.0.observe_term(announcement.term, leader);
         let view = self.0.leadership.leader_view();
         Ok(Response::new(Announcement {
             term: view.term,
@@ -68,10 +69,10 @@
     }
 }
 
-/// Serves the other controllers. Returns only when it can't listen.
+/// Serves requests of other controllers. Returns only when it cannot listen.
 ///
 /// # Errors
-/// When the address can't be bound.
+/// When the listen address cannot be bound.
 pub async fn serve(controller: Arc<Controller>) -> Result<(), tonic::transport::Error> {
     let address = controller.settings.peer_listen;
     Server::builder()
--- a/crates/tallygauge/src/relay.rs
+++ b/crates/tallygauge/src/relay.rs
@@ -1,5 +1,5 @@
-//! Relaying users' requests to other controllers, for one that the key-value store
-//! does not serve.
+//! Relays users' requests to other controllers, for a controller whose requests to the
+//! key-value store fail.
 
 use std::{
     future::Future,
@@ -17,20 +17,21 @@
     pub body: Vec<u8>,
 }
 
-/// Another controller's reply on its way; `None` if no other controller could answer.
+/// Future of another controller's reply, or of `None` if no other controller could serve
+/// the request.
 pub type RelayFuture<'a> = Pin<Box<dyn Future<Output = Option<RelayedReply>> + Send + 'a>>;
 
 /// Sends users' requests to other controllers.
 pub trait Relay: Send + Sync {
-    /// Sends a request to other controllers until one answers it.
+    /// Sends a request to other controllers, one after the other, until one serves it.
     fn relay<'a>(&'a self, method: &'a Method, path: &'a str, body: &'a [u8]) -> RelayFuture<'a>;
 }
 
-/// How this controller relays requests, and when it may do so again after no other
-/// controller could answer.
+/// The relay of this controller, and the pause in relaying after no other controller could
+/// serve a request.
 pub struct PeerRelay {
     relay: Mutex<Option<Arc<dyn Relay>>>,
-    /// Seconds of the controller's clock before which nothing is relayed.
+    /// Time before which nothing is relayed, in seconds of the controller's clock.
     backoff_until: Mutex<f64>,
 }
 
@@ -44,25 +45,37 @@
 }
 
 impl PeerRelay {
-    /// Sets how requests are relayed. Until then none are.
+    /// Sets the relay. Before this call no request is relayed.
     pub fn set(&self, relay: Arc<dyn Relay>) {
-        *self.relay.lock().expect("relay lock") = Some(relay);
+        *self
+            .relay
+            .lock()
+            .expect("a task that held the relay lock panicked") = Some(relay);
     }
 
-    /// How requests are relayed, if that has been set.
+    /// The relay, if it has been set.
     #[must_use]
     pub fn get(&self) -> Option<Arc<dyn Relay>> {
-        self.relay.lock().expect("relay lock").clone()
+        self.relay
+            .lock()
+            .expect("a task that held the relay lock panicked")
+            .clone()
     }
 
-    /// Whether requests should not be relayed now.
+    /// Whether relaying is paused at `now`.
     #[must_use]
     pub fn is_backing_off(&self, now: f64) -> bool {
-        now < *self.backoff_until.lock().expect("relay backoff lock")
+        now < *self
+            .backoff_until
+            .lock()
+            .expect("a task that held the lock of the relay backoff panicked")
     }
 
-    /// Stops relaying until a time.
+    /// Pauses relaying until `until`, in seconds of the controller's clock.
     pub fn back_off_until(&self, until: f64) {
-        *self.backoff_until.lock().expect("relay backoff lock") = until;
+        *self
+            .backoff_until
+            .lock()
+            .expect("a task that held the lock of the relay backoff panicked") = until;
     }
 }
--- a/crates/tallygauge/src/server.rs
+++ b/crates/tallygauge/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server: users, workers and health checks on one address.
+//! The HTTP server, which serves users, workers and readiness checks on one address.
 
 use crate::{
     controller::Controller,
@@ -32,8 +32,8 @@
     json_response(status, serde_json::to_vec(&body).unwrap_or_default(), None)
 }
 
-/// The response to a user; the connection is closed after it if connections are
-/// critically few.
+/// The response to a user. It closes the connection if the number of free connections is
+/// critical.
 fn user_response(controller: &Controller, reply: &Reply) -> HttpResponse {
     let mut response = json_response(reply.status(), reply.body(), reply.retry_after_s());
     if controller.connection_limits.is_critical() {
@@ -89,10 +89,16 @@
     }
 }
 
-/// The readiness check: whether users should be sent to this controller. It must be
-/// able to validate submissions and to tell the state of jobs, and neither be
-/// overloaded nor isolated. It answers users all the same; but while it is isolated
-/// it can tell them nothing, and their connections must not stay with it.
+/// Whether the readiness check should direct users to this controller. All of these have to
+/// hold:
+///
+/// - It has read the machine types, so that it can validate submissions.
+/// - It has reached the store, so that it can report the state of jobs.
+/// - It does not shed users' load.
+/// - It is not isolated.
+///
+/// A controller that is not ready still serves the users that reach it. While it is isolated,
+/// though, it has no information for them, so their connections must not stay with it.
 fn is_ready(controller: &Controller) -> bool {
     controller.catalogue.is_loaded()
         && controller.has_reached_store()
@@ -100,14 +106,14 @@
         && !controller.is_isolated()
 }
 
-/// Serves users, workers and health checks. Never returns.
+/// Serves users, workers and readiness checks. Never returns.
 ///
 /// # Panics
-/// When the address can't be bound.
+/// Panics when the listen address cannot be bound.
 pub async fn serve(controller: Arc<Controller>) {
     let address = controller.settings.client_listen;
     let lease_s = controller.settings.deployment.workers.lease_s;
-    let incoming = controller.connection_limits.incoming.clone();
+    let counter = controller.connection_limits.incoming.clone();
     let routes = warp::method()
         .and(warp::path::full())
         .and(warp::body::stream())
@@ -123,13 +129,11 @@
     let service = TowerToHyperService::new(warp::service(routes));
     let listener = TcpListener::bind(address)
         .await
-        .expect("the address is free");
-    // A caller that is gone must not hold a connection for ever, and a worker that is
-    // silent for a lease has lost it. Warp's own accept loop would first find out
-    // which version of HTTP each connection speaks, and check that on every poll.
+        .expect("failed to bind the listen address of the HTTP server");
+    // A client that is gone must not hold its connection forever. A worker that sends
+    // nothing for the duration of a lease has lost its lease anyway. Warp's own accept loop
+    // is not used: it would detect the HTTP version of each connection, and check for it on
+    // every poll.
     let idle_timeout = Duration::from_secs_f64(lease_s);
-    accept(listener, service, idle_timeout, |_| {
-        Some(incoming.acquire())
-    })
-    .await;
+    accept(listener, service, idle_timeout, |_| Some(counter.acquire())).await;
 }
--- a/crates/tallygauge/src/worker_api.rs
+++ b/crates/tallygauge/src/worker_api.rs
@@ -1,51 +1,54 @@
-//! The workers' interface: heartbeats, which workers send to the leader.
+//! The HTTP interface for workers: heartbeats, which workers send to the leader.
 
 use crate::{controller::Controller, leadership::Leadership};
 use tallygauge_protocol::workers::{Heartbeat, HeartbeatResponse, Redirect};
 use tallygauge_scheduler::{HeartbeatOutcome, HeartbeatSource};
 use tallygauge_store::is_first_occurrence;
 
-/// Part of a worker's lease without any heartbeat after which the leader suspects
-/// that workers can't reach it, and their leases are in danger.
-const MAX_SILENCE_LEASE_FRACTION: f64 = 0.3;
+/// Time without any heartbeat after which the leader suspects that workers cannot reach it
+/// and are about to lose their leases, as a fraction of a worker's lease.
+const MAX_HEARTBEAT_GAP_FRACTION: f64 = 0.3;
 
-/// Heartbeat intervals after the last heartbeat for which a follower counts as called
-/// on by workers.
+/// Time for which a heartbeat that a follower received counts as recent, in heartbeat
+/// intervals.
 const RECENT_HEARTBEAT_INTERVALS: f64 = 2.0;
 
 /// Reply to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatReply {
-    /// 200: applied to the cluster state. Renews the worker's lease and carries
-    /// commands for it.
+    /// 200: the heartbeat was applied to the cluster state. The response renews the
+    /// worker's lease and carries commands for the worker.
     Accepted(HeartbeatResponse),
-    /// 421: this controller is not the leader, and another is known to be.
+    /// 421: this controller is not the leader, and it knows another controller that is.
     Redirected(Redirect),
-    /// 503: no leader is known, this one is fenced off or still recovering the
-    /// cluster state, or the heartbeat is out of date. The worker's lease is not
-    /// renewed.
+    /// 503, which does not renew the worker's lease, in each of these cases:
+    ///
+    /// - No leader is known.
+    /// - This controller is the leader, but is fenced or still recovers the cluster state.
+    /// - The heartbeat is out of date.
     Unavailable,
-    /// 400: not a heartbeat. The text says why.
+    /// 400: the body is not a heartbeat. The text says why.
     Malformed(String),
 }
 
-/// What a heartbeat meant for this controller.
+/// Outcome of processing a heartbeat on this controller.
 enum HeartbeatEffect {
-    /// Applied; `needs_scheduling` if the scheduler should look at the change.
+    /// The heartbeat was applied to the cluster state. `needs_scheduling` says whether the
+    /// scheduling loop has to process the change.
     Applied {
         response: HeartbeatResponse,
         needs_scheduling: bool,
     },
-    /// It can't be answered.
+    /// The leader must not accept the heartbeat: the reply is 503.
     Refused,
-    /// The worker has seen this higher term.
+    /// The worker has seen the given term, which is higher than this leader's.
     Superseded(u64),
     /// This controller is not the leader.
     NotLeader,
 }
 
-/// Whether workers have sent heartbeats to this controller of late, though it is a
-/// follower. Peers are told, so that a leader that workers can't reach yields.
+/// Whether this controller has recently received heartbeats from workers as a follower.
+/// The peers are told so, and a leader that workers cannot reach then yields.
 #[must_use]
 pub fn has_recent_heartbeats(controller: &Controller) -> bool {
     let last_heartbeat_at = controller.leadership.last_worker_heartbeat_as_follower();
@@ -53,23 +56,22 @@
     controller.now() - last_heartbeat_at < interval_s * RECENT_HEARTBEAT_INTERVALS
 }
 
-/// Whether this controller is the leader and has had no heartbeat from workers that
-/// should send some, for long enough that their leases are in danger.
+/// Whether this controller is the leader, expects heartbeats from workers, and has received
+/// none for so long that the workers are about to lose their leases.
 #[must_use]
 pub fn lacks_heartbeats(controller: &Controller) -> bool {
     let now = controller.now();
-    let max_silence_s = controller.settings.deployment.workers.lease_s * MAX_SILENCE_LEASE_FRACTION;
+    let max_gap_s = controller.settings.deployment.workers.lease_s * MAX_HEARTBEAT_GAP_FRACTION;
     controller
         .leadership
         .lock()
         .as_ref()
         .is_some_and(|leadership| {
-            expects_heartbeats(leadership)
-                && now - leadership.last_worker_heartbeat_at > max_silence_s
+            expects_heartbeats(leadership) && now - leadership.last_worker_heartbeat_at > max_gap_s
         })
 }
 
-/// Whether some worker is up, or may still run attempts.
+/// Whether some worker has sent a heartbeat or may still run attempts.
 fn expects_heartbeats(leadership: &Leadership) -> bool {
     leadership.cluster.as_ref().is_some_and(|cluster| {
         cluster
@@ -79,10 +81,10 @@
     })
 }
 
-/// `POST /checkin`
+/// `POST /checkin`: processes a worker's heartbeat.
 pub fn handle_heartbeat(controller: &Controller, body: &[u8]) -> HeartbeatReply {
-    // A follower does not even parse the body: when a leader fails, all workers turn
-    // to the followers at once.
+    // A follower does not parse the body, to keep redirects cheap: when a leader fails, all
+    // workers send their heartbeats to the followers at the same time.
     if controller.leadership.lock().is_none() {
         return redirect_to_leader(controller);
     }
@@ -118,10 +120,10 @@
     })
 }
 
-/// Applies a heartbeat to the cluster state, if this controller is the leader, and
-/// makes up the response.
+/// Applies a heartbeat to the cluster state if this controller is the leader, and builds
+/// the response.
 fn apply_heartbeat(controller: &Controller, heartbeat: &Heartbeat) -> HeartbeatEffect {
-    let (now, fence) = (controller.now(), controller.fence_s());
+    let (now, fence_s) = (controller.now(), controller.fence_s());
     let mut leadership = controller.leadership.lock();
     let Some(leadership) = leadership.as_mut() else {
         return HeartbeatEffect::NotLeader;
@@ -129,9 +131,9 @@
     if heartbeat.token > leadership.term {
         return HeartbeatEffect::Superseded(heartbeat.token);
     }
-    // A new leader may have placed what this worker runs, and any controller may have
-    // cancelled it: a response would renew the worker's lease.
-    if leadership.is_fenced(now, fence) {
+    // A response would renew the worker's lease although a new leader may have placed the
+    // worker's tasks again, or any controller may have cancelled their jobs.
+    if leadership.is_fenced(now, fence_s) {
         return HeartbeatEffect::Refused;
     }
     let Some(cluster) = leadership.cluster.as_mut() else {
@@ -139,7 +141,7 @@
     };
     match cluster.apply_heartbeat(now, heartbeat, HeartbeatSource::Periodic) {
         HeartbeatOutcome::Applied | HeartbeatOutcome::Overtaken => {}
-        // A late copy must not renew a lease or fetch commands.
+        // A delayed or duplicated heartbeat must not renew a lease or receive commands.
         HeartbeatOutcome::Stale
         | HeartbeatOutcome::DeadIncarnation
         | HeartbeatOutcome::Deposed(_) => return HeartbeatEffect::Refused,
@@ -158,7 +160,7 @@
     }
 }
 
-/// The reply of a controller that is not the leader.
+/// The reply of a controller that is not the leader. Records the heartbeat, too.
 fn redirect_to_leader(controller: &Controller) -> HeartbeatReply {
     controller
         .leadership
