--- a/crates/tallygauge/src/connection_limits/tests.rs
+++ b/crates/tallygauge/src/connection_limits/tests.rs
@@ -1,27 +1,30 @@
-//! Order in which callers are refused connections as they run short.
+//! Tests the order in which connections are restricted as free connections run short.
 
 use super::*;
 
 #[test]
-fn direct_messages_are_limited_before_users_and_users_before_workers() {
+fn direct_messages_are_restricted_before_users_and_users_before_workers() {
     let outgoing = ConnectionCount::default();
     let limits = ConnectionLimits::new(320, vec![outgoing.clone()]);
     let mut guards = Vec::new();
-    let mut changes = Vec::new();
-    for n in 1..=400 {
-        let count = if n % 3 == 0 {
+    let mut state_changes = Vec::new();
+    for opened in 1..=400 {
+        let count = if opened % 3 == 0 {
             &outgoing
         } else {
             &limits.incoming
         };
         guards.push(count.acquire());
-        let now = (limits.is_low(), limits.is_critical(), limits.free() == 0);
-        if changes.last().is_none_or(|(_, before)| *before != now) {
-            changes.push((n, now));
+        let state = (limits.is_low(), limits.is_critical(), limits.free() == 0);
+        if state_changes
+            .last()
+            .is_none_or(|(_, previous)| *previous != state)
+        {
+            state_changes.push((opened, state));
         }
     }
     assert_eq!(
-        changes,
+        state_changes,
         [
             (1, (false, false, false)),
             (231, (true, false, false)),
--- a/crates/tallygauge/src/job_cache.rs
+++ b/crates/tallygauge/src/job_cache.rs
@@ -1,4 +1,4 @@
-//! Cache of what this controller has learned of jobs from the key-value store.
+//! Cache of the states of jobs, as this controller last read them from the key-value store.
 
 use crate::user_api::TerminalJobRecord;
 use std::{
@@ -9,24 +9,24 @@
 /// State of a job as last read from the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CachedJob {
-    /// Active; its record had this version when last read.
+    /// The job was active, and its record had this version when last read.
     Active(u64),
-    /// Was active; its record has changed or is gone since.
+    /// The job was active, but its record has changed or has been removed since.
     Stale,
-    /// Done or cancelled, which is final.
+    /// The job is done or cancelled, which is final.
     Terminal(TerminalJobRecord),
 }
 
-/// Bounded cache of job states, first in, first out. Only a terminal state may be
-/// told to a user straight from here: an active job's version is compared with the
-/// store first.
+/// Bounded cache of job states, which evicts the job that was added first. Only a terminal
+/// state may be reported to a user straight from the cache. The version of an active job
+/// has to be checked against the store before.
 pub struct JobCache {
     entries: Mutex<Entries>,
 }
 
 struct Entries {
     jobs: HashMap<String, CachedJob>,
-    /// Ids in the order in which they were added.
+    /// Ids of the cached jobs, in the order in which they were added.
     insertion_order: VecDeque<String>,
     capacity: usize,
 }
@@ -45,7 +45,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Entries> {
-        self.entries.lock().expect("job cache lock")
+        self.entries
+            .lock()
+            .expect("a task that held the lock of the job cache panicked")
     }
 
     /// The cached state of a job.
@@ -60,17 +62,19 @@
         matches!(self.lock().jobs.get(id), Some(CachedJob::Terminal(_)))
     }
 
-    /// Caches the version of an active job's record. A terminal job stays terminal.
+    /// Caches the version of an active job's record. Does nothing if the job is cached as
+    /// terminal.
     pub fn insert_active(&self, id: &str, version: u64) {
         self.lock().insert(id, CachedJob::Active(version));
     }
 
-    /// Caches how a job ended.
+    /// Caches the record of a job that has ended.
     pub fn insert_terminal(&self, id: &str, record: TerminalJobRecord) {
         self.lock().insert(id, CachedJob::Terminal(record));
     }
 
-    /// Caches versions of active jobs' records, of those that are not cached yet.
+    /// Caches versions of active jobs' records, given as pairs of id and version, for those
+    /// jobs that are not cached yet.
     pub fn insert_missing_active<'a>(&self, versions: impl Iterator<Item = (&'a str, u64)>) {
         let mut entries = self.lock();
         for (id, version) in versions {
@@ -80,7 +84,8 @@
         }
     }
 
-    /// Marks an active job whose record no longer has this version.
+    /// Marks an active job as stale if the cache has it with this version, which its record no
+    /// longer has.
     pub fn mark_stale(&self, id: &str, version: u64) {
         let mut entries = self.lock();
         if let Some(job) = entries.jobs.get_mut(id)
--- a/crates/tallygauge/src/job_watch.rs
+++ b/crates/tallygauge/src/job_watch.rs
@@ -1,12 +1,14 @@
-//! Applies records of active jobs, and their changes, to the cluster state.
+//! Applies the records of active jobs, and changes of these records, to the cluster state.
 
 use crate::{store_keys::active_job_id, user_api::ActiveJobRecord};
 use tallygauge_protocol::state::WatchEvent;
 use tallygauge_scheduler::{ClusterState, RangeSet};
 
-/// Adds an active job to the cluster state. `now` and `time_of_day` are the same
-/// instant on the controller's clock and since the epoch, in seconds; `finished` are the
-/// tasks known to be done.
+/// Adds an active job to the cluster state.
+///
+/// - `now` and `time_of_day` are the same instant, in seconds: `now` on the controller's
+///   clock, `time_of_day` since the Unix epoch.
+/// - `finished` contains the tasks that are known to be done.
 pub fn add_job(
     cluster: &mut ClusterState,
     record: ActiveJobRecord,
@@ -20,8 +22,9 @@
     cluster.set_accepted_time_of_day(&id, record.accepted_at);
 }
 
-/// Applies a change of an active job's record to the cluster state: a job was submitted
-/// or changed, or its record was removed because it ended.
+/// Applies a change of an active job's record to the cluster state. The record was written
+/// when the job was submitted or changed, or removed because the job ended. For `now` and
+/// `time_of_day` see [`add_job`].
 pub fn apply_event(cluster: &mut ClusterState, event: WatchEvent, now: f64, time_of_day: f64) {
     match event {
         WatchEvent::Set {
--- a/crates/tallygauge/src/job_watch_loop.rs
+++ b/crates/tallygauge/src/job_watch_loop.rs
@@ -1,5 +1,5 @@
-//! The leader's watch of the active jobs: submissions and cancellations made
-//! through any controller.
+//! The loop in which the leader watches the records of active jobs. It thereby learns of
+//! the submissions and cancellations made through any controller.
 
 use crate::{
     controller::Controller,
@@ -11,20 +11,21 @@
 use tallygauge_scheduler::ClusterState;
 use tallygauge_store::{Listing, RequestPriority, StoreError, WatchOutcome};
 
-/// Watches without events that are answered within the time after which an
+/// Number of successive watches without events that complete within the time after which an
 /// unconfirmed leader is fenced.
-const WATCHES_PER_FENCE: f64 = 6.0;
+const WATCHES_PER_FENCING_TIMEOUT: f64 = 6.0;
 
-/// Watches for as long as the term lasts, from `revision` on.
+/// Watches the records of active jobs from `revision` on. Never returns: the caller drops
+/// the future when the term ends.
 pub async fn run(controller: &Controller, mut revision: u64) {
-    let timeout = Duration::from_secs_f64(controller.fence_s() / WATCHES_PER_FENCE);
+    let timeout = Duration::from_secs_f64(controller.fence_s() / WATCHES_PER_FENCING_TIMEOUT);
     loop {
         let sent_at = controller.now();
         let outcome = controller
             .store
             .watch(ACTIVE_JOB_PREFIX, revision, timeout)
             .await;
-        let followed = match outcome {
+        let watch_result = match outcome {
             Ok(WatchOutcome::Events(response)) => {
                 revision = revision.max(response.revision);
                 apply_events(controller, response, revision, sent_at);
@@ -32,17 +33,17 @@
             }
             Ok(WatchOutcome::Compacted) => relist(controller)
                 .await
-                .map(|listed_at| revision = listed_at),
+                .map(|list_revision| revision = list_revision),
             Err(error) => Err(error),
         };
-        if followed.is_err() {
+        if watch_result.is_err() {
             tokio::time::sleep(controller.store_retry_pause()).await;
         }
     }
 }
 
-/// Applies a watch's events, and records that the cluster state contains every
-/// change up to when the watch was sent.
+/// Applies the events of a watch response, and records that the cluster state contains every
+/// change made before the watch was sent.
 fn apply_events(controller: &Controller, response: WatchResponse, revision: u64, sent_at: f64) {
     let (now, time_of_day) = (controller.now(), controller.time_of_day());
     let has_events = !response.events.is_empty();
@@ -60,8 +61,8 @@
     }
 }
 
-/// Lists the active jobs when the store no longer has the events since the last
-/// watch. Returns the revision of the list.
+/// Replaces the jobs of the cluster state by a list of the active jobs, when the store no
+/// longer has the events since the last watch. Returns the revision of the list.
 async fn relist(controller: &Controller) -> Result<u64, StoreError> {
     let Listing { entries, revision } = controller
         .store
@@ -76,26 +77,27 @@
     Ok(revision)
 }
 
-/// Removes the jobs that are not listed, and adds those that are.
-fn replace_jobs(cluster: &mut ClusterState, rows: Vec<KeyValue>, now: f64, time_of_day: f64) {
+/// Removes the jobs that are not listed, since they have ended, and adds or updates the
+/// listed ones.
+fn replace_jobs(cluster: &mut ClusterState, listed: Vec<KeyValue>, now: f64, time_of_day: f64) {
     let is_listed = |id: &str| {
         let key = active_job_key(id);
-        rows.iter().any(|row| row.key == key)
+        listed.iter().any(|entry| entry.key == key)
     };
-    let terminal: Vec<String> = cluster
+    let ended: Vec<String> = cluster
         .jobs
         .keys()
         .filter(|id| !is_listed(id))
         .cloned()
         .collect();
-    for id in terminal {
+    for id in ended {
         cluster.remove_job(&id, now);
     }
-    for row in rows {
+    for entry in listed {
         let event = WatchEvent::Set {
-            key: row.key,
-            value: row.value,
-            version: row.version,
+            key: entry.key,
+            value: entry.value,
+            version: entry.version,
         };
         job_watch::apply_event(cluster, event, now, time_of_day);
     }
--- a/crates/tallygauge/src/unanswered_polls.rs
+++ b/crates/tallygauge/src/unanswered_polls.rs
@@ -1,80 +1,81 @@
-//! Users that poll a job without getting an answer, and for how long.
+//! Tracks which jobs' polls have not been answered, and since when.
 
 use std::{
     collections::HashMap,
     sync::{Mutex, MutexGuard},
 };
 
-/// Most jobs whose unanswered polls are remembered.
+/// Maximum number of jobs whose unanswered polls are tracked.
 const MAX_POLLED_JOBS: usize = 4096;
 
-/// Jobs that were polled and not answered for yet. Bounded: when it is full, jobs
-/// that nobody polls any more are dropped, and new ones are not remembered.
+/// Jobs that users have polled without a reply so far. The number of jobs is bounded. When
+/// the bound is reached, jobs that are no longer polled are dropped. If none can be dropped,
+/// polls of further jobs are not tracked.
 #[derive(Default)]
 pub struct UnansweredPolls {
-    by_job: Mutex<HashMap<String, UnansweredPoll>>,
+    by_job: Mutex<HashMap<String, PolledJob>>,
 }
 
 /// Times of a job's unanswered polls, in seconds of the controller's clock.
-struct UnansweredPoll {
-    /// The first poll that got no answer.
+struct PolledJob {
+    /// When the first of the unanswered polls arrived.
     unanswered_since: f64,
-    /// The latest poll.
-    last_request_at: f64,
+    /// When the latest poll arrived.
+    last_poll_at: f64,
 }
 
-impl UnansweredPoll {
-    /// Whether the job was polled within the last `expiry_s` seconds. Whoever
-    /// stopped polling was answered by another controller.
-    fn is_waiting(&self, now: f64, expiry_s: f64) -> bool {
-        now - self.last_request_at <= expiry_s
+impl PolledJob {
+    /// Whether the job was polled within the last `expiry_s` seconds. A user who has stopped
+    /// polling is assumed to have been answered by another controller.
+    fn is_still_polled(&self, now: f64, expiry_s: f64) -> bool {
+        now - self.last_poll_at <= expiry_s
     }
 }
 
 impl UnansweredPolls {
-    fn lock(&self) -> MutexGuard<'_, HashMap<String, UnansweredPoll>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<String, PolledJob>> {
         self.by_job
             .lock()
             .expect("a task that held the lock of the unanswered polls panicked")
     }
 
-    /// Records a poll of a job. Returns since when the job's polls have had no
-    /// answer.
+    /// Records a poll of a job. Returns the time since which the job's polls have been
+    /// unanswered.
     pub fn record_poll(&self, id: &str, now: f64, expiry_s: f64) -> f64 {
         let mut by_job = self.lock();
-        if let Some(caller) = by_job.get_mut(id) {
-            if !caller.is_waiting(now, expiry_s) {
-                caller.unanswered_since = now;
+        if let Some(polled_job) = by_job.get_mut(id) {
+            if !polled_job.is_still_polled(now, expiry_s) {
+                polled_job.unanswered_since = now;
             }
-            caller.last_request_at = now;
-            return caller.unanswered_since;
+            polled_job.last_poll_at = now;
+            return polled_job.unanswered_since;
         }
         if by_job.len() >= MAX_POLLED_JOBS {
-            by_job.retain(|_, caller| caller.is_waiting(now, expiry_s));
+            by_job.retain(|_, polled_job| polled_job.is_still_polled(now, expiry_s));
         }
         if by_job.len() < MAX_POLLED_JOBS {
-            let caller = UnansweredPoll {
+            let polled_job = PolledJob {
                 unanswered_since: now,
-                last_request_at: now,
+                last_poll_at: now,
             };
-            by_job.insert(id.to_string(), caller);
+            by_job.insert(id.to_string(), polled_job);
         }
         now
     }
 
-    /// Records that a poll of a job was answered.
+    /// Records that a poll of a job was answered, which ends the tracking of the job.
     pub fn record_reply(&self, id: &str) {
         self.lock().remove(id);
     }
 
-    /// Seconds without an answer of the job that has gone without one for longest,
-    /// of those polled within the last `expiry_s` seconds. `None` if there is none.
+    /// The longest time for which a job's polls have been unanswered, in seconds, among the
+    /// jobs polled within the last `expiry_s` seconds. `None` if there is no such job.
     #[must_use]
     pub fn longest_wait_s(&self, now: f64, expiry_s: f64) -> Option<f64> {
         self.lock()
             .values()
-            .filter(|caller| caller.is_waiting(now, expiry_s))
-            .map(|caller| caller.unanswered_since)
+            .filter(|polled_job| polled_job.is_still_polled(now, expiry_s))
+            .map(|polled_job| polled_job.unanswered_since)
             .min_by(f64::total_cmp)
             .map(|since| now - since)
     }
