--- a/crates/tallygauge/src/version_checks.rs
+++ b/crates/tallygauge/src/version_checks.rs
@@ -1,9 +1,9 @@
-//! Batched version checks: whether keys of the key-value store still have the
-//! versions that this controller knows.
+//! Batched version checks: whether keys of the key-value store still have the versions that
+//! this controller has cached.
 //!
-//! A user may be told the state of an active job only if the store has confirmed
-//! it a moment ago. Many users poll at a time, so checks that arrive together
-//! share one transaction of conditions without writes.
+//! A user may be told the state of an active job only if the store has confirmed it
+//! recently. Since many users poll at the same time, checks that arrive within a short time
+//! share one transaction, which has conditions and no writes.
 
 use crate::controller::Controller;
 use std::{cmp::Ordering, sync::Arc, time::Duration};
@@ -14,34 +14,37 @@
 use tallygauge_store::{RequestPriority, TransactionOutcome};
 use tokio::sync::{Semaphore, mpsc, oneshot};
 
-/// Checks are gathered for as long as this many requests take at the store's
-/// request budget: they use half of the budget at most, however many there are.
+/// Time for which checks are gathered into a batch, in multiples of the interval between
+/// requests at the rate of the store's request budget. At 2, batches use at most half of the
+/// budget, however many checks there are.
 const BATCH_WINDOW_REQUESTS: f64 = 2.0;
 
-/// Longest time for which checks are gathered, seconds.
+/// Maximum time for which checks are gathered into a batch, in seconds.
 const MAX_BATCH_WINDOW_S: f64 = 0.1;
 
-/// Batches that may be under way at a time.
+/// Maximum number of batches that are processed at the same time.
 const MAX_CONCURRENT_BATCHES: usize = 3;
 
-/// Conditions of a batch per write that a transaction may have.
+/// Maximum number of conditions in a batch, in multiples of the number of writes that a
+/// transaction may have.
 const CONDITIONS_PER_WRITE: usize = 4;
 
-/// How long a batch is retried while its callers still wait, seconds.
+/// Time for which a batch is retried, in seconds. It is shorter than the time for which the
+/// callers wait.
 const RETRY_TIMEOUT_S: f64 = POLL_TIMEOUT_S * 0.6;
 
-/// Decides which checks come first: those of the higher priority, and among these
-/// those whose callers have been unanswered for longest.
+/// Order of checks: by the priority of their requests, and among equal priorities by how
+/// long their callers have been unanswered, longest first.
 #[derive(Debug, Clone, Copy)]
 pub struct Urgency {
-    /// Priority of the requests to the store.
+    /// Priority of the check's requests to the store.
     pub priority: RequestPriority,
-    /// Since when the caller has had no answer, in seconds of the controller's clock.
+    /// Time since which the caller has been unanswered, in seconds of the controller's clock.
     pub unanswered_since: f64,
 }
 
 impl Urgency {
-    /// Orders the more urgent first.
+    /// Compares so that the more urgent of the two is ordered first.
     fn compare(&self, other: &Self) -> Ordering {
         self.priority
             .cmp(&other.priority)
@@ -49,12 +52,12 @@
     }
 }
 
-/// One caller's check.
+/// A check requested by one caller.
 struct VersionCheck {
     urgency: Urgency,
     requested_at: f64,
     conditions: Vec<Condition>,
-    /// `None` is sent if the result can't be known.
+    /// Receives `None` if the result could not be determined.
     reply: oneshot::Sender<Option<VersionCheckResult>>,
 }
 
@@ -63,25 +66,26 @@
 pub struct VersionCheckResult {
     /// For each condition, in order, whether it holds.
     pub holds: Vec<bool>,
-    /// When the request to the store was sent, in seconds of the controller's
-    /// clock: the result is no older.
+    /// When the earliest request to the store behind this result was sent, in seconds of the
+    /// controller's clock. The result reflects the store at that time or later.
     pub as_of: f64,
 }
 
-/// Callers' end of the queue of version checks.
+/// The sending end of the queue of version checks, for callers that need a check.
 pub struct VersionChecks {
     queue: mpsc::Sender<VersionCheck>,
 }
 
-/// The end of the queue that is served by [`VersionCheckQueue::serve`].
+/// The receiving end of the queue of version checks. [`VersionCheckQueue::serve`] processes
+/// the checks.
 pub struct VersionCheckQueue {
     incoming: mpsc::Receiver<VersionCheck>,
-    /// Checks that are not part of a batch yet.
+    /// Received checks that are not part of a batch yet.
     waiting: Vec<VersionCheck>,
 }
 
 impl VersionChecks {
-    /// Creates a queue of at most `capacity` checks.
+    /// Creates both ends of a queue that holds at most `capacity` checks.
     #[must_use]
     pub fn new(capacity: usize) -> (Self, VersionCheckQueue) {
         let (queue, incoming) = mpsc::channel(capacity);
@@ -89,8 +93,8 @@
         (Self { queue }, VersionCheckQueue { incoming, waiting })
     }
 
-    /// Checks conditions against the store. `None` if the queue is full or the
-    /// store gave no answer in the time that a user waits.
+    /// Checks conditions against the store. Returns `None` if the queue is full, or if the
+    /// store did not respond within the time for which a user waits.
     pub async fn check(
         &self,
         urgency: Urgency,
@@ -110,7 +114,7 @@
 }
 
 impl VersionCheckQueue {
-    /// Runs checks in batches, for the life of the process.
+    /// Processes checks in batches for as long as the process runs.
     pub async fn serve(mut self, controller: Arc<Controller>) {
         let store_settings = &controller.settings.deployment.store;
         let max_conditions = store_settings.max_writes_per_transaction * CONDITIONS_PER_WRITE;
@@ -134,7 +138,7 @@
             }
             let controller = controller.clone();
             tokio::spawn(async move {
-                run_version_checks(&controller, batch).await;
+                check_batch(&controller, batch).await;
                 drop(permit);
             });
         }
@@ -146,23 +150,22 @@
         }
     }
 
-    /// Drops checks whose callers have gone, or have waited for as long as a user
-    /// does.
+    /// Drops checks whose callers no longer wait, or have waited for as long as a user does.
     fn drop_expired(&mut self, now: f64) {
         self.waiting
             .retain(|check| !check.reply.is_closed() && now - check.requested_at < POLL_TIMEOUT_S);
     }
 }
 
-/// How long checks are gathered before a batch is sent.
+/// Time for which checks are gathered before a batch is sent.
 fn batch_window(controller: &Controller) -> Duration {
     let request_rate = controller.store.budget().request_rate().max(1.0);
     let window_s = BATCH_WINDOW_REQUESTS / request_rate;
     Duration::from_secs_f64(window_s.min(MAX_BATCH_WINDOW_S))
 }
 
-/// Takes the most urgent of the waiting checks, as many as have at most
-/// `max_conditions` conditions together.
+/// Takes the most urgent of the waiting checks, up to the first one with which the batch
+/// would exceed `max_conditions` conditions.
 fn take_most_urgent(waiting: &mut Vec<VersionCheck>, max_conditions: usize) -> Vec<VersionCheck> {
     waiting.sort_by(|a, b| a.urgency.compare(&b.urgency));
     let mut condition_count = 0;
@@ -170,12 +173,13 @@
         condition_count += check.conditions.len();
         condition_count <= max_conditions
     });
-    let fitting = fitting.count();
-    waiting.drain(..fitting).collect()
+    let batch_size = fitting.count();
+    waiting.drain(..batch_size).collect()
 }
 
-/// Runs a batch at the priority of its most important check, and replies to all.
-async fn run_version_checks(controller: &Controller, batch: Vec<VersionCheck>) {
+/// Checks a batch against the store, at the highest priority among its checks, and replies to
+/// every caller.
+async fn check_batch(controller: &Controller, batch: Vec<VersionCheck>) {
     let priorities = batch.iter().map(|check| check.urgency.priority);
     let priority = priorities.min().unwrap_or(RequestPriority::Polls);
     let mut conditions: Vec<Condition> = Vec::new();
@@ -184,7 +188,7 @@
             conditions.push(condition.clone());
         }
     }
-    let failed = failed_conditions(controller, priority, conditions).await;
+    let failed = find_failed_conditions(controller, priority, conditions).await;
     for check in batch {
         let result = failed.as_ref().map(|failed| VersionCheckResult {
             holds: check
@@ -194,22 +198,24 @@
                 .collect(),
             as_of: failed.as_of,
         });
-        // A caller that no longer waits needs no result.
+        // The send fails if the caller no longer waits, which needs no action.
         let _ = check.reply.send(result);
     }
 }
 
-/// Conditions that the store says don't hold.
+/// Conditions that do not hold according to the store.
 struct FailedConditions {
+    /// Keys of the failed conditions.
     keys: Vec<String>,
-    /// When the earliest of the requests behind this was sent.
+    /// When the earliest of the requests to the store was sent, in seconds of the
+    /// controller's clock.
     as_of: f64,
 }
 
-/// Asks the store which of these conditions fail; `None` if that can't be known
-/// while the callers wait. The transactions write nothing, so one whose answer is
-/// lost may be sent again at will.
-async fn failed_conditions(
+/// Asks the store which of the conditions fail. Returns `None` if the store did not determine
+/// it within [`RETRY_TIMEOUT_S`]. The transactions write nothing, so a transaction whose
+/// response is lost can safely be sent again.
+async fn find_failed_conditions(
     controller: &Controller,
     priority: RequestPriority,
     mut conditions: Vec<Condition>,
@@ -219,8 +225,8 @@
         as_of: f64::INFINITY,
     };
     let deadline = controller.now() + RETRY_TIMEOUT_S;
-    // A conflict names conditions that failed, perhaps not all of them: the others
-    // are checked again until they hold.
+    // A conflict may name only some of the conditions that failed. The remaining conditions
+    // are checked again until all of them hold.
     while !conditions.is_empty() {
         let transaction = Transaction {
             conditions: conditions.clone(),
--- a/crates/tallygauge/tests/user_state.rs
+++ b/crates/tallygauge/tests/user_state.rs
@@ -1,4 +1,5 @@
-//! Tests of what a controller remembers between users' requests.
+//! Tests of the state that a controller keeps between users' requests: the job cache, the
+//! unanswered polls, and the task counts read from the leader.
 
 use tallygauge::{
     job_cache::{CachedJob, JobCache},
@@ -9,24 +10,24 @@
 use tallygauge_protocol::users::JobStatus;
 use tallygauge_scheduler::TaskCount;
 
-const DONE: TerminalJobRecord = TerminalJobRecord {
+const DONE_RECORD: TerminalJobRecord = TerminalJobRecord {
     status: JobStatus::Done,
     done: 3,
 };
 
 #[test]
-fn a_terminal_job_never_becomes_active_again() {
+fn a_cached_terminal_job_never_becomes_active_again() {
     let cache = JobCache::new(10);
     cache.insert_active("req-1", 7);
-    cache.insert_terminal("req-1", DONE);
+    cache.insert_terminal("req-1", DONE_RECORD);
     cache.insert_active("req-1", 8);
     cache.mark_stale("req-1", 8);
-    assert_eq!(cache.get("req-1"), Some(CachedJob::Terminal(DONE)));
+    assert_eq!(cache.get("req-1"), Some(CachedJob::Terminal(DONE_RECORD)));
     assert!(cache.is_terminal("req-1"));
 }
 
 #[test]
-fn only_the_version_that_failed_a_check_is_marked_stale() {
+fn a_job_is_marked_stale_only_if_the_failed_version_is_the_cached_one() {
     let cache = JobCache::new(10);
     cache.insert_active("req-1", 7);
     cache.mark_stale("req-1", 6);
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn a_full_job_cache_drops_the_job_added_first() {
+fn a_full_job_cache_evicts_the_job_added_first() {
     let cache = JobCache::new(2);
     for id in ["req-1", "req-2", "req-3"] {
         cache.insert_active(id, 1);
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_caller_waits_from_its_first_unanswered_poll_until_it_is_answered_or_gone() {
+fn a_job_counts_as_unanswered_from_its_first_poll_until_a_reply_or_expiry() {
     let polls = UnansweredPolls::default();
     assert_eq!(polls.record_poll("req-1", 10.0, 5.0), 10.0);
     assert_eq!(polls.record_poll("req-1", 14.0, 5.0), 10.0);
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn task_counts_are_read_for_requested_jobs_and_expire() {
+fn task_counts_are_requested_for_polled_jobs_and_expire() {
     let counts = TaskCountCache::default();
     assert_eq!(counts.get_and_request("req-1"), TaskCount::default());
     assert_eq!(counts.take_requested(), ["req-1"]);
