--- a/crates/tallygauge-scheduler/src/events.rs
+++ b/crates/tallygauge-scheduler/src/events.rs
@@ -4,7 +4,7 @@
 //! [`ClusterState::events`](crate::ClusterState::events), and its caller drains and
 //! logs them.
 
-use crate::model::LeaveReason;
+use crate::model::ReturnReason;
 use std::sync::Arc;
 use tallygauge_health::Evidence;
 use tallygauge_protocol::workers::EndCause;
@@ -30,11 +30,11 @@
         machine: String,
     },
     /// It was decided to return a machine.
-    MachineLeaving {
+    MachineReturnDecided {
         /// Name of the machine.
         machine: String,
         /// Why.
-        reason: LeaveReason,
+        reason: ReturnReason,
     },
     /// An attempt is over because its agent incarnation is.
     AttemptLost {
--- a/crates/tallygauge-scheduler/src/heartbeats.rs
+++ b/crates/tallygauge-scheduler/src/heartbeats.rs
@@ -177,7 +177,7 @@
         } else {
             worker.direct_failures = 0;
         }
-        worker.revoke_leave(&[LeaveReason::BootTimeout, LeaveReason::Silent]);
+        worker.revoke_return(&[ReturnReason::BootTimeout, ReturnReason::Silent]);
         let is_known_incarnation = heartbeat.incarnation == worker.incarnation;
         if heartbeat.incarnation > worker.incarnation {
             self.needs_scheduling = true;
@@ -207,7 +207,7 @@
         self.workers.get(&heartbeat.machine).is_some_and(|worker| {
             worker.fencing_token_seen_at.is_some()
                 && worker.spot_notice_until.is_none()
-                && worker.leaving.is_none()
+                && worker.return_decision.is_none()
                 && is_unchanged(worker, &heartbeat.tasks)
         })
     }
@@ -221,7 +221,7 @@
         if worker.fencing_token_seen_at.is_none() {
             self.needs_direct_message.insert(machine.to_string());
         }
-        if worker.spot_notice_until.is_some() || worker.leaving.is_some() {
+        if worker.spot_notice_until.is_some() || worker.return_decision.is_some() {
             self.stop_unwanted_attempts(machine, now);
         }
     }
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -113,7 +113,9 @@
             if machine.state == MachineState::Running {
                 worker.booted_at.get_or_insert(now);
             }
-            if machine.state == MachineState::Failed && worker.leave(LeaveReason::Failed, now) {
+            if machine.state == MachineState::Failed
+                && worker.decide_return(ReturnReason::Failed, now)
+            {
                 worker.last_dead_incarnation = worker.last_dead_incarnation.max(worker.incarnation);
                 self.end_incarnation(&machine.name, u64::MAX, now);
             }
@@ -161,7 +163,7 @@
             .workers
             .values()
             .filter(|worker| {
-                worker.leaving.is_some()
+                worker.return_decision.is_some()
                     || worker.spot_notice_until.is_some()
                     || self.decommission_reason(worker, now).is_some()
             })
@@ -198,14 +200,14 @@
     }
 
     /// Why a machine should be returned, if it should.
-    fn decommission_reason(&self, worker: &Worker, now: f64) -> Option<LeaveReason> {
+    fn decommission_reason(&self, worker: &Worker, now: f64) -> Option<ReturnReason> {
         let config = &self.config;
         // A new leader has had no heartbeat of any worker yet: that alone does not mean that
         // an old machine never came up.
         if !worker.is_up() && worker.booted_at.is_none() {
             return self
                 .has_boot_timed_out(worker, now)
-                .then_some(LeaveReason::BootTimeout);
+                .then_some(ReturnReason::BootTimeout);
         }
         // Whole zones are cut off for several leases and come back: until then others
         // are rented where work needs them, but none is returned.
@@ -215,20 +217,20 @@
             .max(self.term_started_at);
         let max_silence_s = config.lease_s * SILENT_LEASES;
         if worker.attempts.is_empty() && now - last_contact > max_silence_s {
-            return Some(LeaveReason::Silent);
+            return Some(ReturnReason::Silent);
         }
         // The same holds for those that don't receive: a zone may be cut off in one
         // direction.
         let unreachable_for = worker.reachability.unreachable_for(now);
         if unreachable_for.is_some_and(|s| s > max_silence_s) {
-            return Some(LeaveReason::Unreachable);
+            return Some(ReturnReason::Unreachable);
         }
         if worker.runtime_ratio.count >= SLOW_AFTER_TASKS
             && worker.runtime_ratio.mean() > SLOW_RUNTIME_RATIO
         {
-            return Some(LeaveReason::Slow);
+            return Some(ReturnReason::Slow);
         }
-        has_unconfirmed_cancellation(worker, config, now).then_some(LeaveReason::Unconfirmed)
+        has_unconfirmed_cancellation(worker, config, now).then_some(ReturnReason::Unconfirmed)
     }
 
     /// Whether a machine that never came up has had enough time for it.
@@ -250,15 +252,15 @@
             return;
         };
         if let Some(reason) = reason
-            && worker.leave(reason, now)
+            && worker.decide_return(reason, now)
         {
-            self.events.push(ClusterEvent::MachineLeaving {
+            self.events.push(ClusterEvent::MachineReturnDecided {
                 machine: machine.to_string(),
                 reason,
             });
         }
         self.needs_direct_message.insert(machine.to_string());
-        let (reclaimed_at, leaving) = (worker.spot_notice_until, worker.leaving);
+        let (reclaimed_at, leaving) = (worker.spot_notice_until, worker.return_decision);
         for attempt in &mut worker.attempts {
             if attempt.stop.is_some()
                 || !attempt.occupies_capacity()
@@ -271,7 +273,7 @@
                 if must_stop_before_reclaim(attempt, reclaimed_at, ratio.unwrap_or(1.0), now) {
                     attempt.request_stop(StopReason::SpotNotice, now);
                 }
-            } else if let Some(LeaveDecision { reason, .. }) = leaving
+            } else if let Some(ReturnDecision { reason, .. }) = leaving
                 && must_stop_before_return(attempt, reason)
             {
                 attempt.request_stop(StopReason::Drained, now);
@@ -352,8 +354,8 @@
 
 /// Whether an attempt is to be stopped so that its machine can be returned; else the
 /// machine waits for its end.
-fn must_stop_before_return(attempt: &Attempt, reason: LeaveReason) -> bool {
-    let is_urgent = matches!(reason, LeaveReason::Unconfirmed | LeaveReason::Faulty);
+fn must_stop_before_return(attempt: &Attempt, reason: ReturnReason) -> bool {
+    let is_urgent = matches!(reason, ReturnReason::Unconfirmed | ReturnReason::Faulty);
     let saves_checkpoints = attempt.spec.checkpoint_every_s > 0.0;
     let is_starting = attempt.running_since.is_none();
     saves_checkpoints || is_urgent || is_starting || attempt.spec.shape == Shape::Service
--- a/crates/tallygauge-scheduler/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -7,7 +7,7 @@
 
 /// Why a machine is to be returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeaveReason {
+pub enum ReturnReason {
     /// It has been idle for too long, or is surplus.
     Idle,
     /// Its agent never sent a heartbeat.
@@ -28,9 +28,9 @@
 
 /// A decision to return a machine to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LeaveDecision {
+pub struct ReturnDecision {
     /// Why.
-    pub reason: LeaveReason,
+    pub reason: ReturnReason,
     /// When it was made, in seconds of the leader's steady clock.
     pub at: f64,
 }
@@ -124,7 +124,7 @@
     /// Images that it has or fetches, as far as known.
     pub images: ImageCache,
     /// The decision to return it.
-    pub leaving: Option<LeaveDecision>,
+    pub return_decision: Option<ReturnDecision>,
     /// Whether open work does not need it: it is the last choice for new tasks, and
     /// returned as soon as it is empty.
     pub surplus: bool,
@@ -173,7 +173,7 @@
             orphaned_attempts: Vec::new(),
             free_resources: capacity,
             images: ImageCache::default(),
-            leaving: None,
+            return_decision: None,
             surplus: false,
             return_sent: false,
             direct_message_in_flight: false,
@@ -190,7 +190,7 @@
     pub fn accepts_work(&self, now: f64, config: &Config) -> bool {
         self.incarnation > self.last_dead_incarnation
             && self.fencing_token_seen_at.is_some()
-            && self.leaving.is_none()
+            && self.return_decision.is_none()
             && self.spot_notice_until.is_none()
             && now - self.last_heartbeat_at < config.heartbeat_timeout_s()
             && self
@@ -200,20 +200,22 @@
 
     /// Decides to return the machine, unless that is decided already. Returns
     /// whether the decision is new.
-    pub(crate) fn leave(&mut self, reason: LeaveReason, now: f64) -> bool {
-        if self.leaving.is_some() {
+    pub(crate) fn decide_return(&mut self, reason: ReturnReason, now: f64) -> bool {
+        if self.return_decision.is_some() {
             return false;
         }
-        self.leaving = Some(LeaveDecision { reason, at: now });
+        self.return_decision = Some(ReturnDecision { reason, at: now });
         true
     }
 
     /// Revokes the decision to return the machine if it was made for one of
     /// these reasons and the return was not sent yet.
-    pub(crate) fn revoke_leave(&mut self, reasons: &[LeaveReason]) {
-        let revocable = self.leaving.is_some_and(|l| reasons.contains(&l.reason));
+    pub(crate) fn revoke_return(&mut self, reasons: &[ReturnReason]) {
+        let revocable = self
+            .return_decision
+            .is_some_and(|l| reasons.contains(&l.reason));
         if revocable && !self.return_sent {
-            self.leaving = None;
+            self.return_decision = None;
         }
     }
 
--- a/crates/tallygauge-scheduler/src/reachability.rs
+++ b/crates/tallygauge-scheduler/src/reachability.rs
@@ -61,7 +61,7 @@
     /// What is sent to the worker arrives.
     pub(crate) fn confirm_reachable(&mut self) {
         self.reachability.confirm();
-        self.revoke_leave(&[LeaveReason::Unreachable]);
+        self.revoke_return(&[ReturnReason::Unreachable]);
     }
 }
 
--- a/crates/tallygauge-scheduler/src/scale_in.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -45,7 +45,7 @@
     /// Its name.
     pub name: String,
     /// Why it is returned.
-    pub reason: LeaveReason,
+    pub reason: ReturnReason,
 }
 
 impl ClusterState {
@@ -186,13 +186,13 @@
                     .idle_since
                     .max(self.term_started_at)
                     .max(worker.incarnation_seen_at);
-            if worker.leaving.is_none()
+            if worker.return_decision.is_none()
                 && is_empty
                 && worker.fencing_token_seen_at.is_some()
                 && (idle_s > boot_s * idle_boots || worker.surplus)
             {
-                worker.leaving = Some(LeaveDecision {
-                    reason: LeaveReason::Idle,
+                worker.return_decision = Some(ReturnDecision {
+                    reason: ReturnReason::Idle,
                     at: now,
                 });
             }
@@ -201,16 +201,16 @@
                 .attempts
                 .iter()
                 .any(|a| !a.occupies_capacity() && !a.end_durable);
-            let Some(LeaveDecision { reason, at: since }) = worker.leaving else {
+            let Some(ReturnDecision { reason, at: since }) = worker.return_decision else {
                 continue;
             };
             let is_given_up = match reason {
-                LeaveReason::Unconfirmed => true,
-                LeaveReason::BootTimeout | LeaveReason::Failed => {
+                ReturnReason::Unconfirmed => true,
+                ReturnReason::BootTimeout | ReturnReason::Failed => {
                     now - self.term_started_at > settle_s
                 }
-                LeaveReason::Silent | LeaveReason::Unreachable => now - since > settle_s,
-                LeaveReason::Faulty | LeaveReason::Slow | LeaveReason::Idle => false,
+                ReturnReason::Silent | ReturnReason::Unreachable => now - since > settle_s,
+                ReturnReason::Faulty | ReturnReason::Slow | ReturnReason::Idle => false,
             };
             if is_given_up || (is_empty && !has_unsaved_ends) {
                 returnable.push(ReturnableMachine {
--- a/crates/tallygauge-scheduler/src/task_end.rs
+++ b/crates/tallygauge-scheduler/src/task_end.rs
@@ -142,7 +142,7 @@
         };
         worker.failed_jobs.insert(job_id.to_string());
         if worker.failed_jobs.len() >= FAULTY_AFTER_FAILED_JOBS {
-            worker.leave(LeaveReason::Faulty, now);
+            worker.decide_return(ReturnReason::Faulty, now);
         }
     }
 }
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -19,12 +19,18 @@
     );
     c.advance_time(end - 0.1);
     assert_eq!(
-        (c.workers["sa"].attempts.len(), c.workers["sa"].leaving),
+        (
+            c.workers["sa"].attempts.len(),
+            c.workers["sa"].return_decision
+        ),
         (1, None)
     );
     c.advance_time(end + 0.1);
     assert_eq!(
-        (c.workers["sa"].attempts.len(), c.workers["sa"].leaving),
+        (
+            c.workers["sa"].attempts.len(),
+            c.workers["sa"].return_decision
+        ),
         (0, None)
     );
     // One whose heartbeats show that they go on is returned.
@@ -37,8 +43,8 @@
         c.record_heartbeat_response("sa", &[], now);
         c.advance_time(now);
     }
-    let leaving = c.workers["sa"].leaving.map(|l| l.reason);
-    assert_eq!(leaving, Some(LeaveReason::Unconfirmed));
+    let leaving = c.workers["sa"].return_decision.map(|l| l.reason);
+    assert_eq!(leaving, Some(ReturnReason::Unconfirmed));
 }
 
 /// Machine `sa`, rented long ago, as the machine list shows it.
@@ -60,13 +66,13 @@
     // tasks, as if they had never booted.
     let mut c = cluster(&[], 100.0);
     let old = listed(MachineState::Booting);
-    let leaving = |c: &ClusterState| c.workers["sa"].leaving.map(|l| l.reason);
+    let leaving = |c: &ClusterState| c.workers["sa"].return_decision.map(|l| l.reason);
     c.apply_machine_list(std::slice::from_ref(&old), 100.5, 100.5);
     c.advance_time(101.0);
     assert_eq!(leaving(&c), None);
     c.apply_machine_list(std::slice::from_ref(&old), 125.0, 125.0);
     c.advance_time(125.0);
-    assert_eq!(leaving(&c), Some(LeaveReason::BootTimeout));
+    assert_eq!(leaving(&c), Some(ReturnReason::BootTimeout));
     c.apply_heartbeat(
         126.0,
         &report("sa", 1, 1, TERM, vec![]),
@@ -82,7 +88,7 @@
     let mut c = cluster(&[], 100.0);
     let running = listed(MachineState::Running);
     c.apply_machine_list(&[running], 101.0, 101.0);
-    let leaving = |c: &ClusterState| c.workers["sa"].leaving.map(|l| l.reason);
+    let leaving = |c: &ClusterState| c.workers["sa"].return_decision.map(|l| l.reason);
     for now in [125.0, 150.0, 175.0] {
         c.advance_time(now);
         assert_eq!(leaving(&c), None, "at {now}");
@@ -91,7 +97,7 @@
     c.add_job(spec(1, 2, 1.0), 1, 150.0, &RangeSet::default());
     assert!(!c.rentals(150.0).is_empty());
     c.advance_time(182.0);
-    assert_eq!(leaving(&c), Some(LeaveReason::Silent));
+    assert_eq!(leaving(&c), Some(ReturnReason::Silent));
 }
 
 #[test]
@@ -197,8 +203,8 @@
         c.advance_time(now);
         let slow = |m: &str| {
             c.workers[m]
-                .leaving
-                .is_some_and(|l| l.reason == LeaveReason::Slow)
+                .return_decision
+                .is_some_and(|l| l.reason == ReturnReason::Slow)
         };
         assert!(!slow("l1a"));
         assert_eq!(slow("l2b"), turn == 1, "three times as slow as the other");
--- a/crates/tallygauge-scheduler/src/tests/reachability.rs
+++ b/crates/tallygauge-scheduler/src/tests/reachability.rs
@@ -126,7 +126,7 @@
         if more > 0 {
             last = now;
         }
-        if left_at.is_none() && c.workers["sa"].leaving.is_some() {
+        if left_at.is_none() && c.workers["sa"].return_decision.is_some() {
             left_at = Some(now);
         }
     }
@@ -136,8 +136,8 @@
     let left_at = left_at.expect("it stays unreachable and is returned");
     assert!(left_at < 102.0 + lease * 6.0, "{left_at}");
     assert_eq!(
-        c.workers["sa"].leaving.map(|l| l.reason),
-        Some(LeaveReason::Unreachable)
+        c.workers["sa"].return_decision.map(|l| l.reason),
+        Some(ReturnReason::Unreachable)
     );
     // Its incarnations ended, and its tasks are pending again.
     assert_eq!(c.jobs["req-1"].unfinished(), 3);
@@ -165,7 +165,7 @@
         c.workers["sa"].reachability,
         Reachability::Unreachable { .. }
     ));
-    assert!(c.workers["sa"].leaving.is_some());
+    assert!(c.workers["sa"].return_decision.is_some());
     // It is probed repeatedly, but not with each of its heartbeats.
     let mut probes = 0;
     while now < 260.0 && c.workers["sa"].reachability.needs_probe() {
@@ -177,7 +177,7 @@
         (1..=2).contains(&probes) && now < 222.0,
         "{probes} at {now}"
     );
-    assert_eq!(c.workers["sa"].leaving, None);
+    assert_eq!(c.workers["sa"].return_decision, None);
     assert_eq!(round(&mut c, now).len(), 2);
 }
 
--- a/crates/tallygauge/src/cloud/returns.rs
+++ b/crates/tallygauge/src/cloud/returns.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use std::time::Duration;
 use tallygauge_protocol::cloud::{MAX_MACHINES_PER_RETURN, MachineNames};
-use tallygauge_scheduler::{LeaveReason, ReturnableMachine};
+use tallygauge_scheduler::{ReturnReason, ReturnableMachine};
 use warp::http::{Method, StatusCode};
 
 /// Heartbeat intervals between two searches for surplus machines.
@@ -77,7 +77,7 @@
     let is_sole_leader = controller.holds_unexpired_lease();
     let due = controller.with_cluster(|cluster| {
         let mut due = cluster.machines_to_return(now);
-        due.retain(|machine| is_sole_leader || machine.reason == LeaveReason::Unconfirmed);
+        due.retain(|machine| is_sole_leader || machine.reason == ReturnReason::Unconfirmed);
         due.truncate(MAX_MACHINES_PER_RETURN);
         let names: Vec<String> = due.iter().map(|machine| machine.name.clone()).collect();
         cluster.mark_return_sent(&names);
--- a/crates/tallygauge/src/event_log.rs
+++ b/crates/tallygauge/src/event_log.rs
@@ -52,7 +52,7 @@
         ClusterEvent::AgentRestarted { machine } => {
             tracing::info!(machine, "agent restarted, tasks lost");
         }
-        ClusterEvent::MachineLeaving { machine, reason } => {
+        ClusterEvent::MachineReturnDecided { machine, reason } => {
             tracing::info!(machine, ?reason, "decided to return machine");
         }
         ClusterEvent::AttemptLost { task, machine } => {
