--- a/crates/tallygauge-scheduler/examples/overload/day/settings.rs
+++ b/crates/tallygauge-scheduler/examples/overload/day/settings.rs
@@ -34,8 +34,8 @@
         min_remaining_s: 5.0,
         utility: [1.0, 2.0, 8.0, 16.0],
         late_utility: 0.1,
-        idle_boots: 1.5,
-        horizon_boots: 1.0,
+        idle_timeout_boot_times: 1.5,
+        rental_horizon_boot_times: 1.0,
         class_deadline_s: setup.classes.iter().map(deadline).collect(),
         objectives: setup.classes.iter().map(objective).collect(),
         minimum_share: MinimumShareConfig {
--- a/crates/tallygauge-scheduler/examples/scale.rs
+++ b/crates/tallygauge-scheduler/examples/scale.rs
@@ -36,8 +36,8 @@
         min_remaining_s: 5.0,
         utility: [1.0, 2.0, 8.0, 16.0],
         late_utility: 0.1,
-        idle_boots: 1.5,
-        horizon_boots: 1.0,
+        idle_timeout_boot_times: 1.5,
+        rental_horizon_boot_times: 1.0,
         class_deadline_s: HashMap::new(),
         objectives: HashMap::new(),
         minimum_share: MinimumShareConfig {
--- a/crates/tallygauge-scheduler/src/model/config.rs
+++ b/crates/tallygauge-scheduler/src/model/config.rs
@@ -44,9 +44,9 @@
     /// Part of its utility that a job keeps after its deadline.
     pub late_utility: f64,
     /// Idle time before a machine is returned, in boot times of its type.
-    pub idle_boots: f64,
+    pub idle_timeout_boot_times: f64,
     /// Boot times over which pending work is spread when machines are rented.
-    pub horizon_boots: f64,
+    pub rental_horizon_boot_times: f64,
     /// Soft deadline of the jobs of a class.
     pub class_deadline_s: HashMap<String, f64>,
     /// Service-level objectives, by class.
--- a/crates/tallygauge-scheduler/src/scale_in.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -173,7 +173,7 @@
     /// all that can be returned now: leaving and empty, or given up.
     pub fn machines_to_return(&mut self, now: f64) -> Vec<ReturnableMachine> {
         let mut returnable = Vec::new();
-        let idle_boots = self.config.idle_boots;
+        let idle_timeout_boot_times = self.config.idle_timeout_boot_times;
         let settle_s = 2.0 * self.config.list_lag_s;
         for worker in self.workers.values_mut() {
             let boot_s = self
@@ -189,7 +189,7 @@
             if worker.return_decision.is_none()
                 && is_empty
                 && worker.fencing_token_seen_at.is_some()
-                && (idle_s > boot_s * idle_boots || worker.surplus)
+                && (idle_s > boot_s * idle_timeout_boot_times || worker.surplus)
             {
                 worker.return_decision = Some(ReturnDecision {
                     reason: ReturnReason::Idle,
--- a/crates/tallygauge-scheduler/src/scale_out.rs
+++ b/crates/tallygauge-scheduler/src/scale_out.rs
@@ -175,7 +175,7 @@
     /// same slot.
     fn load_per_task(&self, group: &TaskGroup, machine_type: &MachineType, now: f64) -> f64 {
         let run_s = self.remaining_s(group.job, group.checkpointed_s());
-        let boot_horizon_s = machine_type.boot_s * self.config.horizon_boots;
+        let boot_horizon_s = machine_type.boot_s * self.config.rental_horizon_boot_times;
         let horizon_s = boot_horizon_s.max(MAX_SLACK_SPENT * self.slack_s(group.job, run_s, now));
         (run_s / horizon_s).min(1.0)
     }
--- a/crates/tallygauge/src/scheduler_config.rs
+++ b/crates/tallygauge/src/scheduler_config.rs
@@ -39,8 +39,8 @@
             operator.utility.production,
         ],
         late_utility: operator.late_utility,
-        idle_boots: operator.idle_wait,
-        horizon_boots: operator.rent_horizon,
+        idle_timeout_boot_times: operator.idle_wait,
+        rental_horizon_boot_times: operator.rent_horizon,
         class_deadline_s: deployment
             .objectives
             .iter()
