--- a/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
@@ -270,8 +270,8 @@
             return utility;
         }
         let priority = priority_index(job.spec.priority);
-        let own = self.config.utility[priority];
-        let next = self.config.utility.get(priority + 1).copied();
+        let own = self.config.utility_by_priority[priority];
+        let next = self.config.utility_by_priority.get(priority + 1).copied();
         let next = next.unwrap_or(own * ABOVE_HIGHEST_FACTOR).max(own);
         utility * (next / own).powf(job.boost * MAX_BOOST_FRACTION)
     }
--- a/crates/tallygauge-scheduler/src/mapping/utility.rs
+++ b/crates/tallygauge-scheduler/src/mapping/utility.rs
@@ -34,12 +34,12 @@
     /// Utility of a job's tasks that end at `end`: that of its priority until the
     /// deadline, a small part of it afterwards.
     pub(crate) fn utility(&self, job: &Job, end: f64) -> f64 {
-        let full = self.config.utility[priority_index(job.spec.priority)];
+        let full = self.config.utility_by_priority[priority_index(job.spec.priority)];
         let Some(deadline) = self.deadline_at(job) else {
             return full;
         };
         if end > deadline {
-            full * self.config.late_utility
+            full * self.config.late_utility_factor
         } else {
             full
         }
--- a/crates/tallygauge-scheduler/src/model/config.rs
+++ b/crates/tallygauge-scheduler/src/model/config.rs
@@ -40,9 +40,9 @@
     /// Lower bound of the remaining time in utility per time.
     pub min_remaining_s: f64,
     /// Utility of each priority, lowest first.
-    pub utility: [f64; 4],
+    pub utility_by_priority: [f64; 4],
     /// Part of its utility that a job keeps after its deadline.
-    pub late_utility: f64,
+    pub late_utility_factor: f64,
     /// Idle time before a machine is returned, in boot times of its type.
     pub idle_timeout_boot_times: f64,
     /// Boot times over which pending work is spread when machines are rented.
@@ -122,7 +122,7 @@
     }
 }
 
-/// Index of a priority's utility in [`Config::utility`].
+/// Index of a priority's utility in [`Config::utility_by_priority`].
 #[must_use]
 pub fn priority_index(priority: Priority) -> usize {
     match priority {
--- a/crates/tallygauge/src/scheduler_config.rs
+++ b/crates/tallygauge/src/scheduler_config.rs
@@ -32,13 +32,13 @@
         list_lag_s: deployment.cloud.list_lag_s,
         clock_drift: CLOCK_DRIFT,
         min_remaining_s: operator.min_remaining,
-        utility: [
+        utility_by_priority: [
             operator.utility.low,
             operator.utility.normal,
             operator.utility.high,
             operator.utility.production,
         ],
-        late_utility: operator.late_utility,
+        late_utility_factor: operator.late_utility,
         idle_timeout_boot_times: operator.idle_wait,
         rental_horizon_boot_times: operator.rent_horizon,
         class_deadline_s: deployment
