--- a/crates/tallygauge-scheduler/src/commands.rs
+++ b/crates/tallygauge-scheduler/src/commands.rs
@@ -224,7 +224,7 @@
             return None;
         }
         let is_fenced = self.fencing_token_seen_at.is_some();
-        if !is_fenced && (self.is_up() || !self.attempts.is_empty()) {
+        if !is_fenced && (self.has_reported() || !self.attempts.is_empty()) {
             return Some(MessagePurpose::Fence);
         }
         let is_alive = self.incarnation > self.last_dead_incarnation;
--- a/crates/tallygauge-scheduler/src/fleet_capacity.rs
+++ b/crates/tallygauge-scheduler/src/fleet_capacity.rs
@@ -15,7 +15,7 @@
 impl Worker {
     /// Whether its machine is on its way: rented, and not up yet.
     pub(crate) fn is_booting(&self) -> bool {
-        !self.is_up() && self.return_decision.is_none()
+        !self.has_reported() && self.return_decision.is_none()
     }
 }
 
--- a/crates/tallygauge-scheduler/src/heartbeats.rs
+++ b/crates/tallygauge-scheduler/src/heartbeats.rs
@@ -206,7 +206,7 @@
     fn is_routine(&self, heartbeat: &Heartbeat) -> bool {
         self.workers.get(&heartbeat.machine).is_some_and(|worker| {
             worker.fencing_token_seen_at.is_some()
-                && worker.spot_notice_until.is_none()
+                && worker.spot_reclaim_at.is_none()
                 && worker.return_decision.is_none()
                 && is_unchanged(worker, &heartbeat.tasks)
         })
@@ -221,7 +221,7 @@
         if worker.fencing_token_seen_at.is_none() {
             self.needs_direct_message.insert(machine.to_string());
         }
-        if worker.spot_notice_until.is_some() || worker.return_decision.is_some() {
+        if worker.spot_reclaim_at.is_some() || worker.return_decision.is_some() {
             self.stop_unwanted_attempts(machine, now);
         }
     }
@@ -266,8 +266,8 @@
     /// Takes over the remaining time of a spot notice, which never grows. Returns
     /// whether the notice is new.
     fn update_spot_notice(&mut self, notice_s: Option<f64>, now: f64) -> bool {
-        let is_new = notice_s.is_some() && self.spot_notice_until.is_none();
-        self.spot_notice_until = match (notice_s, self.spot_notice_until) {
+        let is_new = notice_s.is_some() && self.spot_reclaim_at.is_none();
+        self.spot_reclaim_at = match (notice_s, self.spot_reclaim_at) {
             (Some(notice_s), None) => Some(now + notice_s),
             (Some(notice_s), Some(until)) => Some(until.min(now + notice_s)),
             (None, _) => None,
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -164,7 +164,7 @@
             .values()
             .filter(|worker| {
                 worker.return_decision.is_some()
-                    || worker.spot_notice_until.is_some()
+                    || worker.spot_reclaim_at.is_some()
                     || self.decommission_reason(worker, now).is_some()
             })
             .map(|worker| worker.name.clone())
@@ -194,7 +194,7 @@
                 worker.last_dead_incarnation = worker.last_dead_incarnation.max(last);
             }
             self.end_attempts(&machine, now, |attempt| {
-                now > attempt.certain_end(lease_expiry, lease_s)
+                now > attempt.latest_end(lease_expiry, lease_s)
             });
         }
     }
@@ -204,7 +204,7 @@
         let config = &self.config;
         // A new leader has had no heartbeat of any worker yet: that alone does not mean that
         // an old machine never came up.
-        if !worker.is_up() && worker.booted_at.is_none() {
+        if !worker.has_reported() && worker.booted_at.is_none() {
             return self
                 .has_boot_timed_out(worker, now)
                 .then_some(ReturnReason::BootTimeout);
@@ -260,7 +260,7 @@
             });
         }
         self.needs_direct_message.insert(machine.to_string());
-        let (reclaimed_at, leaving) = (worker.spot_notice_until, worker.return_decision);
+        let (reclaimed_at, leaving) = (worker.spot_reclaim_at, worker.return_decision);
         for attempt in &mut worker.attempts {
             if attempt.stop.is_some()
                 || !attempt.occupies_capacity()
@@ -285,7 +285,7 @@
     /// notice; empty for the others, which do not need them.
     fn runtime_ratios_if_reclaimed(&self, machine: &str) -> HashMap<String, f64> {
         let worker = &self.workers[machine];
-        if worker.spot_notice_until.is_none() {
+        if worker.spot_reclaim_at.is_none() {
             return HashMap::new();
         }
         worker
@@ -302,7 +302,7 @@
     #[must_use]
     pub fn cpu_usage(&self) -> CpuUsage {
         let mut usage = CpuUsage::default();
-        for worker in self.workers.values().filter(|w| w.is_up()) {
+        for worker in self.workers.values().filter(|w| w.has_reported()) {
             usage.free += worker.free_resources.cpus;
             for attempt in worker.attempts.iter().filter(|a| a.occupies_capacity()) {
                 let cpus = match attempt.phase {
--- a/crates/tallygauge-scheduler/src/model/attempt.rs
+++ b/crates/tallygauge-scheduler/src/model/attempt.rs
@@ -214,7 +214,7 @@
     /// starts lives for one more lease. A message that is delayed for longer than a
     /// lease, to a machine that restarted meanwhile, is not covered.
     #[must_use]
-    pub fn certain_end(&self, lease_expiry: f64, lease_s: f64) -> f64 {
+    pub fn latest_end(&self, lease_expiry: f64, lease_s: f64) -> f64 {
         match self.start_in_doubt_since {
             _ if self.start_messages_in_flight > 0 => f64::INFINITY,
             Some(since) => lease_expiry.max(since + 2.0 * lease_s),
--- a/crates/tallygauge-scheduler/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -114,7 +114,7 @@
     /// When the last heartbeat arrived.
     pub last_heartbeat_at: f64,
     /// When the cloud reclaims it, after a spot notice.
-    pub spot_notice_until: Option<f64>,
+    pub spot_reclaim_at: Option<f64>,
     /// Attempts on it.
     pub attempts: Vec<Attempt>,
     /// Attempts on it that no leader placed: they are stopped and cleared.
@@ -168,7 +168,7 @@
             fencing_token_seen_at: None,
             lease_renewed_at: f64::NEG_INFINITY,
             last_heartbeat_at: f64::NEG_INFINITY,
-            spot_notice_until: None,
+            spot_reclaim_at: None,
             attempts: Vec::new(),
             orphaned_attempts: Vec::new(),
             free_resources: capacity,
@@ -191,7 +191,7 @@
         self.incarnation > self.last_dead_incarnation
             && self.fencing_token_seen_at.is_some()
             && self.return_decision.is_none()
-            && self.spot_notice_until.is_none()
+            && self.spot_reclaim_at.is_none()
             && now - self.last_heartbeat_at < config.heartbeat_timeout_s()
             && self
                 .reachability
@@ -221,7 +221,7 @@
 
     /// Whether it has reported to this leader.
     #[must_use]
-    pub fn is_up(&self) -> bool {
+    pub fn has_reported(&self) -> bool {
         self.incarnation > 0
     }
 }
--- a/crates/tallygauge-scheduler/src/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/pending_reasons.rs
@@ -217,9 +217,9 @@
                 counts.usable += 1;
                 let fits = worker.free_resources.can_fit(&job.spec);
                 counts.with_free_resources += usize::from(fits);
-            } else if worker.return_decision.is_some() || worker.spot_notice_until.is_some() {
+            } else if worker.return_decision.is_some() || worker.spot_reclaim_at.is_some() {
                 counts.leaving += 1;
-            } else if !worker.is_up() {
+            } else if !worker.has_reported() {
                 counts.booting += 1;
             }
         }
--- a/crates/tallygauge-scheduler/src/scale_out.rs
+++ b/crates/tallygauge-scheduler/src/scale_out.rs
@@ -114,12 +114,12 @@
         let Some(machine_type) = self.machine_types.get(&worker.machine_type) else {
             return false;
         };
-        let stays = worker.return_decision.is_none() && worker.spot_notice_until.is_none();
+        let stays = worker.return_decision.is_none() && worker.spot_reclaim_at.is_none();
         let thresholds = self.config.reachability_thresholds();
         if !stays || !worker.reachability.accepts_work(now, &thresholds) {
             return false;
         }
-        if worker.is_up() {
+        if worker.has_reported() {
             now - worker.last_heartbeat_at < self.config.lease_s
         } else {
             now - worker.rented_at < machine_type.boot_s * MAX_BOOT_TIMES
@@ -232,7 +232,7 @@
                         *relocatable.cpus_by_job.entry(id).or_default() += attempt.spec.cpus;
                     }
                 }
-                _ if worker.return_decision.is_none() && worker.spot_notice_until.is_none() => {
+                _ if worker.return_decision.is_none() && worker.spot_reclaim_at.is_none() => {
                     relocatable.free_small_cpus += worker.free_resources.cpus;
                 }
                 _ => {}
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -65,7 +65,11 @@
         tasks_running = running_tasks(cluster),
         tasks_pending = pending_tasks(cluster),
         machines = cluster.workers.len(),
-        machines_up = cluster.workers.values().filter(|w| w.is_up()).count(),
+        machines_up = cluster
+            .workers
+            .values()
+            .filter(|w| w.has_reported())
+            .count(),
         cpus_starting = cpus.starting,
         cpus_fetching = cpus.fetching,
         cpus_running = cpus.running,
--- a/crates/tallygauge/src/worker_api.rs
+++ b/crates/tallygauge/src/worker_api.rs
@@ -74,7 +74,7 @@
         cluster
             .workers
             .values()
-            .any(|worker| worker.is_up() || !worker.attempts.is_empty())
+            .any(|worker| worker.has_reported() || !worker.attempts.is_empty())
     })
 }
 
