--- a/crates/tallygauge-scheduler/src/cluster_state.rs
+++ b/crates/tallygauge-scheduler/src/cluster_state.rs
@@ -71,7 +71,7 @@
 
     // Placements and their records.
     /// Number of the newest attempt.
-    pub(crate) last_attempt: u64,
+    pub(crate) last_attempt_number: u64,
     /// Number of the newest placement batch of this term.
     pub(crate) last_batch_number: u64,
     /// Attempts that are to go into the next placement batches.
@@ -132,7 +132,7 @@
             tombstones: Tombstones::new(MAX_TOMBSTONES, config.lease_s * TOMBSTONE_LEASES),
             quota_usage: vec![QuotaUsage::default(); config.teams.len()],
             runtime_ratios: HashMap::new(),
-            last_attempt: attempt_before_first(config.term),
+            last_attempt_number: number_before_first_attempt(config.term),
             last_batch_number: 0,
             unbatched_attempts: Vec::new(),
             live_attempts_by_batch: BTreeMap::new(),
--- a/crates/tallygauge-scheduler/src/model/attempt.rs
+++ b/crates/tallygauge-scheduler/src/model/attempt.rs
@@ -247,9 +247,9 @@
 /// Bits of an attempt's number below the term. The term is part of the number, so
 /// that numbers never repeat; terms and attempts stay exact integers in any JSON
 /// reader.
-pub(crate) const ATTEMPT_BITS: u32 = 28;
+pub(crate) const ATTEMPT_SEQUENCE_BITS: u32 = 28;
 
 /// The number before that of a term's first attempt.
-pub(crate) fn attempt_before_first(term: u64) -> u64 {
-    (term << ATTEMPT_BITS) + 1
+pub(crate) fn number_before_first_attempt(term: u64) -> u64 {
+    (term << ATTEMPT_SEQUENCE_BITS) + 1
 }
--- a/crates/tallygauge-scheduler/src/placements.rs
+++ b/crates/tallygauge-scheduler/src/placements.rs
@@ -143,15 +143,15 @@
 
     /// A new attempt's number. Numbers never repeat, as the term is part of them.
     pub(crate) fn next_attempt(&mut self) -> u64 {
-        self.last_attempt += 1;
-        self.last_attempt
+        self.last_attempt_number += 1;
+        self.last_attempt_number
     }
 
     /// Whether the attempt numbers of this term are used up: the leader must step
     /// down.
     #[must_use]
     pub fn attempts_exhausted(&self) -> bool {
-        self.last_attempt >> ATTEMPT_BITS > self.config.term
+        self.last_attempt_number >> ATTEMPT_SEQUENCE_BITS > self.config.term
     }
 
     /// Takes the attempts that were placed or adopted and are not durable yet, as
--- a/crates/tallygauge-scheduler/src/tests/placement_batches.rs
+++ b/crates/tallygauge-scheduler/src/tests/placement_batches.rs
@@ -8,8 +8,8 @@
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
     let mut next = config();
     next.term += 1;
-    let first_of_next = ClusterState::new(next, 100.0, 16, 4096).last_attempt;
-    c.last_attempt = first_of_next - 4;
+    let first_of_next = ClusterState::new(next, 100.0, 16, 4096).last_attempt_number;
+    c.last_attempt_number = first_of_next - 4;
     c.run_round(100.0, true);
     assert!(!c.attempts_exhausted());
     assert!(
--- a/crates/tallygauge-scheduler/src/tests/recovery.rs
+++ b/crates/tallygauge-scheduler/src/tests/recovery.rs
@@ -126,7 +126,7 @@
         ]
     );
     assert!(
-        cluster.last_attempt > attempts[4].2,
+        cluster.last_attempt_number > attempts[4].2,
         "attempts never repeat"
     );
 
