--- a/crates/tallygauge-scheduler/examples/overload/day/mod.rs
+++ b/crates/tallygauge-scheduler/examples/overload/day/mod.rs
@@ -136,7 +136,7 @@
             self.deliver(&message, now);
         }
         self.record_completions(now);
-        let flush = self.cluster.next_flush(24, 49_152);
+        let flush = self.cluster.next_progress_flush(24, 49_152);
         if let Some(flush) = flush.filter(|_| step.is_multiple_of(4)) {
             self.cluster.record_flushed(&flush, 1);
         }
@@ -183,7 +183,7 @@
     }
 
     fn record_completions(&mut self, now: f64) {
-        for done in self.cluster.completions(10_000, &BTreeSet::new()) {
+        for done in self.cluster.job_completions(10_000, &BTreeSet::new()) {
             self.cluster.remove_job(&done.job, now);
             if let Some(facts) = self.jobs.get_mut(&done.job) {
                 facts.done_at = Some(now);
--- a/crates/tallygauge-scheduler/examples/scale.rs
+++ b/crates/tallygauge-scheduler/examples/scale.rs
@@ -214,10 +214,10 @@
             self.heartbeats.push(took);
         }
         self.run_round(step, now);
-        for done in self.cluster.completions(1000, &BTreeSet::new()) {
+        for done in self.cluster.job_completions(1000, &BTreeSet::new()) {
             self.cluster.remove_job(&done.job, now);
         }
-        let flush = self.cluster.next_flush(24, 49_152);
+        let flush = self.cluster.next_progress_flush(24, 49_152);
         if let Some(flush) = flush.filter(|_| step.is_multiple_of(16)) {
             self.cluster.record_flushed(&flush, 1);
         }
--- a/crates/tallygauge-scheduler/src/lib.rs
+++ b/crates/tallygauge-scheduler/src/lib.rs
@@ -45,7 +45,7 @@
 pub use model::*;
 pub use pending_reasons::{PendingExplanation, PendingReason};
 pub use placements::{JobVersion, PlacementBatch};
-pub use progress::{Completion, Flush};
+pub use progress::{JobCompletion, ProgressFlush};
 pub use range_set::RangeSet;
 pub use scale_in::ReturnableMachine;
 pub use scale_out::Rental;
--- a/crates/tallygauge-scheduler/src/progress.rs
+++ b/crates/tallygauge-scheduler/src/progress.rs
@@ -9,7 +9,7 @@
 
 /// A job whose tasks are all completed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Completion {
+pub struct JobCompletion {
     /// Id of the job.
     pub job: String,
     /// Version of its record.
@@ -20,7 +20,7 @@
 
 /// Completed tasks to be made durable in one transaction.
 #[derive(Debug, Clone)]
-pub struct Flush {
+pub struct ProgressFlush {
     /// Pages to be written.
     pub pages: PageFlush,
     /// Completed tasks of each changed chunk, as the pages have them.
@@ -31,13 +31,17 @@
     /// Completed jobs whose completion is not durable, at most `limit`, without those
     /// `in_flight`, whose record is being written.
     #[must_use]
-    pub fn completions(&self, limit: usize, in_flight: &BTreeSet<String>) -> Vec<Completion> {
+    pub fn job_completions(
+        &self,
+        limit: usize,
+        in_flight: &BTreeSet<String>,
+    ) -> Vec<JobCompletion> {
         self.jobs_with_unsaved_progress
             .iter()
             .filter_map(|id| self.jobs.get(id))
             .filter(|job| job.is_complete() && !in_flight.contains(&job.spec.id))
             .take(limit)
-            .map(|job| Completion {
+            .map(|job| JobCompletion {
                 job: job.spec.id.clone(),
                 version: job.version,
                 tasks: job.spec.tasks,
@@ -47,7 +51,11 @@
 
     /// Progress of jobs that are not complete, as much as `max_pages` and `max_bytes`
     /// allow; nothing if all is durable.
-    pub fn next_flush(&mut self, max_pages: usize, max_bytes: usize) -> Option<Flush> {
+    pub fn next_progress_flush(
+        &mut self,
+        max_pages: usize,
+        max_bytes: usize,
+    ) -> Option<ProgressFlush> {
         let mut changed: Vec<ChunkId> = Vec::new();
         for id in &self.jobs_with_unsaved_progress {
             if let Some(job) = self.jobs.get(id).filter(|j| !j.is_complete()) {
@@ -76,11 +84,11 @@
             .iter()
             .map(|id| (id.clone(), content(id)))
             .collect();
-        Some(Flush { pages, chunks })
+        Some(ProgressFlush { pages, chunks })
     }
 
     /// A flush succeeded at `revision`: workers may forget its tasks.
-    pub fn record_flushed(&mut self, flush: &Flush, revision: u64) {
+    pub fn record_flushed(&mut self, flush: &ProgressFlush, revision: u64) {
         for write in &flush.pages.writes {
             self.completion_pages.mark_written(write, revision);
         }
--- a/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
+++ b/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
@@ -41,7 +41,7 @@
         &report("sa", 1, 5, TERM, vec![done.clone()]),
         HeartbeatSource::Periodic,
     );
-    assert_eq!(c.completions(9, &BTreeSet::new()).len(), 1);
+    assert_eq!(c.job_completions(9, &BTreeSet::new()).len(), 1);
     c.remove_job("req-1", 110.0);
     assert!(c.commands("sa", 110.0).is_empty(), "must not be cleared");
     // Absent from a heartbeat it still holds its capacity, being in doubt.
--- a/crates/tallygauge-scheduler/src/tests/start_deadline.rs
+++ b/crates/tallygauge-scheduler/src/tests/start_deadline.rs
@@ -149,11 +149,11 @@
                 HeartbeatSource::Periodic,
             );
         }
-        if let Some(flush) = cluster.next_flush(9, 60_000) {
+        if let Some(flush) = cluster.next_progress_flush(9, 60_000) {
             cluster.record_flushed(&flush, 1);
         }
         let over: Vec<String> = cluster
-            .completions(99, &BTreeSet::new())
+            .job_completions(99, &BTreeSet::new())
             .into_iter()
             .map(|d| d.job)
             .collect();
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -14,7 +14,7 @@
     state::{Condition, Transaction, Write},
     users::JobStatus,
 };
-use tallygauge_scheduler::{Completion, Flush, PageWrite};
+use tallygauge_scheduler::{JobCompletion, PageWrite, ProgressFlush};
 use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
 /// Heartbeat intervals after which completed jobs and finished tasks are looked for
@@ -51,7 +51,7 @@
                 biased;
                 () = &mut wait => break,
                 Some(answered) = in_flight.next(), if !in_flight.is_empty() => {
-                    let answered: Vec<Completion> = answered;
+                    let answered: Vec<JobCompletion> = answered;
                     for completion in answered {
                         in_flight_jobs.remove(&completion.job);
                     }
@@ -60,7 +60,7 @@
         }
         while in_flight.len() < MAX_IN_FLIGHT {
             let due = controller
-                .with_cluster(|cluster| cluster.completions(max_jobs, &in_flight_jobs))
+                .with_cluster(|cluster| cluster.job_completions(max_jobs, &in_flight_jobs))
                 .unwrap_or_default();
             if due.is_empty() {
                 break;
@@ -80,7 +80,7 @@
         tokio::time::sleep(pause).await;
         resolve_pages_in_doubt(controller).await;
         let flush = controller
-            .with_cluster(|cluster| cluster.next_flush(max_writes, VALUE_BYTES))
+            .with_cluster(|cluster| cluster.next_progress_flush(max_writes, VALUE_BYTES))
             .flatten();
         if let Some(flush) = flush {
             commit_pages(controller, term_condition, &flush).await;
@@ -92,8 +92,8 @@
 async fn commit_completions(
     controller: &Controller,
     term_condition: &Condition,
-    completions: Vec<Completion>,
-) -> Vec<Completion> {
+    completions: Vec<JobCompletion>,
+) -> Vec<JobCompletion> {
     let transaction = completion_transaction(term_condition, &completions);
     let result = controller
         .store
@@ -114,7 +114,10 @@
 /// The transaction that replaces the active records of jobs by terminal ones. It is
 /// conditioned on the active records, as a cancellation is, so that only one of the two
 /// is committed; for the same reason it may be sent several times.
-fn completion_transaction(term_condition: &Condition, completions: &[Completion]) -> Transaction {
+fn completion_transaction(
+    term_condition: &Condition,
+    completions: &[JobCompletion],
+) -> Transaction {
     let mut transaction = new_transaction(term_condition);
     for completion in completions {
         let record = TerminalJobRecord {
@@ -134,7 +137,7 @@
 }
 
 /// Removes jobs whose completion was committed from the cluster state.
-fn record_completions(controller: &Controller, completions: &[Completion]) {
+fn record_completions(controller: &Controller, completions: &[JobCompletion]) {
     let now = controller.now();
     for completion in completions {
         let job = &completion.job;
@@ -153,7 +156,7 @@
 /// unanswered attempt to complete them was executed.
 fn drop_jobs_without_record(
     controller: &Controller,
-    completions: &[Completion],
+    completions: &[JobCompletion],
     failed_keys: &[String],
 ) {
     let now = controller.now();
@@ -183,7 +186,7 @@
 }
 
 /// Commits a flush of completion pages and records its outcome.
-async fn commit_pages(controller: &Controller, term_condition: &Condition, flush: &Flush) {
+async fn commit_pages(controller: &Controller, term_condition: &Condition, flush: &ProgressFlush) {
     if flush.pages.writes.is_empty() {
         return;
     }
