--- a/crates/tallygauge-scheduler/src/mapping/mod.rs
+++ b/crates/tallygauge-scheduler/src/mapping/mod.rs
@@ -165,7 +165,7 @@
             return;
         };
         if let Some(machine_type) = self.machine_types.get(&worker.machine_type) {
-            worker.images.request(&spec, machine_type, now);
+            worker.images.request_for(&spec, machine_type, now);
         }
         let mut attempt = Attempt::new(spec, start.task, number, worker.incarnation, now);
         attempt.checkpointed_s = start.checkpointed_s;
--- a/crates/tallygauge-scheduler/src/mapping/round_state.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round_state.rs
@@ -292,7 +292,7 @@
         let machine_type = self.types[slot.type_index];
         slot.images
             .to_mut()
-            .request(&job.spec, machine_type, self.now);
+            .request_for(&job.spec, machine_type, self.now);
         self.touched_slots.push(slot_index);
     }
 
--- a/crates/tallygauge-scheduler/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -262,19 +262,19 @@
 
     /// A task that needs the image is placed: the image is fetched unless it is
     /// cached.
-    pub(crate) fn request(&mut self, spec: &JobSpec, t: &MachineType, now: f64) {
-        let fetch = self.fetch_s(&spec.image, spec.image_gb, t.fetch_gb_per_s, now);
+    pub(crate) fn request_for(&mut self, spec: &JobSpec, machine_type: &MachineType, now: f64) {
+        let fetch = self.fetch_s(&spec.image, spec.image_gb, machine_type.fetch_gb_per_s, now);
         if fetch > 0.0 {
             self.fetching
                 .entry(spec.image.clone())
                 .or_insert(now + fetch);
         }
-        self.mark_used(&spec.image, spec.image_gb, t.cache_gb);
+        self.mark_used(&spec.image, spec.image_gb, machine_type.cache_gb);
     }
 
     /// A task fetches an image. If it was believed to be cached, it is complete at
     /// `fetched_at` at the earliest.
-    pub(crate) fn note_missing(&mut self, image: &str, fetched_at: f64) {
+    pub(crate) fn record_fetch(&mut self, image: &str, fetched_at: f64) {
         if !self.fetching.contains_key(image) {
             self.fetching.insert(image.to_string(), fetched_at);
         }
--- a/crates/tallygauge-scheduler/src/task_status.rs
+++ b/crates/tallygauge-scheduler/src/task_status.rs
@@ -136,7 +136,7 @@
             let gb_per_s =
                 machine_type.map_or(f64::MAX, |t| t.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S));
             let fetched_at = now + spec.image_gb / gb_per_s;
-            worker.images.note_missing(&spec.image, fetched_at);
+            worker.images.record_fetch(&spec.image, fetched_at);
         }
         let is_running = matches!(state, TaskState::Running | TaskState::Saving);
         if is_running && attempt.running_since.is_none() {
--- a/crates/tallygauge-scheduler/src/tests/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/tests/image_locality.rs
@@ -168,7 +168,7 @@
             let best = names.iter().filter(|n| on.get(*n).copied().unwrap_or(0) < 5);
             let best = best.min_by(|a, b| cost(a).total_cmp(&cost(b)).then(a.cmp(b))).unwrap();
             *on.entry(*best).or_default() += 1;
-            images.get_mut(*best).unwrap().images.request(&model(1, 1), &of_type, 100.0);
+            images.get_mut(*best).unwrap().images.request_for(&model(1, 1), &of_type, 100.0);
             expected.push(((*best).to_string(), n));
         }
         let real: Vec<(String, u32)> = round(&mut cluster, 100.0).into_iter().map(|p| (p.2, p.1)).collect();
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -125,7 +125,7 @@
     assert_eq!(fetch(&c, &first, 103.0), 0.0);
     assert_eq!(fetch(&c, other, 103.0), 2.5);
     let w = c.workers.get_mut(other).unwrap();
-    w.images.request(&s, t, 103.0);
+    w.images.request_for(&s, t, 103.0);
     assert_eq!(fetch(&c, other, 104.0), 1.5, "under way is not there");
     // The fetch is cancelled with the last task that needs the image.
     c.workers
--- a/crates/tallygauge-scheduler/src/tests/plain_model.rs
+++ b/crates/tallygauge-scheduler/src/tests/plain_model.rs
@@ -116,7 +116,7 @@
         let w = self.workers.get_mut(&name).unwrap();
         let t = types();
         let t = t.iter().find(|t| t.name == w.machine_type).unwrap();
-        w.images.request(&job.spec, t, self.now);
+        w.images.request_for(&job.spec, t, self.now);
         self.out.push((id, index, name));
     }
 
