--- a/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
+++ b/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
@@ -15,7 +15,7 @@
         c.take_direct_messages(100.0, 0.0).is_empty(),
         "while it is in flight"
     );
-    let carried = start_of(&c, "sb", 100.5);
+    let carried = start_commands(&c, "sb", 100.5);
     assert_eq!(carried.len(), 1);
     let commands = c.commands("sb", 100.5);
     c.record_heartbeat_response("sb", &commands, 100.5);
@@ -34,11 +34,11 @@
     let message = c.take_direct_messages(100.0, 1.0).remove(0);
     assert_eq!(message.started_attempts.len(), 1);
     c.record_direct_message_result(&message, false, false, 104.0);
-    let (name, attempt) = start_of(&c, "sa", 104.0).remove(0);
+    let (name, attempt) = start_commands(&c, "sa", 104.0).remove(0);
     let done = task(&name, attempt, TaskState::Ended, Some(EndCause::Done));
     c.apply_heartbeat(
         110.0,
-        &report("sa", 1, 5, TERM, vec![done.clone()]),
+        &heartbeat_from("sa", 1, 5, TERM, vec![done.clone()]),
         HeartbeatSource::Periodic,
     );
     assert_eq!(c.job_completions(9, &BTreeSet::new()).len(), 1);
@@ -47,14 +47,14 @@
     // Absent from a heartbeat it still holds its capacity, being in doubt.
     c.apply_heartbeat(
         111.0,
-        &report("sa", 1, 6, TERM, vec![]),
+        &heartbeat_from("sa", 1, 6, TERM, vec![]),
         HeartbeatSource::Periodic,
     );
     assert_eq!(c.workers["sa"].attempts.len(), 1);
     // The next incarnation does not know it, and refuses a late start.
     c.apply_heartbeat(
         140.0,
-        &report("sa", 2, 1, TERM, vec![]),
+        &heartbeat_from("sa", 2, 1, TERM, vec![]),
         HeartbeatSource::Periodic,
     );
     assert!(c.workers["sa"].attempts.is_empty());
@@ -66,7 +66,7 @@
 )]
 #[test]
 fn restored_attempts_hold_capacity_until_certainly_over() {
-    let record = left_record();
+    let record = earlier_leader_batch();
     let fresh = || {
         let mut c = cluster(&["l1a"], 100.0);
         c.add_job(spec(1, 1, 1.0), 1, 90.0, &RangeSet::default());
@@ -77,13 +77,13 @@
     let mut c = fresh();
     c.apply_heartbeat(
         101.0,
-        &report("sa", 1, 4, TERM - 1, vec![]),
+        &heartbeat_from("sa", 1, 4, TERM - 1, vec![]),
         HeartbeatSource::Periodic,
     );
     assert!(round(&mut c, 101.0).is_empty());
     c.apply_heartbeat(
         102.0,
-        &report("sa", 1, 5, TERM, vec![]),
+        &heartbeat_from("sa", 1, 5, TERM, vec![]),
         HeartbeatSource::Periodic,
     );
     assert_eq!(round(&mut c, 102.0).len(), 1);
@@ -92,13 +92,13 @@
     let mut c = fresh();
     c.apply_heartbeat(
         101.0,
-        &report("sa", 2, 1, TERM - 1, vec![]),
+        &heartbeat_from("sa", 2, 1, TERM - 1, vec![]),
         HeartbeatSource::Periodic,
     );
     assert!(round(&mut c, 101.0).is_empty());
     c.apply_heartbeat(
         102.0,
-        &report("sa", 2, 2, TERM, vec![]),
+        &heartbeat_from("sa", 2, 2, TERM, vec![]),
         HeartbeatSource::Periodic,
     );
     assert_eq!(round(&mut c, 102.0).len(), 1);
@@ -110,7 +110,7 @@
     for (incarnation, sequence) in [(1, 5), (2, 1)] {
         c.apply_heartbeat(
             102.0,
-            &report("sa", incarnation, sequence, TERM, vec![]),
+            &heartbeat_from("sa", incarnation, sequence, TERM, vec![]),
             HeartbeatSource::Periodic,
         );
     }
@@ -124,7 +124,7 @@
     for now in [110.0, 125.0, bound] {
         c.apply_heartbeat(
             now,
-            &report("l1a", 1, now as u64, TERM, vec![]),
+            &heartbeat_from("l1a", 1, now as u64, TERM, vec![]),
             HeartbeatSource::Periodic,
         );
         c.advance_time(now);
@@ -132,7 +132,7 @@
     }
     c.apply_heartbeat(
         bound + 2.0,
-        &report("l1a", 1, 900, TERM, vec![]),
+        &heartbeat_from("l1a", 1, 900, TERM, vec![]),
         HeartbeatSource::Periodic,
     );
     c.advance_time(bound + 2.0);
@@ -177,14 +177,14 @@
     });
     c.apply_heartbeat(
         100.6,
-        &report("sa", 1, 5, TERM, vec![]),
+        &heartbeat_from("sa", 1, 5, TERM, vec![]),
         HeartbeatSource::DirectReply,
     );
     assert!(c.jobs["req-1"].resumable.is_empty() && c.jobs["req-1"].pending.is_empty());
     // The next heartbeat is sent only after that response arrived or timed out.
     c.apply_heartbeat(
         101.0,
-        &report("sa", 1, 6, TERM, vec![]),
+        &heartbeat_from("sa", 1, 6, TERM, vec![]),
         HeartbeatSource::Periodic,
     );
     assert_eq!(c.jobs["req-1"].pending.len(), 1);
@@ -196,7 +196,7 @@
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
-    let running: Vec<TaskStatus> = start_of(&c, "sa", 100.0)
+    let running: Vec<TaskStatus> = start_commands(&c, "sa", 100.0)
         .iter()
         .map(|h| task(&h.0, h.1, TaskState::Running, None))
         .collect();
@@ -205,7 +205,7 @@
         seq += 1;
         c.apply_heartbeat(
             100.0 + seq as f64,
-            &report("sa", 1, seq, TERM, tasks.to_vec()),
+            &heartbeat_from("sa", 1, seq, TERM, tasks.to_vec()),
             HeartbeatSource::Periodic,
         );
         c.workers["sa"].last_heartbeat_at == 100.0 + seq as f64
--- a/crates/tallygauge-scheduler/src/tests/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/tests/image_locality.rs
@@ -42,7 +42,7 @@
     for (seq, name) in (1..).zip(names) {
         cluster.apply_heartbeat(
             200.0,
-            &report(name, 1, seq, TERM, vec![]),
+            &heartbeat_from(name, 1, seq, TERM, vec![]),
             HeartbeatSource::Periodic,
         );
     }
@@ -60,11 +60,11 @@
         [("req-1".to_string(), 0, "l-3".to_string())]
     );
     // A wrong belief costs seconds: the report that shows the fetch corrects it.
-    let attempt = start_of(&cluster, "l-3", 200.0)[0].1;
+    let attempt = start_commands(&cluster, "l-3", 200.0)[0].1;
     let fetching = vec![task("req-1/0", attempt, TaskState::Fetching, None)];
     cluster.apply_heartbeat(
         201.0,
-        &report("l-3", 1, 9, TERM, fetching),
+        &heartbeat_from("l-3", 1, 9, TERM, fetching),
         HeartbeatSource::Periodic,
     );
     let images = &cluster.workers["l-3"].images;
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -8,7 +8,7 @@
     // returned whole zones that were cut off, with all that ran there, since
     // nothing confirmed that those attempts had stopped.
     let mut c = cluster(&[], 100.0);
-    c.restore_placements("2-7", &left_record(), 100.0, 0.0);
+    c.restore_placements("2-7", &earlier_leader_batch(), 100.0, 0.0);
     let stop = c.workers["sa"].attempts[0].stop.map(|s| s.reason);
     assert_eq!(stop, Some(StopReason::Cancelled));
     c.apply_machine_list(&[listed(MachineState::Running)], 101.0, 101.0);
@@ -35,10 +35,10 @@
     );
     // One whose heartbeats show that they go on is returned.
     let mut c = cluster(&[], 100.0);
-    c.restore_placements("2-7", &left_record(), 100.0, 0.0);
+    c.restore_placements("2-7", &earlier_leader_batch(), 100.0, 0.0);
     for (seq, now) in [110.0, 120.0, 129.0].into_iter().enumerate() {
         let runs = vec![task("req-1/0", 77, TaskState::Running, None)];
-        let told = report("sa", 1, seq as u64 + 1, TERM, runs);
+        let told = heartbeat_from("sa", 1, seq as u64 + 1, TERM, runs);
         c.apply_heartbeat(now, &told, HeartbeatSource::Periodic);
         c.record_heartbeat_response("sa", &[], now);
         c.advance_time(now);
@@ -75,7 +75,7 @@
     assert_eq!(leaving(&c), Some(ReturnReason::BootTimeout));
     c.apply_heartbeat(
         126.0,
-        &report("sa", 1, 1, TERM, vec![]),
+        &heartbeat_from("sa", 1, 1, TERM, vec![]),
         HeartbeatSource::Periodic,
     );
     assert_eq!(leaving(&c), None, "it lives after all");
@@ -107,11 +107,11 @@
     let mut c = cluster(&["sa", "s2b"], 100.0);
     c.add_job(spec(1, 1, 1.0), 1, 90.0, &RangeSet::default());
     let first = round(&mut c, 100.0).remove(0).2;
-    let (name, attempt) = start_of(&c, &first, 100.0).remove(0);
+    let (name, attempt) = start_commands(&c, &first, 100.0).remove(0);
     let running = task(&name, attempt, TaskState::Running, None);
     c.apply_heartbeat(
         103.0,
-        &report(&first, 1, 5, TERM, vec![running]),
+        &heartbeat_from(&first, 1, 5, TERM, vec![running]),
         HeartbeatSource::Periodic,
     );
     let other = if first == "sa" { "s2b" } else { "sa" };
@@ -142,11 +142,11 @@
     // on any machine, placed nothing, and returned the whole fleet as idle.
     let mut c = ClusterState::new(config(), 100.0, 16, 4096);
     c.add_job(spec(1, 2, 1.5), 1, 90.0, &RangeSet::default());
-    c.restore_placements("2-7", &left_record(), 100.0, 0.0);
+    c.restore_placements("2-7", &earlier_leader_batch(), 100.0, 0.0);
     let running = task("req-1/0", 77, TaskState::Running, None);
     c.apply_heartbeat(
         101.0,
-        &report("sa", 1, 4, TERM, vec![running]),
+        &heartbeat_from("sa", 1, 4, TERM, vec![running]),
         HeartbeatSource::Periodic,
     );
     assert!(round(&mut c, 101.0).is_empty());
@@ -183,7 +183,7 @@
                     .collect();
                 c.apply_heartbeat(
                     now,
-                    &report(machine, 1, seq, TERM, tasks),
+                    &heartbeat_from(machine, 1, seq, TERM, tasks),
                     HeartbeatSource::Periodic,
                 );
             };
@@ -196,7 +196,7 @@
             seq += 2;
             c.apply_heartbeat(
                 now,
-                &report(machine, 1, seq, TERM, vec![]),
+                &heartbeat_from(machine, 1, seq, TERM, vec![]),
                 HeartbeatSource::Periodic,
             );
         }
@@ -222,12 +222,12 @@
         c.add_job(s, 1, 90.0, &RangeSet::default());
     }
     round(&mut c, 100.0);
-    let tasks: Vec<TaskStatus> = start_of(&c, "l1a", 100.0)
+    let tasks: Vec<TaskStatus> = start_commands(&c, "l1a", 100.0)
         .into_iter()
         .map(|(name, attempt)| task(&name, attempt, TaskState::Running, None))
         .collect();
     assert_eq!(tasks.len(), 3);
-    let mut told = report("l1a", 1, 5, TERM, tasks);
+    let mut told = heartbeat_from("l1a", 1, 5, TERM, tasks);
     c.apply_heartbeat(101.0, &told, HeartbeatSource::Periodic);
     told.sequence += 1;
     told.spot_notice_s = Some(20.0);
@@ -281,7 +281,7 @@
                 if c.workers.contains_key(*name) {
                     c.apply_heartbeat(
                         now,
-                        &report(name, 1, seq, TERM, vec![]),
+                        &heartbeat_from(name, 1, seq, TERM, vec![]),
                         HeartbeatSource::Periodic,
                     );
                 }
@@ -325,7 +325,7 @@
     c.add_job(spec(2, 20, 8.0), 1, now, &RangeSet::default());
     c.mark_surplus_machines(100.0 + 60.5);
     for (n, name) in names.iter().enumerate() {
-        let r = report(name, 1, 900 + n as u64, TERM, vec![]);
+        let r = heartbeat_from(name, 1, 900 + n as u64, TERM, vec![]);
         c.apply_heartbeat(161.0, &r, HeartbeatSource::Periodic);
     }
     c.mark_surplus_machines(161.0);
--- a/crates/tallygauge-scheduler/src/tests/mod.rs
+++ b/crates/tallygauge-scheduler/src/tests/mod.rs
@@ -101,7 +101,13 @@
     }
 }
 
-fn report(machine: &str, session: u64, seq: u64, token: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
+fn heartbeat_from(
+    machine: &str,
+    incarnation: u64,
+    sequence: u64,
+    token: u64,
+    tasks: Vec<TaskStatus>,
+) -> Heartbeat {
     let large = machine.starts_with('l');
     Heartbeat {
         machine: machine.into(),
@@ -109,8 +115,8 @@
         machine_type: if large { "large" } else { "small" }.into(),
         zone: if machine.ends_with('b') { "b" } else { "a" }.into(),
         spot: machine.contains('s'),
-        incarnation: session,
-        sequence: seq,
+        incarnation,
+        sequence,
         token,
         spot_notice_s: None,
         tasks,
@@ -134,7 +140,7 @@
         assert_eq!(
             c.apply_heartbeat(
                 now,
-                &report(m, 1, 1, TERM, vec![]),
+                &heartbeat_from(m, 1, 1, TERM, vec![]),
                 HeartbeatSource::Periodic
             ),
             HeartbeatOutcome::Applied
@@ -163,7 +169,7 @@
     out.into_iter().map(|o| o.1).collect()
 }
 
-fn start_of(c: &ClusterState, worker: &str, now: f64) -> Vec<(String, u64)> {
+fn start_commands(c: &ClusterState, worker: &str, now: f64) -> Vec<(String, u64)> {
     c.commands(worker, now)
         .into_iter()
         .filter_map(|command| match command {
@@ -174,7 +180,7 @@
 }
 
 /// What an earlier leader left: the first task of `req-1` on worker `sa`.
-fn left_record() -> PlacementBatchRecord {
+fn earlier_leader_batch() -> PlacementBatchRecord {
     PlacementBatchRecord {
         placed_at: 0,
         first_attempt: 77,
--- a/crates/tallygauge-scheduler/src/tests/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/tests/pending_reasons.rs
@@ -12,7 +12,7 @@
         .collect();
     cluster.apply_heartbeat(
         now,
-        &report(machine, 1, seq, TERM, attempts),
+        &heartbeat_from(machine, 1, seq, TERM, attempts),
         HeartbeatSource::Periodic,
     );
 }
@@ -27,7 +27,7 @@
         .collect();
     cluster.apply_heartbeat(
         now,
-        &report(machine, 1, seq, TERM, attempts),
+        &heartbeat_from(machine, 1, seq, TERM, attempts),
         HeartbeatSource::Periodic,
     );
 }
--- a/crates/tallygauge-scheduler/src/tests/placement_batches.rs
+++ b/crates/tallygauge-scheduler/src/tests/placement_batches.rs
@@ -91,7 +91,7 @@
     for name in ["sa", "s2b"] {
         c.apply_heartbeat(
             140.0,
-            &report(name, 2, 1, TERM, vec![]),
+            &heartbeat_from(name, 2, 1, TERM, vec![]),
             HeartbeatSource::Periodic,
         );
     }
@@ -107,7 +107,7 @@
     let found = task("req-1/0", 77, TaskState::Running, None);
     c.apply_heartbeat(
         101.0,
-        &report("sa", 1, 5, TERM, vec![found]),
+        &heartbeat_from("sa", 1, 5, TERM, vec![found]),
         HeartbeatSource::Periodic,
     );
     assert_eq!(
--- a/crates/tallygauge-scheduler/src/tests/plain_model.rs
+++ b/crates/tallygauge-scheduler/src/tests/plain_model.rs
@@ -228,7 +228,7 @@
                 _ => cluster.advance_time(now),
             }
             if what == 1 { tasks.clear(); }
-            cluster.apply_heartbeat(now, &report(name, incarnations[at], sequence, TERM, tasks), HeartbeatSource::Periodic);
+            cluster.apply_heartbeat(now, &heartbeat_from(name, incarnations[at], sequence, TERM, tasks), HeartbeatSource::Periodic);
             for w in cluster.workers.values() {
                 let full = if w.machine_type == "large" { 16.0 } else { 4.0 };
                 let used_cpus: f64 = w.attempts.iter().filter(|h| h.occupies_capacity()).map(|h| h.spec.cpus).sum();
--- a/crates/tallygauge-scheduler/src/tests/preemption.rs
+++ b/crates/tallygauge-scheduler/src/tests/preemption.rs
@@ -9,14 +9,14 @@
     low.priority = Priority::Low;
     cluster.add_job(low, 1, 90.0, &RangeSet::default());
     assert_eq!(round(&mut cluster, 100.0).len(), 2);
-    let started: Vec<(String, u64)> = start_of(&cluster, "sa", 100.0);
+    let started: Vec<(String, u64)> = start_commands(&cluster, "sa", 100.0);
     // One is nearly done: its UPT is the greater.
     let run = |seq| {
         let tasks = started
             .iter()
             .map(|h| task(&h.0, h.1, TaskState::Running, None))
             .collect();
-        report("sa", 1, seq, TERM, tasks)
+        heartbeat_from("sa", 1, seq, TERM, tasks)
     };
     cluster.apply_heartbeat(101.0, &run(5), HeartbeatSource::Periodic);
     for h in &mut cluster.workers.get_mut("sa").unwrap().attempts {
@@ -120,14 +120,14 @@
     cluster.add_job(low, 1, 90.0, &RangeSet::default());
     assert_eq!(round(&mut cluster, 100.0).len(), 16);
     for (seq, m) in ["l1a", "l2b"].into_iter().enumerate() {
-        let running = start_of(&cluster, m, 100.0);
+        let running = start_commands(&cluster, m, 100.0);
         let running = running
             .iter()
             .map(|h| task(&h.0, h.1, TaskState::Running, None))
             .collect();
         cluster.apply_heartbeat(
             101.0,
-            &report(m, 1, 5 + seq as u64, TERM, running),
+            &heartbeat_from(m, 1, 5 + seq as u64, TERM, running),
             HeartbeatSource::Periodic,
         );
     }
--- a/crates/tallygauge-scheduler/src/tests/reachability.rs
+++ b/crates/tallygauge-scheduler/src/tests/reachability.rs
@@ -34,7 +34,7 @@
 
     fn report(&mut self, name: &str) -> Heartbeat {
         self.sequence += 1;
-        report(
+        heartbeat_from(
             name,
             self.incarnation,
             self.sequence,
@@ -290,7 +290,13 @@
     let mut kept = Vec::new();
     for now in [102.0, 104.0, 106.0] {
         exchange_heartbeat(&mut c, &mut agent, "sa", false, now);
-        kept.push(report("sa", 1, agent.sequence, TERM, agent.tasks.clone()));
+        kept.push(heartbeat_from(
+            "sa",
+            1,
+            agent.sequence,
+            TERM,
+            agent.tasks.clone(),
+        ));
     }
     assert_eq!(c.jobs["req-1"].attempts_by_task.len(), 1);
     // It dies. Duplicates arrive every second.
@@ -392,7 +398,7 @@
     assert_eq!(on, 0, "its tasks are pending again at once");
     assert!(!c.workers["sa"].accepts_work(now, &c.config));
     // Duplicates from before the restart, of any number, change nothing.
-    let copy = report(
+    let copy = heartbeat_from(
         "sa",
         1,
         newest.sequence + 1,
@@ -427,7 +433,7 @@
     let question = loop {
         c.apply_heartbeat(
             104.0,
-            &report("sa", 1, 0, 0, vec![]),
+            &heartbeat_from("sa", 1, 0, 0, vec![]),
             HeartbeatSource::Periodic,
         );
         let mut due = c.take_direct_messages(104.0, 1.0);
@@ -436,7 +442,7 @@
         }
     };
     c.record_direct_message_result(&question, true, false, 104.1);
-    c.apply_direct_reply(104.1, &question, &report("sa", 1, 1, TERM, vec![]));
+    c.apply_direct_reply(104.1, &question, &heartbeat_from("sa", 1, 1, TERM, vec![]));
     assert_eq!(
         c.jobs["req-1"].attempts_by_task.len(),
         2,
@@ -459,7 +465,7 @@
     assert_eq!(
         c.apply_heartbeat(
             102.0,
-            &report("sa", 1, 9, 0, vec![]),
+            &heartbeat_from("sa", 1, 9, 0, vec![]),
             HeartbeatSource::Periodic
         ),
         HeartbeatOutcome::DeadIncarnation
@@ -468,7 +474,7 @@
     assert_eq!(
         c.apply_heartbeat(
             123.0,
-            &report("sa", 2, 1, TERM, vec![]),
+            &heartbeat_from("sa", 2, 1, TERM, vec![]),
             HeartbeatSource::Periodic
         ),
         HeartbeatOutcome::Applied
--- a/crates/tallygauge-scheduler/src/tests/start_deadline.rs
+++ b/crates/tallygauge-scheduler/src/tests/start_deadline.rs
@@ -145,7 +145,7 @@
             }
             cluster.apply_heartbeat(
                 now,
-                &report(name, 1, seq, TERM, tasks),
+                &heartbeat_from(name, 1, seq, TERM, tasks),
                 HeartbeatSource::Periodic,
             );
         }
@@ -238,7 +238,7 @@
     // One start is enough, and no second one goes out before it is seen.
     cluster.apply_heartbeat(
         221.0,
-        &report("sa", 1, 2, TERM, vec![]),
+        &heartbeat_from("sa", 1, 2, TERM, vec![]),
         HeartbeatSource::Periodic,
     );
     cluster.jobs.get_mut("req-1").unwrap().pending = RangeSet::first(1);
@@ -285,7 +285,7 @@
     for (n, name) in names.iter().enumerate() {
         cluster.apply_heartbeat(
             245.0,
-            &report(name, 1, 2 + n as u64, TERM, vec![]),
+            &heartbeat_from(name, 1, 2 + n as u64, TERM, vec![]),
             HeartbeatSource::Periodic,
         );
     }
