--- a/crates/tallygauge-scheduler/src/model/attempt.rs
+++ b/crates/tallygauge-scheduler/src/model/attempt.rs
@@ -13,44 +13,47 @@
 /// | - | `Planned` | [`Attempt::new`]: placed by a scheduling round |
 /// | - | `Recorded` | [`Attempt::restored`]: recovered from a batch of an earlier leader, or adopted from a heartbeat |
 /// | `Planned` | `Recorded` | `record_committed`: its placement batch is durable |
-/// | `Recorded`, `Observed` | `Observed` | `observe`: a heartbeat shows it |
-/// | `Recorded`, `Observed` | `Ended` | `end`: a heartbeat shows that it is over |
+/// | `Recorded`, `Observed` | `Observed` | `observe`: a heartbeat reports it as not ended |
+/// | `Recorded`, `Observed` | `Ended` | `end`: a heartbeat reports that it has ended |
 ///
-/// An attempt in `Planned` is seen by no worker, as its start is sent only once it
-/// is durable. `Ended` is final. In every phase an attempt may be removed: a
-/// `Planned` one when its batch is rejected, the others when their agent
-/// incarnation is over or the worker has forgotten them.
+/// A `Planned` attempt is not yet visible to any worker, because its start command is
+/// sent only after its placement batch is durable. `Ended` is final. An attempt may be
+/// removed in any phase:
+/// - a `Planned` one when its batch is rejected;
+/// - one in another phase when its agent incarnation is over or the worker has
+///   forgotten it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptPhase {
     /// Placed by a scheduling round, not durable yet.
     Planned,
-    /// Durable; its start is to be sent or was sent, but no heartbeat has shown it.
+    /// Durable. Its start command is due or was sent, but no heartbeat has reported
+    /// the attempt.
     Recorded,
-    /// A heartbeat has shown it in this state.
+    /// The last heartbeat that reported it showed this state.
     Observed(TaskState),
-    /// Over; kept until the worker has forgotten it.
+    /// Ended with this cause; kept until the worker has forgotten it.
     Ended(EndCause),
 }
 
 /// Why an attempt is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
-    /// Its job was cancelled or is over.
+    /// Its job was cancelled or has completed.
     Cancelled,
-    /// For a job with a higher claim.
+    /// Preempted for a job that takes precedence.
     Preempted,
-    /// The cloud reclaims its spot instance.
+    /// The cloud is about to reclaim its spot instance.
     SpotNotice,
-    /// Its machine is to be returned.
+    /// Its machine is to be returned to the cloud.
     Drained,
-    /// The task is done by another attempt.
+    /// Another attempt completed the task.
     Duplicate,
 }
 
-/// An attempt that is to go into the next placement batch.
+/// An attempt that still has to be written into a placement batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct UnbatchedAttempt {
-    /// Worker that it is on.
+    /// Name of the worker that the attempt is on.
     pub(crate) worker: String,
     /// Number of the attempt.
     pub(crate) attempt: u64,
@@ -59,9 +62,9 @@
 /// A decision to stop an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StopDecision {
-    /// Why.
+    /// Why the attempt is stopped.
     pub reason: StopReason,
-    /// When it was made, in seconds of the leader's steady clock.
+    /// When the decision was made, in seconds of the leader's steady clock.
     pub at: f64,
 }
 
@@ -69,44 +72,47 @@
 /// forgotten it. Times are seconds of the leader's steady clock.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// Its job.
+    /// Spec of the job that the task belongs to.
     pub spec: Arc<JobSpec>,
     /// Number of the task within the job.
     pub index: u32,
-    /// Number of the attempt, unique over all terms.
+    /// Number of the attempt, unique across all terms.
     pub number: u64,
-    /// Agent incarnation that it was placed in or last reported by.
+    /// Agent incarnation that the attempt was placed on, or that last reported it.
     pub incarnation: u64,
-    /// Phase of its life.
+    /// Current phase.
     pub phase: AttemptPhase,
     /// When it was placed.
     pub placed_at: f64,
-    /// When it was first known to run.
+    /// When it was first known to be running.
     pub running_since: Option<f64>,
-    /// Run time that its checkpoint held when it was placed, in seconds.
+    /// Run time saved in the checkpoint that it resumes from, in seconds, as of its
+    /// placement.
     pub checkpointed_s: f64,
-    /// The decision to stop it.
+    /// The decision to stop it, if one was made.
     pub stop: Option<StopDecision>,
-    /// Whether an earlier leader placed it.
+    /// Whether it was placed by an earlier leader: recovered from a placement batch, or
+    /// adopted from a heartbeat.
     pub restored: bool,
-    /// Whether its start was sent, in a heartbeat response or a direct message.
+    /// Whether its start command was sent, in a heartbeat response or a direct message.
     pub start_sent: bool,
-    /// Direct messages with its start that are unanswered.
+    /// Number of direct messages with its start command that are in flight.
     pub start_messages_in_flight: u32,
-    /// Since when a direct message with its start is in doubt: it timed out but may
-    /// yet arrive. Until this incarnation is over the worker must know the attempt.
+    /// Since when a direct message with its start command is in doubt: the message
+    /// timed out but may still arrive. Until the incarnation is over, the worker must
+    /// not be told to forget the attempt: it would execute the late start.
     pub start_in_doubt_since: Option<f64>,
-    /// Whether all that follows from its end is durable.
+    /// Whether everything that follows from its end is durable.
     pub end_durable: bool,
-    /// The durable placement batch that it is in.
+    /// Id of the durable placement batch that contains it, if any.
     pub batch: Option<Arc<str>>,
-    /// Whether the last heartbeat response carried its start, or told the worker to
-    /// forget it: the next heartbeat must show that.
+    /// Whether the last heartbeat response carried its start command or told the worker
+    /// to forget it. The next heartbeat must reflect that.
     pub awaiting_acknowledgement: bool,
 }
 
 impl Attempt {
-    /// A planned attempt.
+    /// Creates an attempt in the `Planned` phase.
     #[must_use]
     pub fn new(
         spec: Arc<JobSpec>,
@@ -135,8 +141,8 @@
         }
     }
 
-    /// An attempt that an earlier leader placed: it is recorded, and its start may
-    /// have been sent.
+    /// Creates an attempt that an earlier leader placed, in the `Recorded` phase. Its
+    /// start command may have been sent.
     #[must_use]
     pub fn restored(
         spec: Arc<JobSpec>,
@@ -153,8 +159,8 @@
         }
     }
 
-    /// Its placement batch is durable. An attempt that a heartbeat has shown before
-    /// keeps its phase.
+    /// Records that its placement batch is durable. An attempt that a heartbeat has
+    /// already reported keeps its phase.
     pub(crate) fn record_committed(&mut self, batch: &Arc<str>) {
         if self.phase == AttemptPhase::Planned {
             self.phase = AttemptPhase::Recorded;
@@ -162,34 +168,34 @@
         self.batch = Some(batch.clone());
     }
 
-    /// A heartbeat shows it, not ended, in this state.
+    /// Records that a heartbeat reports it in this state, which is not `Ended`.
     pub(crate) fn observe(&mut self, state: TaskState) {
         self.phase = AttemptPhase::Observed(state);
     }
 
-    /// A heartbeat shows that it is over.
+    /// Records that a heartbeat reports its end.
     pub(crate) fn end(&mut self, cause: EndCause) {
         self.phase = AttemptPhase::Ended(cause);
     }
 
-    /// Decides to stop it; replaces an earlier decision.
+    /// Records the decision to stop it; replaces an earlier decision.
     pub(crate) fn request_stop(&mut self, reason: StopReason, now: f64) {
         self.stop = Some(StopDecision { reason, at: now });
     }
 
-    /// Whether it is over.
+    /// Whether a heartbeat has reported its end.
     #[must_use]
     pub fn is_ended(&self) -> bool {
         matches!(self.phase, AttemptPhase::Ended(_))
     }
 
-    /// Whether it occupies capacity of its machine.
+    /// Whether it occupies capacity of its machine: until its end is reported.
     #[must_use]
     pub fn occupies_capacity(&self) -> bool {
         !self.is_ended()
     }
 
-    /// Whether it occupies capacity but is in no durable placement batch.
+    /// Whether it occupies capacity but no durable placement batch contains it.
     #[must_use]
     pub(crate) fn is_unrecorded(&self) -> bool {
         self.occupies_capacity() && self.batch.is_none()
@@ -201,18 +207,20 @@
         self.is_ended() && self.end_durable && !self.may_yet_start()
     }
 
-    /// Whether a direct message with its start may still arrive.
+    /// Whether a direct message with its start command may still arrive.
     #[must_use]
     pub fn may_yet_start(&self) -> bool {
         self.start_messages_in_flight > 0 || self.start_in_doubt_since.is_some()
     }
 
-    /// When it is over at the latest, given when its incarnation's lease expires.
-    /// Infinite while a direct message with its start is unanswered. If such a start
-    /// is in doubt, the agent may have restarted without our knowledge: the start is
-    /// executed if it arrives in the incarnation of the same number, and what it
-    /// starts lives for one more lease. A message that is delayed for longer than a
-    /// lease, to a machine that restarted meanwhile, is not covered.
+    /// The latest time at which it can end, given when the lease of its incarnation
+    /// expires. Infinite while a direct message with its start command is in flight.
+    ///
+    /// If such a start is in doubt, the agent may have restarted without this leader's
+    /// knowledge. The start is then executed if it arrives while the agent's incarnation
+    /// has the same number, and the task that it starts runs for up to one more lease.
+    /// Not covered: a message that is delayed for longer than a lease to a machine that
+    /// restarted in the meantime.
     #[must_use]
     pub fn latest_end(&self, lease_expiry: f64, lease_s: f64) -> f64 {
         match self.start_in_doubt_since {
@@ -228,7 +236,7 @@
         format!("{}/{}", self.spec.id, self.index)
     }
 
-    /// Whether this is its task's name, without building it.
+    /// Whether `name` is the name of its task on the wire. Does not allocate.
     #[must_use]
     pub fn has_task_name(&self, name: &str) -> bool {
         name.strip_prefix(self.spec.id.as_str())
@@ -236,7 +244,7 @@
             .is_some_and(|index| index.parse() == Ok(self.index))
     }
 
-    /// Run time of this attempt until now, in seconds.
+    /// Run time of this attempt until `now`, in seconds; 0 if it is not known to run.
     #[must_use]
     pub fn run_time_s(&self, now: f64) -> f64 {
         self.running_since
@@ -244,12 +252,12 @@
     }
 }
 
-/// Bits of an attempt's number below the term. The term is part of the number, so
-/// that numbers never repeat; terms and attempts stay exact integers in any JSON
-/// reader.
+/// Number of low bits of an attempt's number that count the attempts of a term. The
+/// higher bits hold the term, so that numbers never repeat. The width is chosen so that terms
+/// and attempt numbers stay exact integers in any JSON reader.
 pub(crate) const ATTEMPT_SEQUENCE_BITS: u32 = 28;
 
-/// The number before that of a term's first attempt.
+/// The number that precedes the first attempt number of a term.
 pub(crate) fn number_before_first_attempt(term: u64) -> u64 {
     (term << ATTEMPT_SEQUENCE_BITS) + 1
 }
--- a/crates/tallygauge-scheduler/src/model/capacity.rs
+++ b/crates/tallygauge-scheduler/src/model/capacity.rs
@@ -1,12 +1,12 @@
-//! Amounts of CPUs, GPUs and memory, and how often a task fits into them.
+//! Amounts of CPUs, GPUs and memory, and how many tasks fit into them.
 
 use serde::{Deserialize, Serialize};
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
-/// Tolerance for sums of decimal amounts.
+/// Tolerance for rounding errors in sums of resource amounts, in the unit of the amount.
 pub(crate) const EPSILON: f64 = 1e-6;
 
-/// How many times `needed` fits into `available`.
+/// How many times `needed` fits into `available`; `u32::MAX` if nothing is needed.
 pub(crate) fn count_fitting(available: f64, needed: f64) -> u32 {
     if needed > 0.0 {
         ((available + EPSILON) / needed).max(0.0) as u32
@@ -22,28 +22,28 @@
         && spec.memory_gb <= memory_gb + EPSILON
 }
 
-/// What is asked for when a machine is rented.
+/// What determines a rental: machine type, zone, and spot or on demand.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachineKind {
-    /// Machine type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
     /// Whether it is a spot instance.
     pub spot: bool,
 }
 
-/// Backoff of rentals of one kind of machine after the cloud lacked capacity.
+/// Backoff for rentals of one kind of machine after the cloud had no capacity for it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct CapacityBackoff {
-    /// No rental before this time.
+    /// No machine of this kind is rented before this time.
     pub(crate) until: f64,
-    /// Refusals in a row, as far as they lengthen the backoff.
+    /// Consecutive refusals, counted only as far as they lengthen the backoff.
     pub(crate) refusals: u32,
 }
 
-/// Amounts of what a machine provides or a task needs. In records they are stored as
-/// an array of CPUs, GPUs and memory.
+/// Resources that a machine provides or a task needs. Serialized as an array of CPUs,
+/// GPUs and memory.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64, f64)", into = "(f64, f64, f64)")]
 pub struct Resources {
@@ -51,7 +51,7 @@
     pub cpus: f64,
     /// GPUs.
     pub gpus: f64,
-    /// Memory, GB.
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl Resources {
-    /// What a task of the job needs.
+    /// Resources that one task of the job needs.
     #[must_use]
     pub fn of_task(spec: &JobSpec) -> Self {
         Self {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// What a machine of this type provides.
+    /// Resources that a machine of this type provides.
     #[must_use]
     pub fn of_type(machine_type: &MachineType) -> Self {
         Self {
@@ -92,15 +92,15 @@
         }
     }
 
-    /// Whether a task of the job fits.
+    /// Whether a task of the job fits into these resources.
     pub(crate) fn can_fit(&self, spec: &JobSpec) -> bool {
         task_fits(spec, self.cpus, self.gpus, self.memory_gb)
     }
 
-    /// Adds what `sign` tasks of the job need; a negative number subtracts.
-    pub(crate) fn add_scaled(&mut self, spec: &JobSpec, sign: f64) {
-        self.cpus += sign * spec.cpus;
-        self.gpus += sign * spec.gpus;
-        self.memory_gb += sign * spec.memory_gb;
+    /// Adds the resources of `task_count` tasks of the job; a negative count subtracts.
+    pub(crate) fn add_scaled(&mut self, spec: &JobSpec, task_count: f64) {
+        self.cpus += task_count * spec.cpus;
+        self.gpus += task_count * spec.gpus;
+        self.memory_gb += task_count * spec.memory_gb;
     }
 }
--- a/crates/tallygauge-scheduler/src/model/config.rs
+++ b/crates/tallygauge-scheduler/src/model/config.rs
@@ -8,55 +8,58 @@
 /// A team's guaranteed resources and its quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TeamConfig {
-    /// Name.
+    /// Name of the team.
     pub name: String,
     /// Guaranteed CPUs.
     pub guaranteed_cpus: f64,
-    /// Quota of CPUs; infinite if there is none.
+    /// CPU quota; infinite if the team has none.
     pub max_cpus: f64,
     /// Guaranteed GPUs.
     pub guaranteed_gpus: f64,
-    /// Quota of GPUs; infinite if there is none.
+    /// GPU quota; infinite if the team has none.
     pub max_gpus: f64,
 }
 
-/// Settings of the scheduler. Times are seconds.
+/// Settings of the scheduler. All durations are in seconds.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Teams.
+    /// Teams that may submit jobs.
     pub teams: Vec<TeamConfig>,
     /// Time between a worker's heartbeats.
     pub heartbeat_interval_s: f64,
     /// Duration of a worker's lease.
     pub lease_s: f64,
-    /// Time within which a cancelled job's tasks must have ended.
+    /// Time within which the tasks of a cancelled job must have ended.
     pub cancel_timeout_s: f64,
-    /// How long a leader that can't confirm its term still answers workers.
+    /// How long a leader that cannot confirm its term keeps answering workers.
     pub fence_s: f64,
-    /// Nominal lag of the cloud's machine list.
+    /// Nominal time by which the cloud's machine list lags behind.
     pub list_lag_s: f64,
-    /// Maximum drift between two steady clocks, as a ratio.
+    /// Maximum drift between two steady clocks, as a fraction of the elapsed time.
     pub clock_drift: f64,
-    /// Lower bound of the remaining time in utility per time.
+    /// Lower bound of a task's remaining run time when its utility per time is computed.
     pub min_remaining_s: f64,
-    /// Utility of each priority, lowest first.
+    /// Utility of each priority, lowest priority first (see [`priority_index`]).
     pub utility_by_priority: [f64; 4],
-    /// Part of its utility that a job keeps after its deadline.
+    /// Fraction of its utility that a job keeps after its deadline.
     pub late_utility_factor: f64,
-    /// Idle time before a machine is returned, in boot times of its type.
+    /// Idle time after which a machine is returned, as a multiple of the boot time of its
+    /// type.
     pub idle_timeout_boot_times: f64,
-    /// Boot times over which pending work is spread when machines are rented.
+    /// Time over which pending work is spread when machines are rented, as a multiple of
+    /// the boot time of the machine type.
     pub rental_horizon_boot_times: f64,
-    /// Soft deadline of the jobs of a class.
+    /// Soft deadline of the jobs of a class, by class.
     pub class_deadline_s: HashMap<String, f64>,
     /// Service-level objectives, by class.
     pub objectives: HashMap<String, ServiceLevelObjective>,
-    /// Minimum share of each group.
+    /// Minimum share of each group of jobs.
     pub minimum_share: MinimumShareConfig,
-    /// How the risk of losing replicas of an image is weighed against fetch time.
+    /// How the risk of losing replicas of an image is weighed against the time to fetch
+    /// it.
     pub replica_spread: ReplicaSpread,
-    /// Maximum number of tasks on one machine, so that its record fits the key-value
-    /// store.
+    /// Maximum number of tasks on one machine; bounded so that the record of the machine
+    /// fits into a value of the key-value store.
     pub max_tasks_per_worker: usize,
     /// Maximum number of direct messages in flight.
     pub max_direct_messages: usize,
@@ -67,44 +70,46 @@
 /// Service-level objective of a class of jobs.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ServiceLevelObjective {
-    /// Completion within this multiple of the job's own deadline.
+    /// The job must complete within this multiple of its own deadline.
     pub deadline_factor: Option<f64>,
-    /// Completion within this time, seconds.
+    /// The job must complete within this time, in seconds.
     pub within_s: Option<f64>,
 }
 
-/// Minimum share that each class of jobs and each team gets.
+/// Settings of the minimum share that each class of jobs and each team gets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MinimumShareConfig {
-    /// Part of the completed or overdue jobs that must be completed; 0 turns the
-    /// minimum share off.
+    /// Minimum fraction that completed jobs make up of all completed or overdue jobs of a
+    /// group; 0 disables the minimum share.
     pub share: f64,
-    /// Seconds after its acceptance within which every job must start; 0: no bound.
+    /// Time after its acceptance within which every job must start, in seconds; 0 for no
+    /// bound.
     pub start_within_s: f64,
 }
 
 impl Config {
-    /// An allowance for the jitter of timers and messages.
+    /// Allowance for jitter in timers and message delays, in seconds.
     #[must_use]
     pub fn timing_margin_s(&self) -> f64 {
         self.heartbeat_interval_s * 0.2
     }
 
-    /// Seconds without a heartbeat after which no work is placed on a worker.
+    /// Time without a heartbeat after which no tasks are placed on a worker, in seconds.
     #[must_use]
     pub fn heartbeat_timeout_s(&self) -> f64 {
         self.heartbeat_interval_s * 2.5
     }
 
-    /// Upper bound on our clock of a duration of `seconds` on another machine's.
+    /// Upper bound, on this machine's clock, of a duration that measures `seconds` on
+    /// another machine's clock.
     #[must_use]
     pub fn with_clock_drift(&self, seconds: f64) -> f64 {
         seconds * (1.0 + 2.0 * self.clock_drift) + self.timing_margin_s()
     }
 
-    /// How much evidence makes a machine suspected or unreachable. Single lost
-    /// responses are told from an unreachable machine by the following ones: within a
-    /// lease, and not before three heartbeats.
+    /// How much evidence makes a machine suspected or unreachable. The responses that
+    /// follow tell a single lost response from an unreachable machine: within a lease,
+    /// and not before three heartbeats.
     #[must_use]
     pub fn reachability_thresholds(&self) -> ReachabilityThresholds {
         ReachabilityThresholds {
@@ -115,7 +120,7 @@
         }
     }
 
-    /// The team's index in the configuration.
+    /// Index of the team in [`Config::teams`].
     #[must_use]
     pub fn team_index(&self, name: &str) -> Option<usize> {
         self.teams.iter().position(|t| t.name == name)
--- a/crates/tallygauge-scheduler/src/model/feasibility.rs
+++ b/crates/tallygauge-scheduler/src/model/feasibility.rs
@@ -7,30 +7,31 @@
     users::{JobSpec, Shape},
 };
 
-/// Why a job can never run. The text is shown to the user.
+/// Why a job can never run. The message is shown to the user.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InfeasibleJob {
     /// The job names a team that is not configured.
-    #[error("no team is called '{0}'")]
+    #[error("no team named '{0}' is configured")]
     UnknownTeam(String),
-    /// One task of an array, or all tasks of a service, exceed the team's limit.
-    #[error("needs more than the limit of team '{0}'")]
+    /// One task of an array job, or all tasks of a service, exceed the quota of the team.
+    #[error("the job needs more CPUs or GPUs at a time than the quota of team '{0}' allows")]
     OverTeamLimit(String),
-    /// A task fits no machine type in a zone that the job allows.
-    #[error("a task fits no allowed machine type and zone")]
+    /// No machine type that fits a task is both allowed by the job and offered in a zone
+    /// that the job allows.
+    #[error("no machine type and zone that the job allows fits one of its tasks")]
     NoFittingMachine,
-    /// The job asks for one zone and for a spread over zones.
-    #[error("all tasks in one zone and at most half of them there can't both be")]
+    /// The job asks both for a single zone and for a spread over zones.
+    #[error("the job asks for all tasks in one zone and also for a spread over zones")]
     SpreadInOneZone,
-    /// The job asks for a spread over zones but allows only one.
-    #[error("spread over zones, but only one zone is allowed")]
+    /// The job asks for a spread over zones but fits only one.
+    #[error("the job asks for a spread over zones, but its tasks fit in only one allowed zone")]
     SpreadWithoutZones,
 }
 
-/// Checks that a job can ever run with these teams and machine types.
+/// Checks whether a job can ever run with these teams and machine types.
 ///
 /// # Errors
-/// When it can't, and why.
+/// Returns the reason if the job can never run.
 pub fn check_feasible(
     spec: &JobSpec,
     teams: &[TeamConfig],
@@ -39,7 +40,7 @@
     let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
         return Err(InfeasibleJob::UnknownTeam(spec.team.clone()));
     };
-    if exceeds_limit(spec, team) {
+    if exceeds_quota(spec, team) {
         return Err(InfeasibleJob::OverTeamLimit(spec.team.clone()));
     }
     let zones = fitting_zones(spec, machine_types);
@@ -56,9 +57,9 @@
     Ok(())
 }
 
-/// Whether what the job needs at a time, one task of an array or all of a service, is
-/// more than the team's limit.
-fn exceeds_limit(spec: &JobSpec, team: &TeamConfig) -> bool {
+/// Whether the resources that the job needs at the same time (for one task of an array
+/// job, for all tasks of a service) exceed the team's quota.
+fn exceeds_quota(spec: &JobSpec, team: &TeamConfig) -> bool {
     let concurrent_tasks = if spec.shape == Shape::Service {
         f64::from(spec.tasks)
     } else {
@@ -68,7 +69,8 @@
         || spec.gpus * concurrent_tasks > team.max_gpus + EPSILON
 }
 
-/// Zones that the job allows with a machine type that it allows and a task of it fits.
+/// Zones that the job allows and that offer a machine type which the job allows and one
+/// of its tasks fits.
 fn fitting_zones<'a>(spec: &JobSpec, machine_types: &'a [MachineType]) -> BTreeSet<&'a str> {
     let mut zones: BTreeSet<&str> = BTreeSet::new();
     for machine_type in machine_types {
--- a/crates/tallygauge-scheduler/src/model/job.rs
+++ b/crates/tallygauge-scheduler/src/model/job.rs
@@ -1,4 +1,4 @@
-//! An open job and what is known of its tasks.
+//! Open jobs and the state of their tasks.
 
 use super::SampleSum;
 use crate::range_set::RangeSet;
@@ -9,88 +9,91 @@
 use tallygauge_deadlines::CutoffWindow;
 use tallygauge_protocol::users::{JobSpec, Shape};
 
-/// Numbers of a job's tasks.
+/// Numbers of completed and of placed tasks of a job.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TaskCount {
-    /// Tasks done.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks placed on machines.
+    /// Number of tasks that are placed on a machine, running or not.
     pub running: u32,
 }
 
-/// A pending task with state of its own: a checkpoint, or a backoff.
+/// A pending task with a checkpoint to resume from, or with a backoff.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResumableTask {
-    /// Number of the task.
+    /// Number of the task within the job.
     pub index: u32,
-    /// Run time that its checkpoint holds, in seconds.
+    /// Run time that its checkpoint holds, in seconds; 0 without a checkpoint.
     pub checkpointed_s: f64,
-    /// Machine type that the checkpoint is for.
+    /// Machine type that the checkpoint was taken on, the only one that it can be used on.
     pub machine_type: Option<String>,
-    /// It is not placed before this time.
+    /// The task is not placed before this time.
     pub not_before: f64,
-    /// Machine that it failed on.
+    /// Machine that it failed on or that refused it, and that it is not placed on again.
     pub avoid_machine: Option<String>,
 }
 
-/// A finished task whose end is not durable yet.
+/// A completed task whose end is not durable yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnsavedCompletion {
-    /// Number of the task.
+    /// Number of the task within the job.
     pub index: u32,
-    /// Worker that reported its end.
+    /// Name of the worker that reported its end.
     pub worker: String,
 }
 
 /// An open job. Times are seconds of the leader's steady clock.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// As submitted.
+    /// Spec as submitted.
     pub spec: Arc<JobSpec>,
-    /// Version of its record: every placement is conditioned on it.
+    /// Version of its record. Every write of a placement is conditional on it.
     pub version: u64,
     /// When it was accepted.
     pub accepted_at: f64,
-    /// Its team's place in the configuration.
+    /// Index of its team in [`Config::teams`](super::Config::teams).
     pub team: usize,
-    /// Groups of the minimum share that it counts for: its class and its team.
+    /// Ids of the minimum-share groups that it counts for: its class and its team.
     pub group_ids: [usize; 2],
-    /// Whether a task of it has run.
+    /// Whether any of its tasks has run.
     pub started: bool,
-    /// Completed tasks.
+    /// Numbers of the completed tasks.
     pub completed: RangeSet,
     /// Chunks of `completed` that are not durable yet.
     pub unsaved_chunks: BTreeSet<u32>,
     /// Completed tasks whose end is not durable yet.
     pub unsaved_completions: Vec<UnsavedCompletion>,
-    /// Pending tasks without state of their own.
+    /// Numbers of the pending tasks that have neither a checkpoint nor a backoff.
     pub pending: RangeSet,
-    /// Pending tasks with state of their own, by number.
+    /// Pending tasks with a checkpoint or a backoff, by task number.
     pub resumable: BTreeMap<u32, ResumableTask>,
-    /// How many attempts occupy a machine, by task.
+    /// Number of attempts that occupy capacity, by task number.
     pub attempts_by_task: BTreeMap<u32, u32>,
-    /// How many attempts occupy a machine, by zone.
+    /// Number of attempts that occupy capacity, by zone.
     pub attempts_by_zone: BTreeMap<String, u32>,
-    /// How many attempts each worker knows, ended ones too.
+    /// Number of attempts on each worker, including ended ones that the worker has not
+    /// forgotten.
     pub attempts_by_worker: BTreeMap<String, u32>,
-    /// Failed attempts since the last completed task.
+    /// Number of failed attempts since a task of the job last completed.
     pub consecutive_failures: u32,
     /// Run times of its completed tasks, by machine.
     pub run_times_by_machine: BTreeMap<String, SampleSum>,
-    /// Tasks no attempt of which has run for long enough to count as started, as far
-    /// as this leader knows.
+    /// Numbers of the tasks that have not started: as far as this leader knows, no
+    /// attempt of the task has run for long enough to count as a start.
     pub unstarted: RangeSet,
-    /// The cutoff that it counts for.
+    /// The cutoff that it has to meet, if any.
     pub cutoff: Option<CutoffWindow>,
-    /// Time of day when it was accepted, as its record says.
+    /// Time of day when it was accepted, from its record.
     pub accepted_time_of_day: Option<f64>,
-    /// How far it is raised within its priority, 0 to 1.
+    /// How far its utility is raised towards that of the next priority, from 0 (not at
+    /// all) to 1 (as far as a boost goes).
     pub boost: f64,
 }
 
 impl Job {
-    /// A job none of whose tasks is placed. `team` is its team's place in the
-    /// configuration; `group_ids` are those of its class and its team.
+    /// Creates a job without any placed task. `team` is the index of its team in the
+    /// configuration; `group_ids` are the ids of its class and of its team. All tasks that
+    /// are not in `completed` are pending.
     #[must_use]
     pub(crate) fn new(
         spec: JobSpec,
@@ -130,13 +133,13 @@
         }
     }
 
-    /// Whether all its tasks are completed. A service never is.
+    /// Whether all its tasks are completed. Never true for a service.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.spec.shape == Shape::Array && self.completed.len() == self.spec.tasks
     }
 
-    /// Whether a task of it is pending.
+    /// Whether any of its tasks is pending.
     pub(crate) fn has_pending_tasks(&self) -> bool {
         !self.pending.is_empty() || !self.resumable.is_empty()
     }
@@ -147,32 +150,33 @@
         self.spec.tasks - self.completed.len()
     }
 
-    /// Whether a task of the job may be placed on such a machine, given the number of
-    /// its tasks in each zone.
+    /// Whether a task of the job may be placed on a machine of this type, zone and rental
+    /// kind, given the number of the job's tasks in each zone.
     pub(crate) fn allows(
         &self,
         machine_type: &str,
         zone: &str,
         spot: bool,
-        zones: &BTreeMap<String, u32>,
+        tasks_by_zone: &BTreeMap<String, u32>,
     ) -> bool {
         let types = self.spec.machine_types.as_ref();
         (self.spec.spot || !spot)
             && types.is_none_or(|t| t.iter().any(|name| name == machine_type))
-            && self.zone_allowed(zone, zones)
+            && self.allows_zone(zone, tasks_by_zone)
     }
 
-    /// Whether another task may be placed in a zone, given the number in each.
-    fn zone_allowed(&self, zone: &str, zones: &BTreeMap<String, u32>) -> bool {
+    /// Whether another task may be placed in a zone, given the number of the job's tasks
+    /// in each zone.
+    fn allows_zone(&self, zone: &str, tasks_by_zone: &BTreeMap<String, u32>) -> bool {
         if self.spec.zone.as_ref().is_some_and(|z| z != zone) {
             return false;
         }
-        if self.spec.one_zone && zones.keys().any(|z| z != zone) {
+        if self.spec.one_zone && tasks_by_zone.keys().any(|z| z != zone) {
             return false;
         }
         if self.spec.spread {
-            let there = zones.get(zone).copied().unwrap_or(0);
-            if there + 1 > self.spec.tasks.div_ceil(2) {
+            let tasks_in_zone = tasks_by_zone.get(zone).copied().unwrap_or(0);
+            if tasks_in_zone + 1 > self.spec.tasks.div_ceil(2) {
                 return false;
             }
         }
--- a/crates/tallygauge-scheduler/src/model/mod.rs
+++ b/crates/tallygauge-scheduler/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! The entities that the cluster state is made of: jobs, workers, attempts, their
-//! durable records, and the settings.
+//! Entities of the cluster state (jobs, workers, attempts), their durable records, and
+//! the settings of the scheduler.
 
 mod attempt;
 mod capacity;
--- a/crates/tallygauge-scheduler/src/model/records.rs
+++ b/crates/tallygauge-scheduler/src/model/records.rs
@@ -1,37 +1,37 @@
-//! Durable records of placements, as the key-value store keeps them.
+//! Durable records of placements, in the form in which the key-value store holds them.
 
 use super::Resources;
 use serde::{Deserialize, Serialize};
 
 /// A durable batch of placements of one scheduling round. It is written once, never
-/// changed, and removed when all its attempts are over.
+/// changed, and removed when all its attempts have ended.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct PlacementBatchRecord {
-    /// Time of day of the placements, seconds.
+    /// Time of day of the placements, in seconds.
     #[serde(rename = "t")]
     pub placed_at: u64,
-    /// Lowest attempt number; the others are stored as offsets from it.
+    /// Lowest attempt number in the batch. Attempt numbers are stored as offsets from it.
     #[serde(rename = "a")]
     pub first_attempt: u64,
-    /// Jobs.
+    /// Jobs whose tasks are placed. Tasks refer to a job by its position in this list.
     #[serde(rename = "j")]
     pub jobs: Vec<PlacedJobRecord>,
-    /// Workers with their attempts.
+    /// Workers with the attempts placed on them.
     #[serde(rename = "w")]
     pub workers: Vec<PlacedWorkerRecord>,
 }
 
-/// What a batch stores of a job: enough to account for its attempts when the job is
-/// over.
+/// A job in a batch. Stores what is needed to account for its attempts after the job
+/// itself has been removed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlacedJobRecord {
-    /// Id.
+    /// Id of the job.
     #[serde(rename = "j")]
     pub id: String,
-    /// Team.
+    /// Name of its team.
     #[serde(rename = "o")]
     pub team: String,
-    /// CPUs, GPUs and memory of a task.
+    /// CPUs, GPUs and memory that one task needs.
     #[serde(rename = "r")]
     pub resources: Resources,
 }
@@ -39,40 +39,40 @@
 /// A worker in a batch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlacedWorkerRecord {
-    /// Name.
+    /// Name of the machine.
     #[serde(rename = "n")]
     pub name: String,
-    /// Where it takes direct commands.
+    /// Address for direct messages.
     #[serde(rename = "e")]
     pub endpoint: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "m")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot instance.
     #[serde(rename = "p")]
     pub spot: bool,
-    /// Agent incarnation.
+    /// Agent incarnation that the attempts were placed on.
     #[serde(rename = "s")]
     pub incarnation: u64,
-    /// Its attempts.
+    /// Attempts placed on it.
     #[serde(rename = "t")]
     pub tasks: Vec<PlacedTaskRecord>,
 }
 
-/// An attempt in a batch, stored as an array of its fields in this order.
+/// An attempt in a batch. Serialized as an array of its fields, in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(usize, u32, u64, u32)", into = "(usize, u32, u64, u32)")]
 pub struct PlacedTaskRecord {
-    /// Position of the job in the batch.
+    /// Position of the job in the list of jobs of the batch.
     pub job_position: usize,
     /// Number of the task within the job.
     pub index: u32,
-    /// Number of the attempt less the batch's `first_attempt`.
+    /// Number of the attempt minus `first_attempt` of the batch.
     pub attempt_offset: u64,
-    /// Run time that its checkpoint held, in whole seconds.
+    /// Run time saved in the checkpoint that the attempt resumes from, in whole seconds.
     pub checkpointed_s: u32,
 }
 
--- a/crates/tallygauge-scheduler/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -1,11 +1,11 @@
-//! A machine with its worker: its attempts, its agent's messages, its images.
+//! Machines with their workers: attempts, state of the agent's messages, and images.
 
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
 use tallygauge_health::{MessageOrder, Reachability};
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
-/// Why a machine is to be returned.
+/// Why a machine is to be returned to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReturnReason {
     /// It has been idle for too long, or is surplus.
@@ -18,40 +18,41 @@
     Faulty,
     /// Tasks run slower on it than on other machines.
     Slow,
-    /// It does not confirm that cancelled tasks have ended.
+    /// It did not confirm in time that cancelled tasks have ended.
     Unconfirmed,
     /// It has sent no heartbeat for several leases.
     Silent,
-    /// It sends heartbeats, but what is sent to it does not arrive.
+    /// It sends heartbeats, but messages sent to it do not arrive.
     Unreachable,
 }
 
 /// A decision to return a machine to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReturnDecision {
-    /// Why.
+    /// Why the machine is returned.
     pub reason: ReturnReason,
-    /// When it was made, in seconds of the leader's steady clock.
+    /// When the decision was made, in seconds of the leader's steady clock.
     pub at: f64,
 }
 
-/// An attempt that a worker reports but no leader placed there.
+/// An attempt that a worker reports, although no leader placed it there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrphanedAttempt {
     /// Name of the task as the worker reports it.
     pub task: String,
     /// Number of the attempt.
     pub attempt: u64,
-    /// Whether it is over: then the worker is told to forget it, else to stop it.
+    /// Whether it has ended. The worker is told to forget an ended attempt, and to stop
+    /// one that has not ended.
     pub ended: bool,
 }
 
-/// Sum and number of some measurements.
+/// Sum and count of measurements.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct SampleSum {
     /// Sum of the measurements.
     pub sum: f64,
-    /// Their number.
+    /// Number of measurements.
     pub count: u32,
 }
 
@@ -62,7 +63,7 @@
         self.count += 1;
     }
 
-    /// The mean; not a number while there are no measurements.
+    /// Mean of the measurements; NaN if there are none.
     #[must_use]
     pub fn mean(&self) -> f64 {
         self.sum / f64::from(self.count)
@@ -72,80 +73,81 @@
 /// A machine and the worker on it. Times are seconds of the leader's steady clock.
 #[derive(Debug, Clone)]
 pub struct Worker {
-    /// Name.
+    /// Name of the machine.
     pub name: String,
-    /// Address for direct messages; empty until known.
+    /// Address of its agent for direct messages; empty until known.
     pub endpoint: String,
-    /// Machine type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
     /// Whether it is a spot instance.
     pub spot: bool,
     /// When it was rented, as far as known.
     pub rented_at: f64,
-    /// Since when it is known to exist.
+    /// When it was first known to exist.
     pub known_at: f64,
     /// Agent incarnation of the newest heartbeat; 0 before the first.
     pub incarnation: u64,
-    /// Order of its agent's messages.
+    /// Order of the messages of its agent, to detect late and duplicate ones.
     pub message_order: MessageOrder,
-    /// Highest fencing token that its heartbeats have shown.
+    /// Highest fencing token that its heartbeats have carried.
     pub fencing_token: u64,
-    /// Whether what is sent to it arrives.
+    /// Whether messages sent to it arrive, as inferred from its heartbeats.
     pub reachability: Reachability,
-    /// Since when its heartbeats have arrived without a longer pause.
+    /// Since when its heartbeats have arrived without a gap longer than the heartbeat
+    /// timeout.
     pub heartbeats_steady_since: f64,
-    /// Whether the response to its last heartbeat carried something that the next one
-    /// must show: our fencing token, or a command for an attempt that is
-    /// `awaiting_acknowledgement`.
+    /// Whether the response to its last heartbeat carried something that its next
+    /// heartbeat must reflect: this leader's fencing token, or a command for an attempt
+    /// that is `awaiting_acknowledgement`.
     pub acknowledgement_due: bool,
-    /// When the first heartbeat of the incarnation arrived.
+    /// When the first heartbeat of the current incarnation arrived.
     pub incarnation_seen_at: f64,
-    /// When the machine list first showed it running: its worker may be unreachable,
-    /// but it has booted.
+    /// When the machine list first showed it as running. It has booted then, although its
+    /// worker may be unreachable.
     pub booted_at: Option<f64>,
-    /// Incarnations up to this one are certainly over.
+    /// All incarnations up to and including this one are certainly over.
     pub last_dead_incarnation: u64,
-    /// When a heartbeat first showed our fencing token.
+    /// When a heartbeat first carried this leader's fencing token.
     pub fencing_token_seen_at: Option<f64>,
-    /// When a heartbeat was last answered.
+    /// When its lease was last renewed by the response to a heartbeat.
     pub lease_renewed_at: f64,
     /// When the last heartbeat arrived.
     pub last_heartbeat_at: f64,
-    /// When the cloud reclaims it, after a spot notice.
+    /// When the cloud reclaims the machine, once a spot notice was received.
     pub spot_reclaim_at: Option<f64>,
-    /// Attempts on it.
+    /// Attempts placed on it that it has not forgotten.
     pub attempts: Vec<Attempt>,
-    /// Attempts on it that no leader placed: they are stopped and cleared.
+    /// Attempts on it that no leader placed. The worker is told to stop and forget them.
     pub orphaned_attempts: Vec<OrphanedAttempt>,
-    /// What its attempts leave free.
+    /// Resources that its attempts do not occupy.
     pub free_resources: Resources,
-    /// Images that it has or fetches, as far as known.
+    /// Images that it has cached or is fetching, as far as known.
     pub images: ImageCache,
-    /// The decision to return it.
+    /// The decision to return the machine, if one was made.
     pub return_decision: Option<ReturnDecision>,
-    /// Whether open work does not need it: it is the last choice for new tasks, and
-    /// returned as soon as it is empty.
+    /// Whether the open jobs do not need it. A surplus machine is the last choice for new
+    /// tasks and is returned as soon as it is empty.
     pub surplus: bool,
-    /// Whether the return was sent: the machine may disappear at any time.
+    /// Whether its return was sent to the cloud, so that it may disappear at any time.
     pub return_sent: bool,
-    /// Whether a direct message waits for an answer.
+    /// Whether a direct message to it is in flight.
     pub direct_message_in_flight: bool,
-    /// Consecutive direct messages that were not answered.
+    /// Number of consecutive direct messages that it did not answer.
     pub direct_failures: u32,
-    /// No direct message before this time.
+    /// No direct message is sent to it before this time.
     pub next_direct_message_at: f64,
-    /// Since when no attempt occupies its capacity.
+    /// Since when no attempt has occupied its capacity.
     pub idle_since: f64,
-    /// Jobs with failed attempts on it since a task last completed there.
+    /// Ids of the jobs with attempts that failed on it since a task last completed on it.
     pub failed_jobs: BTreeSet<String>,
-    /// Run times of tasks on it over those of the same job on other machines.
+    /// Ratios of the run times of tasks on it to those of the same job on other machines.
     pub runtime_ratio: SampleSum,
 }
 
 impl Worker {
-    /// A machine that has sent no heartbeat yet.
+    /// Creates a machine that has sent no heartbeat yet.
     #[must_use]
     pub(crate) fn new(name: &str, kind: MachineKind, capacity: Resources, now: f64) -> Self {
         Self {
@@ -198,8 +200,8 @@
                 .accepts_work(now, &config.reachability_thresholds())
     }
 
-    /// Decides to return the machine, unless that is decided already. Returns
-    /// whether the decision is new.
+    /// Decides to return the machine, unless that was decided before. Returns whether
+    /// the decision is new.
     pub(crate) fn decide_return(&mut self, reason: ReturnReason, now: f64) -> bool {
         if self.return_decision.is_some() {
             return false;
@@ -208,36 +210,37 @@
         true
     }
 
-    /// Revokes the decision to return the machine if it was made for one of
-    /// these reasons and the return was not sent yet.
+    /// Revokes the decision to return the machine if it was made for one of these
+    /// reasons and the return has not been sent.
     pub(crate) fn revoke_return(&mut self, reasons: &[ReturnReason]) {
         let revocable = self
             .return_decision
-            .is_some_and(|l| reasons.contains(&l.reason));
+            .is_some_and(|decision| reasons.contains(&decision.reason));
         if revocable && !self.return_sent {
             self.return_decision = None;
         }
     }
 
-    /// Whether it has reported to this leader.
+    /// Whether this leader has received a heartbeat from it.
     #[must_use]
     pub fn has_reported(&self) -> bool {
         self.incarnation > 0
     }
 }
 
-/// Images on a machine, as the scheduler believes.
+/// The scheduler's estimate of which images a machine has cached or is fetching.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ImageCache {
-    /// Images that it should have and their size in GB, least recently used first.
+    /// Name and size in GB of each image that the cache should hold, least recently used
+    /// first.
     pub cached: Vec<(String, f64)>,
-    /// Images that it fetches now, and when each should be complete.
+    /// Images that are being fetched, with the time at which each fetch should complete.
     pub fetching: BTreeMap<String, f64>,
 }
 
 impl ImageCache {
-    /// Marks an image as used now and evicts the least recently used ones above the
-    /// size of the cache.
+    /// Marks an image as the most recently used one, and evicts the least recently used
+    /// images while the total exceeds `cache_gb`. The image itself is never evicted.
     pub(crate) fn mark_used(&mut self, image: &str, gb: f64, cache_gb: f64) {
         self.cached.retain(|i| i.0 != image);
         self.cached.push((image.to_string(), gb));
@@ -247,41 +250,41 @@
         }
     }
 
-    /// Seconds until an image would be complete if it were requested now. Fetches
-    /// share the rate, so a new one is complete after those in progress.
+    /// Seconds until an image would be available if it were requested now. All fetches
+    /// share the transfer rate, so a new fetch completes after those in progress.
     pub(crate) fn fetch_s(&self, image: &str, gb: f64, gb_per_s: f64, now: f64) -> f64 {
-        if let Some(at) = self.fetching.get(image) {
-            return (at - now).max(0.0);
+        if let Some(fetched_at) = self.fetching.get(image) {
+            return (fetched_at - now).max(0.0);
         }
         if self.cached.iter().any(|i| i.0 == image) {
             return 0.0;
         }
-        let busy = self.fetching.values().fold(now, |a, b| a.max(*b)) - now;
-        busy + gb / gb_per_s.max(1e-3)
+        let queue_s = self.fetching.values().fold(now, |a, b| a.max(*b)) - now;
+        queue_s + gb / gb_per_s.max(1e-3)
     }
 
-    /// A task that needs the image is placed: the image is fetched unless it is
-    /// cached.
+    /// Records that a task of the job is placed: its image is fetched unless it is cached
+    /// or already being fetched.
     pub(crate) fn request_for(&mut self, spec: &JobSpec, machine_type: &MachineType, now: f64) {
-        let fetch = self.fetch_s(&spec.image, spec.image_gb, machine_type.fetch_gb_per_s, now);
-        if fetch > 0.0 {
+        let fetch_s = self.fetch_s(&spec.image, spec.image_gb, machine_type.fetch_gb_per_s, now);
+        if fetch_s > 0.0 {
             self.fetching
                 .entry(spec.image.clone())
-                .or_insert(now + fetch);
+                .or_insert(now + fetch_s);
         }
         self.mark_used(&spec.image, spec.image_gb, machine_type.cache_gb);
     }
 
-    /// A task fetches an image. If it was believed to be cached, it is complete at
-    /// `fetched_at` at the earliest.
+    /// Records that a task is fetching an image. If no fetch of it was known, the image
+    /// was wrongly assumed to be cached, and is complete at `fetched_at` at the earliest.
     pub(crate) fn record_fetch(&mut self, image: &str, fetched_at: f64) {
         if !self.fetching.contains_key(image) {
             self.fetching.insert(image.to_string(), fetched_at);
         }
     }
 
-    /// Forgets the fetch of an image that none of the machine's attempts needs any
-    /// more: the agent cancels it.
+    /// Removes the fetch of an image that no attempt on the machine needs any more,
+    /// because the agent cancels it.
     pub(crate) fn cancel_unneeded_fetch(&mut self, image: &str, attempts: &[Attempt]) {
         let is_needed = attempts
             .iter()
