--- a/crates/tallygauge-scheduler/src/cluster_state.rs
+++ b/crates/tallygauge-scheduler/src/cluster_state.rs
@@ -15,13 +15,14 @@
 use tallygauge_locality::ImageIndex;
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
-/// Most tombstones of machines that are gone.
+/// Maximum number of tombstones for machines that are gone.
 const MAX_TOMBSTONES: usize = 4096;
 
-/// Leases for which a tombstone is kept: duplicates of heartbeats arrive no later.
+/// How long a tombstone is kept, as a multiple of the lease duration. Late duplicates of
+/// heartbeats arrive within this time.
 const TOMBSTONE_LEASES: f64 = 16.0;
 
-/// Resources that a team's attempts occupy.
+/// CPUs and GPUs that the attempts of a team occupy.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct QuotaUsage {
     pub(crate) cpus: f64,
@@ -29,27 +30,28 @@
 }
 
 impl QuotaUsage {
-    pub(crate) fn add_scaled(&mut self, spec: &JobSpec, sign: f64) {
-        self.cpus += sign * spec.cpus;
-        self.gpus += sign * spec.gpus;
+    /// Adds the usage of `task_count` tasks of the job; a negative count subtracts.
+    pub(crate) fn add_scaled(&mut self, spec: &JobSpec, task_count: f64) {
+        self.cpus += task_count * spec.cpus;
+        self.gpus += task_count * spec.gpus;
     }
 }
 
-/// The leader's model of jobs, workers and teams. Times are seconds of one steady
-/// clock.
+/// The leader's model of jobs, workers and teams. Times are seconds of the leader's
+/// steady clock.
 ///
 /// Invariants, which reconciliation checks:
-/// - `free_resources` of a worker is what its machine type has, less its attempts that
-///   occupy capacity;
-/// - `quota_usage` is the sum of those attempts by team;
-/// - a job's `attempts_by_*` count the attempts on `workers`;
-/// - each task of a job is completed, on a worker, `pending` or `resumable`;
-/// - `live_attempts_by_batch` has the durable batches with attempts that occupy
-///   capacity, and `obsolete_batches` those without.
+/// - `free_resources` of a worker equals the resources of its machine type minus those of
+///   its attempts that occupy capacity;
+/// - `quota_usage` is the sum of the resources of these attempts by team;
+/// - the `attempts_by_*` counts of a job match the attempts on `workers`;
+/// - each task of a job is completed, placed on a worker, `pending` or `resumable`;
+/// - `live_attempts_by_batch` contains the durable batches with attempts that occupy
+///   capacity, and `obsolete_batches` the durable batches without any.
 pub struct ClusterState {
-    /// Settings.
+    /// Settings of the scheduler.
     pub config: Config,
-    /// When the term began.
+    /// When this leader's term began.
     pub term_started_at: f64,
 
     // Entities.
@@ -59,55 +61,55 @@
     pub jobs: BTreeMap<String, Job>,
     /// Machines with their workers, by name.
     pub workers: BTreeMap<String, Worker>,
-    /// Machines that are gone: old machine lists and late heartbeats may still show
-    /// them.
+    /// Machines that are gone but may still appear in old machine lists and late
+    /// heartbeats.
     pub(crate) tombstones: Tombstones,
 
     // Accounting.
-    /// What each team uses of its quota, in the order of the configuration.
+    /// Quota usage of each team, in the order of the configuration.
     pub(crate) quota_usage: Vec<QuotaUsage>,
-    /// Measured over expected run times, by class.
+    /// Ratio of measured to expected run times, by class.
     pub(crate) runtime_ratios: HashMap<String, RuntimeRatio>,
 
     // Placements and their records.
-    /// Number of the newest attempt.
+    /// Highest attempt number assigned so far.
     pub(crate) last_attempt_number: u64,
-    /// Number of the newest placement batch of this term.
+    /// Highest number of a placement batch of this term.
     pub(crate) last_batch_number: u64,
-    /// Attempts that are to go into the next placement batches.
+    /// Attempts that still have to be written into placement batches.
     pub(crate) unbatched_attempts: Vec<UnbatchedAttempt>,
-    /// How many attempts occupy capacity, by durable batch.
+    /// Number of attempts that occupy capacity, by durable batch.
     pub(crate) live_attempts_by_batch: BTreeMap<Arc<str>, u32>,
-    /// Durable batches whose attempts are over, to be removed.
+    /// Durable batches whose attempts have all ended, to be removed from the store.
     pub obsolete_batches: BTreeSet<Arc<str>>,
 
     // Durable progress.
-    /// Task numbers of a chunk of completed tasks.
+    /// Number of task numbers that one chunk of completed tasks covers.
     pub(crate) tasks_per_chunk: u32,
-    /// Completed tasks as they are stored.
+    /// Completed tasks, in the pages in which they are stored.
     pub completion_pages: CompletionPages,
-    /// Jobs with progress that is not durable, by id.
+    /// Ids of the jobs with progress that is not durable.
     pub(crate) jobs_with_unsaved_progress: BTreeSet<String>,
 
     // Direct messages.
-    /// Workers that may be due for a direct message.
+    /// Names of the workers that a direct message may be due for.
     pub(crate) needs_direct_message: BTreeSet<String>,
-    /// Direct messages that wait for an answer.
+    /// Direct messages that have not been answered.
     pub(crate) in_flight_messages: InFlightMessages,
 
     // Demand for machines.
-    /// Backoff of rentals, by kind of machine.
+    /// Backoff for rentals after the cloud had no capacity, by kind of machine.
     pub(crate) capacity_backoff: HashMap<MachineKind, CapacityBackoff>,
-    /// Demand for machines at least as large as a machine type, for the types in
-    /// order of size.
+    /// For each machine type, in order of size, the demand for machines of at least that
+    /// size.
     pub(crate) demand_history: Vec<DemandHistory>,
 
     // Scheduling rounds.
-    /// Something changed that a scheduling round should look at.
+    /// Whether something changed that a scheduling round should consider.
     pub needs_scheduling: bool,
-    /// The earliest end of a task's backoff that the last round met.
+    /// The earliest end of a task's backoff that the last round encountered.
     pub(crate) next_backoff_end: Option<f64>,
-    /// What happened since they were last drained, for the log.
+    /// Events for the log that the caller has not drained yet.
     pub events: Vec<ClusterEvent>,
 
     // State of other modules.
@@ -115,13 +117,14 @@
     pub(crate) start_deadlines: StartDeadlines,
     pub(crate) reconciliation: ReconciliationCursor,
     pub(crate) batch_deadlines: BatchDeadlines,
-    /// Images that an earlier leader recorded for machines that are not known yet.
+    /// Images that an earlier leader recorded for machines that this leader does not know
+    /// yet.
     pub(crate) image_index: ImageIndex,
 }
 
 impl ClusterState {
-    /// The empty state at the start of a term. A chunk of completed tasks has
-    /// `tasks_per_chunk` task numbers, a page of chunks at most `max_page_bytes`.
+    /// Creates the empty state for the start of a term. A chunk of completed tasks covers
+    /// `tasks_per_chunk` task numbers; a page of chunks has at most `max_page_bytes` bytes.
     #[must_use]
     pub fn new(config: Config, now: f64, tasks_per_chunk: u32, max_page_bytes: usize) -> Self {
         Self {
@@ -156,13 +159,13 @@
         }
     }
 
-    /// Sets the machine types on offer and their prices.
+    /// Adds or updates the machine types on offer, with their prices.
     pub fn set_machine_types(&mut self, types: &[MachineType]) {
         for machine_type in types {
             self.machine_types
                 .insert(machine_type.name.clone(), machine_type.clone());
         }
-        // Machines may be known before their types are, as after a failover to a
+        // Machines may be known before their types, such as after a failover to a
         // controller that has just started.
         for worker in self.workers.values_mut() {
             let Some(machine_type) = self.machine_types.get(&worker.machine_type) else {
@@ -177,7 +180,7 @@
     }
 
     /// Adds an open job with the tasks that are known to be completed. A job that is
-    /// known, or whose team is not configured, is ignored.
+    /// already known, or whose team is not configured, is ignored.
     pub fn add_job(&mut self, spec: JobSpec, version: u64, accepted_at: f64, completed: &RangeSet) {
         if self.jobs.contains_key(&spec.id) {
             return;
@@ -197,8 +200,8 @@
         self.jobs.insert(job.spec.id.clone(), job);
     }
 
-    /// Removes a job that is over; its attempts that still run are stopped. Returns
-    /// whether it was known.
+    /// Removes a job that has completed or was cancelled, and decides to stop its
+    /// attempts that have not ended. Returns whether the job was known.
     pub fn remove_job(&mut self, id: &str, now: f64) -> bool {
         let Some(job) = self.jobs.remove(id) else {
             return false;
@@ -224,7 +227,7 @@
         true
     }
 
-    /// Numbers of tasks of an open job, for display.
+    /// Numbers of completed and placed tasks of an open job, for display.
     #[must_use]
     pub fn task_count(&self, id: &str) -> Option<TaskCount> {
         let job = self.jobs.get(id)?;
--- a/crates/tallygauge-scheduler/src/events.rs
+++ b/crates/tallygauge-scheduler/src/events.rs
@@ -1,4 +1,4 @@
-//! What happened in the cluster that an operator may want to know.
+//! Events in the cluster that an operator may want to know of.
 //!
 //! The scheduler has no log of its own: it appends events to
 //! [`ClusterState::events`](crate::ClusterState::events), and its caller drains and
@@ -9,19 +9,19 @@
 use tallygauge_health::Evidence;
 use tallygauge_protocol::workers::EndCause;
 
-/// Something that happened in the cluster. Times are seconds.
+/// An event in the cluster. Durations are in seconds.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClusterEvent {
-    /// The cloud announced that it reclaims a spot instance.
+    /// The cloud announced that it will reclaim a spot instance.
     SpotNoticeReceived {
         /// Name of the machine.
         machine: String,
     },
-    /// A worker sends heartbeats, but what is sent to it seems not to arrive.
+    /// A worker sends heartbeats, but messages sent to it do not seem to arrive.
     MachineUnreachable {
         /// Name of the machine.
         machine: String,
-        /// What was observed last.
+        /// The most recent evidence.
         evidence: Evidence,
     },
     /// A worker's agent restarted; the tasks on it are lost.
@@ -29,41 +29,41 @@
         /// Name of the machine.
         machine: String,
     },
-    /// It was decided to return a machine.
+    /// The scheduler decided to return a machine to the cloud.
     MachineReturnDecided {
         /// Name of the machine.
         machine: String,
-        /// Why.
+        /// Why the machine is returned.
         reason: ReturnReason,
     },
-    /// An attempt is over because its agent incarnation is.
+    /// An attempt was lost because its agent incarnation is over.
     AttemptLost {
-        /// `JOB/INDEX`.
+        /// Name of the task, `JOB/INDEX`.
         task: String,
-        /// Machine that it was on.
+        /// Name of the machine that it was on.
         machine: String,
     },
-    /// An attempt is stopped for a job with a higher claim.
+    /// An attempt is stopped for a job that takes precedence.
     AttemptPreempted {
-        /// `JOB/INDEX`.
+        /// Name of the task, `JOB/INDEX`.
         task: String,
-        /// Machine that it is on.
+        /// Name of the machine that it is on.
         machine: String,
-        /// The job that gets its place.
+        /// Id of the job that the attempt makes room for.
         preempted_by: String,
     },
     /// An attempt ended without completing its task.
     AttemptEnded {
-        /// `JOB/INDEX`.
+        /// Name of the task, `JOB/INDEX`.
         task: String,
-        /// Machine that it was on.
+        /// Name of the machine that it was on.
         machine: String,
         /// Why it ended.
         cause: EndCause,
         /// Whether its checkpoint was saved, if the worker said so.
         checkpointed: Option<bool>,
     },
-    /// The first task of a job runs.
+    /// A task of a job was seen running for the first time.
     JobStarted {
         /// Id of the job.
         job: String,
@@ -71,7 +71,7 @@
         wait_s: f64,
         /// Class of the job.
         class: String,
-        /// Its number of tasks.
+        /// Number of tasks of the job.
         tasks: u32,
     },
     /// No task of a job is pending any more.
@@ -82,72 +82,72 @@
         wait_s: f64,
         /// Class of the job.
         class: String,
-        /// Its number of tasks.
+        /// Number of tasks of the job.
         tasks: u32,
         /// Whether it is among the largest jobs of its class.
         is_large: bool,
     },
-    /// The first job of a cutoff is there.
+    /// The first job that counts for a cutoff became known.
     CutoffOpened {
         /// Name of the cutoff.
         cutoff: Arc<str>,
-        /// Whether an operator declared it; else it was inferred from jobs.
+        /// Whether an operator declared the cutoff; otherwise it was inferred from jobs.
         is_declared: bool,
     },
-    /// A cutoff is forecast to be missed.
+    /// A cutoff is expected to be missed.
     CutoffAtRisk {
         /// Name of the cutoff.
         cutoff: Arc<str>,
-        /// Whether an operator declared it; else it was inferred from jobs.
+        /// Whether an operator declared the cutoff; otherwise it was inferred from jobs.
         is_declared: bool,
-        /// Jobs that are not done.
+        /// Number of jobs that are not completed.
         open_jobs: usize,
-        /// Work that is left, in CPU seconds.
+        /// Remaining work in CPU seconds.
         remaining_cpu_s: f64,
-        /// By how much it is forecast to be missed.
+        /// By how much it is expected to be missed.
         late_s: f64,
-        /// CPUs that would be needed on top.
+        /// Additional CPUs that would be needed to meet it.
         missing_cpus: f64,
     },
-    /// A cutoff passed with open jobs.
+    /// The time of a cutoff passed while it had open jobs.
     CutoffPassed {
         /// Name of the cutoff.
         cutoff: Arc<str>,
-        /// Jobs that are not done.
+        /// Number of jobs that are not completed.
         open_jobs: usize,
     },
-    /// All jobs of a cutoff were done in time.
+    /// All jobs of a cutoff were completed in time.
     CutoffMet {
         /// Name of the cutoff.
         cutoff: Arc<str>,
     },
-    /// All jobs of a cutoff are done, the last one too late.
+    /// All jobs of a cutoff are completed, the last one after the cutoff.
     CutoffMissed {
         /// Name of the cutoff.
         cutoff: Arc<str>,
-        /// By how much.
+        /// How long after the cutoff the last job was completed.
         late_s: f64,
     },
     /// Jobs of underserved groups take precedence from now on.
     MinimumShareEnforced {
-        /// Jobs that take precedence.
+        /// Number of jobs that take precedence.
         jobs: usize,
-        /// The groups that are below their share.
+        /// The groups that are below their minimum share.
         groups: Vec<UnderservedGroup>,
     },
     /// No group is underserved any more.
     MinimumShareReached,
 }
 
-/// A group of jobs that is below its share.
+/// A group of jobs that is below its minimum share.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnderservedGroup {
     /// Name of the group.
     pub name: String,
-    /// Jobs done within a day.
+    /// Number of jobs that were completed within a day.
     pub done_within_day: u32,
-    /// Open jobs that should have been served by now.
+    /// Number of open jobs that should have been served by now.
     pub overdue: u32,
-    /// Jobs that must be done until the share aimed at is reached.
+    /// Number of jobs that must be completed to reach the target share.
     pub to_target_share: u32,
 }
--- a/crates/tallygauge-scheduler/src/progress.rs
+++ b/crates/tallygauge-scheduler/src/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of jobs that is to be made durable: completed tasks, and completed jobs.
+//! Progress of jobs that has to be made durable: completed tasks and completed jobs.
 
 use crate::{
     cluster_state::ClusterState,
@@ -12,23 +12,23 @@
 pub struct JobCompletion {
     /// Id of the job.
     pub job: String,
-    /// Version of its record.
+    /// Version of the job's record.
     pub version: u64,
-    /// Number of its tasks.
+    /// Number of tasks of the job.
     pub tasks: u32,
 }
 
 /// Completed tasks to be made durable in one transaction.
 #[derive(Debug, Clone)]
 pub struct ProgressFlush {
-    /// Pages to be written.
+    /// Pages to write.
     pub pages: PageFlush,
-    /// Completed tasks of each changed chunk, as the pages have them.
+    /// Completed tasks of each changed chunk, as written in the pages.
     chunks: Vec<(ChunkId, RangeSet)>,
 }
 
 impl ClusterState {
-    /// Completed jobs whose completion is not durable, at most `limit`, without those
+    /// At most `limit` completed jobs whose completion is not durable. Skips the jobs
     /// `in_flight`, whose record is being written.
     #[must_use]
     pub fn job_completions(
@@ -49,8 +49,8 @@
             .collect()
     }
 
-    /// Progress of jobs that are not complete, as much as `max_pages` and `max_bytes`
-    /// allow; nothing if all is durable.
+    /// Progress to write of jobs that are not complete, as much as `max_pages` and
+    /// `max_bytes` allow; `None` if all of it is durable.
     pub fn next_progress_flush(
         &mut self,
         max_pages: usize,
@@ -87,7 +87,8 @@
         Some(ProgressFlush { pages, chunks })
     }
 
-    /// A flush succeeded at `revision`: workers may forget its tasks.
+    /// Records that a flush succeeded at the store revision `revision`. Workers may then
+    /// forget the tasks in it.
     pub fn record_flushed(&mut self, flush: &ProgressFlush, revision: u64) {
         for write in &flush.pages.writes {
             self.completion_pages.mark_written(write, revision);
@@ -103,7 +104,7 @@
             }
             let saved = job
                 .unsaved_completions
-                .extract_if(.., |u| written.contains(u.index));
+                .extract_if(.., |completion| written.contains(completion.index));
             completions.extend(saved.map(|completion| (id.as_str(), completion)));
             if job.unsaved_chunks.is_empty() && !job.is_complete() {
                 self.jobs_with_unsaved_progress.remove(id);
@@ -114,7 +115,8 @@
         }
     }
 
-    /// The ended attempts of a task on a machine may be forgotten.
+    /// Marks the end of a task's ended attempts on a machine as durable, so that the
+    /// worker may forget them.
     fn mark_end_durable(&mut self, job_id: &str, index: u32, machine: &str) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
