--- a/crates/tallygauge-scheduler/src/attempt_accounting.rs
+++ b/crates/tallygauge-scheduler/src/attempt_accounting.rs
@@ -1,31 +1,31 @@
-//! Accounting of attempts: on workers and their free resources, in jobs, in the quota
-//! of teams and in placement batches; and the requeueing of tasks.
+//! Accounting of attempts in the free resources of workers, the counts of jobs, the quota
+//! usage of teams and the placement batches, and requeueing of tasks.
 
 use crate::{cluster_state::ClusterState, events::ClusterEvent, model::*};
 use std::collections::BTreeMap;
 use tallygauge_protocol::users::MIN_COUNTED_RUN_S;
 
-/// Decrements a count, and removes it at 0.
+/// Decrements a count, and removes its entry when it reaches 0.
 fn decrement<K: Ord + ?Sized, Q: Ord + std::borrow::Borrow<K>>(
     counts: &mut BTreeMap<Q, u32>,
     key: &K,
 ) {
-    if let Some(n) = counts.get_mut(key) {
-        *n -= 1;
-        if *n == 0 {
+    if let Some(count) = counts.get_mut(key) {
+        *count -= 1;
+        if *count == 0 {
             counts.remove(key);
         }
     }
 }
 
 impl ClusterState {
-    /// Ends all attempts of agent incarnations up to `last` on a machine.
+    /// Ends all attempts on a machine of agent incarnations up to and including `last`.
     pub(crate) fn end_incarnation(&mut self, machine: &str, last: u64, now: f64) {
-        self.end_attempts(machine, now, |h| h.incarnation <= last);
+        self.end_attempts(machine, now, |attempt| attempt.incarnation <= last);
     }
 
-    /// Ends the attempts on a machine that `is_over` selects: they are certainly over,
-    /// with their agent incarnation.
+    /// Ends the attempts on a machine that `is_over` selects. They must be certainly over,
+    /// as is their agent incarnation.
     pub(crate) fn end_attempts(
         &mut self,
         machine: &str,
@@ -43,30 +43,30 @@
                     machine: machine.to_string(),
                 });
             }
-            // An end that is not durable yet stays valid: a completed task counts as
-            // soon as its worker has reported it.
+            // An ended attempt needs nothing here, even if its end is not durable yet: a
+            // completed task counts as soon as its worker has reported it.
         }
     }
 
-    /// Releases an attempt that was removed from its machine and lost without a report,
-    /// and requeues its task.
+    /// Releases an attempt that was removed from its machine and was lost without a report
+    /// of its end, and requeues its task.
     pub(crate) fn requeue_lost(&mut self, machine: &str, attempt: &Attempt, now: f64) {
         let checkpointed_s = self.checkpoint_after_loss(attempt, now);
         self.release_attempt(machine, attempt, now);
         self.requeue(attempt, checkpointed_s, machine, 0.0);
     }
 
-    /// Run time that the last checkpoint holds when an attempt is lost without a
-    /// report, in seconds.
+    /// Run time that the last checkpoint of an attempt is assumed to hold if the attempt is
+    /// lost without a report of its end, in seconds.
     pub(crate) fn checkpoint_after_loss(&self, attempt: &Attempt, now: f64) -> f64 {
-        let every = attempt.spec.checkpoint_every_s;
-        if every <= 0.0 {
+        let interval_s = attempt.spec.checkpoint_every_s;
+        if interval_s <= 0.0 {
             return 0.0;
         }
-        attempt.checkpointed_s + (attempt.run_time_s(now) / every).floor() * every
+        attempt.checkpointed_s + (attempt.run_time_s(now) / interval_s).floor() * interval_s
     }
 
-    /// Adds an attempt to a machine, and accounts for it.
+    /// Adds an attempt to a machine and accounts for what it occupies.
     pub(crate) fn add_attempt(&mut self, machine: &str, attempt: Attempt) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
@@ -93,8 +93,8 @@
         worker.attempts.push(attempt);
     }
 
-    /// Removes the attempts from a machine that `is_selected` selects, and returns
-    /// them. Releasing them is left to the caller.
+    /// Removes the attempts that `is_selected` selects from a machine and returns them. The
+    /// caller has to release those that occupy capacity.
     pub(crate) fn remove_attempts(
         &mut self,
         machine: &str,
@@ -112,8 +112,8 @@
         removed
     }
 
-    /// Releases what an attempt occupies: resources, quota, counts of its job and its
-    /// batch. To be called once for each attempt.
+    /// Releases what an attempt occupies: resources, quota, and its place in the counts of
+    /// its job and its batch. Must be called exactly once for each attempt.
     pub(crate) fn release_attempt(&mut self, machine: &str, attempt: &Attempt, now: f64) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
@@ -144,9 +144,10 @@
         }
     }
 
-    /// Makes a task pending again, unless it is completed or also on another machine.
-    /// It resumes from `checkpointed_s` and is placed at `not_before` at the earliest;
-    /// if that is set, not on the same machine.
+    /// Makes the task of an attempt pending again, unless the task is completed or another
+    /// attempt of it occupies a machine. The task resumes from `checkpointed_s`. If
+    /// `not_before` is above 0, the task is placed at that time at the earliest, and not on
+    /// the same machine.
     pub(crate) fn requeue(
         &mut self,
         attempt: &Attempt,
@@ -165,7 +166,7 @@
         }
         job.resumable.remove(&attempt.index);
         if checkpointed_s > 0.0 || not_before > 0.0 {
-            let resume = ResumableTask {
+            let resumable = ResumableTask {
                 index: attempt.index,
                 checkpointed_s,
                 machine_type: if checkpointed_s > 0.0 {
@@ -176,7 +177,7 @@
                 not_before,
                 avoid_machine: (not_before > 0.0).then(|| machine.to_string()),
             };
-            job.resumable.insert(attempt.index, resume);
+            job.resumable.insert(attempt.index, resumable);
         } else {
             job.pending.insert(attempt.index);
         }
--- a/crates/tallygauge-scheduler/src/heartbeats.rs
+++ b/crates/tallygauge-scheduler/src/heartbeats.rs
@@ -1,8 +1,7 @@
-//! Heartbeats: which of them are accepted, in which order, and from which agent
-//! incarnation.
+//! Acceptance of heartbeats, by their order and by agent incarnation.
 //!
-//! The evidence that a heartbeat gives of its worker's reachability is in
-//! `reachability`, what it says of tasks in `task_status`.
+//! The `reachability` module evaluates what a heartbeat shows of the reachability of its
+//! worker; the `task_status` module applies the task statuses in it.
 
 use crate::{
     cluster_state::ClusterState, commands::DirectMessage, events::ClusterEvent, model::*,
@@ -11,31 +10,32 @@
 use tallygauge_health::{Arrival, SequenceMark};
 use tallygauge_protocol::workers::{Heartbeat, RESPONSE_TIMEOUT_S};
 
-/// What a heartbeat means for this controller.
+/// Outcome of a heartbeat for this controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
     /// Applied; it may be answered.
     Applied,
-    /// Older than what is known, but its worker may wait for the response.
+    /// Not applied: older than what is known, but its worker may still be waiting for the
+    /// response.
     Overtaken,
-    /// Older than what is known: a late copy, or from an agent that restarted.
-    /// Nobody waits for a response that should be kept.
+    /// Not applied: older than what is known, either a late copy or from an agent that
+    /// restarted. No agent that a response should keep alive is waiting for one.
     Stale,
-    /// From an agent incarnation that is over: a response would serve nobody.
+    /// From an agent incarnation that is over, so that a response would be of no use.
     DeadIncarnation,
-    /// It carries a higher fencing token, which is returned: this controller is the
-    /// leader no more.
+    /// Not applied: it carries a higher fencing token, which is returned. This controller
+    /// is no longer the leader.
     Deposed(u64),
 }
 
 /// How a heartbeat arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// As a request of the worker. It sends one only when it has received the
-    /// response to the one before, or given up waiting for it.
+    /// As a request of the worker. The worker sends the next one only when it has received
+    /// the response to the previous one, or has given up waiting for it.
     Periodic,
-    /// With the response to a direct message. A heartbeat response, with starts in
-    /// it, may still be on its way to the worker.
+    /// In the reply to a direct message. A heartbeat response with start commands may
+    /// still be in transit to the worker at that time.
     DirectReply,
 }
 
@@ -60,12 +60,13 @@
         let Some(is_known_incarnation) = self.record_contact(now, heartbeat, source) else {
             return HeartbeatOutcome::Stale;
         };
-        // Most heartbeats say nothing new, and should cost next to nothing.
+        // Most heartbeats contain nothing new. This fast path keeps them cheap.
         if is_known_incarnation && self.is_routine(heartbeat) {
             return HeartbeatOutcome::Applied;
         }
-        // Without our token it may come from another life of the machine that ended
-        // before this term, with higher incarnations than the one that runs our tasks.
+        // Without this leader's token the heartbeat may come from an earlier run of the
+        // agent that ended before this term, with higher incarnation numbers than the one
+        // that now runs this leader's tasks.
         if heartbeat.incarnation > 1 && heartbeat.token == self.config.term {
             self.end_incarnation(&heartbeat.machine, heartbeat.incarnation - 1, now);
         }
@@ -74,9 +75,8 @@
         HeartbeatOutcome::Applied
     }
 
-    /// Applies the heartbeat in the response to a direct message: only a live agent
-    /// sends one, with a sequence number above all that it had sent before the
-    /// message.
+    /// Applies the heartbeat in the reply to a direct message. Only a live agent replies,
+    /// with a sequence number above all that it had sent before the message.
     pub fn apply_direct_reply(
         &mut self,
         now: f64,
@@ -96,7 +96,7 @@
         self.apply_heartbeat(now, heartbeat, HeartbeatSource::DirectReply)
     }
 
-    /// Registers the heartbeat's machine if it is not known. Returns `false` if the
+    /// Registers the machine of the heartbeat if it is not known. Returns `false` if the
     /// machine is gone: a late copy of a heartbeat must not add its capacity again.
     fn ensure_registered(&mut self, heartbeat: &Heartbeat, now: f64) -> bool {
         if self.workers.contains_key(&heartbeat.machine) {
@@ -116,9 +116,9 @@
         true
     }
 
-    /// Checks that a heartbeat is newer than all that were applied, and of a live
-    /// incarnation; else returns what it means. Records the fencing token that an
-    /// accepted one shows.
+    /// Checks that a heartbeat is newer than all heartbeats applied so far, and from a live
+    /// incarnation. Records the fencing token of an accepted heartbeat, and returns the
+    /// outcome of a rejected one as the error.
     fn accept_in_order(
         &mut self,
         now: f64,
@@ -136,8 +136,8 @@
             Arrival::New => {}
             Arrival::Overtaken => return Err(HeartbeatOutcome::Overtaken),
             Arrival::Old => {
-                // A restarted agent counts from the beginning: a probe tells which
-                // of the two is alive.
+                // A restarted agent counts its messages from the beginning. A probe tells
+                // whether the new or the old agent process is alive.
                 if source == HeartbeatSource::Periodic && mark != worker.message_order.newest {
                     worker.message_order.request_liveness_probe();
                     self.needs_direct_message.insert(heartbeat.machine.clone());
@@ -151,16 +151,16 @@
             return Err(HeartbeatOutcome::DeadIncarnation);
         }
         worker.fencing_token = worker.fencing_token.max(heartbeat.token);
-        // Heartbeats that were delayed on the way arrive all at once, and show
-        // nothing of which responses their worker received.
+        // Heartbeats that were delayed in transit arrive all at once, and do not show
+        // which responses their worker received.
         if now - worker.last_heartbeat_at > self.config.heartbeat_timeout_s() {
             worker.heartbeats_steady_since = now;
         }
         Ok(())
     }
 
-    /// Records what a heartbeat says of the worker itself. Returns whether its
-    /// incarnation was known before; nothing if the worker is not known.
+    /// Records the data of a heartbeat about the worker itself. Returns whether its
+    /// incarnation was known before, or `None` if the worker is not known.
     fn record_contact(
         &mut self,
         now: f64,
@@ -202,7 +202,7 @@
         Some(is_known_incarnation)
     }
 
-    /// Whether a heartbeat of a known incarnation changes nothing.
+    /// Whether a heartbeat of a known incarnation leaves the cluster state unchanged.
     fn is_routine(&self, heartbeat: &Heartbeat) -> bool {
         self.workers.get(&heartbeat.machine).is_some_and(|worker| {
             worker.fencing_token_seen_at.is_some()
@@ -212,8 +212,8 @@
         })
     }
 
-    /// Decides what a worker needs after its heartbeat was applied: our fencing
-    /// token, or stops of what should not stay on it.
+    /// Decides what a worker needs after its heartbeat was applied: a direct message with
+    /// this leader's fencing token, or stops of attempts that should not stay on it.
     fn follow_up(&mut self, now: f64, machine: &str) {
         let Some(worker) = self.workers.get(machine) else {
             return;
@@ -226,12 +226,15 @@
         }
     }
 
-    /// A machine's agent restarted, and its tasks are gone. Its sequence numbers are
-    /// those of another life, so nothing more of this incarnation is accepted. The
-    /// agent goes on with the next incarnation after a lease, as it is not answered
-    /// until then. Attempts that its own heartbeat `evidence` (with our token) lacks
-    /// are requeued at once, except those whose start may yet arrive: they are kept
-    /// until the incarnation is over.
+    /// Handles the restart of a machine's agent, whose tasks are gone.
+    ///
+    /// The restarted agent counts its messages anew, so nothing more of this incarnation is
+    /// accepted. It is not answered either, so that it continues with the next incarnation
+    /// after a lease.
+    ///
+    /// `evidence` is a heartbeat of the restarted agent, if there is one. If it carries this
+    /// leader's token, the attempts that it does not report are requeued at once, except
+    /// those whose start may still arrive: they are kept until the incarnation is over.
     fn handle_agent_restart(&mut self, machine: &str, evidence: Option<&Heartbeat>, now: f64) {
         let term = self.config.term;
         let Some(worker) = self.workers.get_mut(machine) else {
@@ -263,8 +266,8 @@
 }
 
 impl Worker {
-    /// Takes over the remaining time of a spot notice, which never grows. Returns
-    /// whether the notice is new.
+    /// Updates the reclaim time from the remaining seconds of a spot notice. While a notice
+    /// persists, the reclaim time never moves later. Returns whether the notice is new.
     fn update_spot_notice(&mut self, notice_s: Option<f64>, now: f64) -> bool {
         let is_new = notice_s.is_some() && self.spot_reclaim_at.is_none();
         self.spot_reclaim_at = match (notice_s, self.spot_reclaim_at) {
@@ -275,7 +278,7 @@
         is_new
     }
 
-    /// Marks the present incarnation as dead and clears what was known of the agent.
+    /// Marks the current incarnation as dead and clears what was known of the agent.
     fn reset_for_agent_restart(&mut self, fencing_token: u64, now: f64) {
         self.last_dead_incarnation = self.last_dead_incarnation.max(self.incarnation);
         self.incarnation_seen_at = now;
@@ -288,7 +291,7 @@
     }
 }
 
-/// A heartbeat's position among its agent's messages.
+/// Position of a heartbeat in the sequence of its agent's messages.
 fn sequence_mark(heartbeat: &Heartbeat) -> SequenceMark {
     SequenceMark {
         incarnation: heartbeat.incarnation,
--- a/crates/tallygauge-scheduler/src/task_end.rs
+++ b/crates/tallygauge-scheduler/src/task_end.rs
@@ -1,26 +1,27 @@
-//! What follows from the end of an attempt: its task is completed, or requeued.
+//! Handling of the end of an attempt: its task is completed or requeued.
 
 use crate::{cluster_state::ClusterState, model::*};
 use tallygauge_protocol::{users::Shape, workers::EndCause};
 
-/// Failed jobs on one machine, without a success between, that make it faulty.
+/// Number of different jobs with failed attempts on a machine, without a completed task
+/// in between, that makes the machine count as faulty.
 const FAULTY_AFTER_FAILED_JOBS: usize = 2;
 
-/// Most consecutive failures of a job that are counted.
+/// Upper bound of the count of consecutive failures of a job.
 const MAX_CONSECUTIVE_FAILURES: u32 = 64;
 
-/// Consecutive failures of a job per doubling of its tasks' backoff.
+/// Number of consecutive failures of a job that doubles the backoff of its tasks.
 const FAILURES_PER_DOUBLING: u32 = 4;
 
-/// Most doublings of the backoff.
+/// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// Heartbeat intervals until a task is placed again whose start was refused.
+/// Backoff of a task after a worker refused to start it, in heartbeat intervals.
 const REFUSED_BACKOFF_INTERVALS: f64 = 0.5;
 
 impl ClusterState {
-    /// Handles the end of an attempt, which is at `position` of its worker and was
-    /// released there.
+    /// Handles the end of an attempt that has been released. `position` is its index in the
+    /// attempts of its worker.
     pub(crate) fn handle_task_end(
         &mut self,
         now: f64,
@@ -37,7 +38,7 @@
             self.stop_duplicates(attempt, now);
             return;
         }
-        // Any other end needs nothing durable: the task is simply requeued.
+        // Any other end requires no durable write: the task is just requeued.
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.attempts[position].end_durable = true;
         }
@@ -63,7 +64,8 @@
         }
     }
 
-    /// A task of an open job is done. Its end becomes durable with its chunk.
+    /// Records that a task of an open job is completed. Its end becomes durable when its
+    /// chunk is written.
     fn record_task_completed(&mut self, machine: &str, position: usize, attempt: &Attempt) {
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.failed_jobs.clear();
@@ -79,7 +81,7 @@
         if job.completed.insert(attempt.index) {
             job.unsaved_chunks.insert(chunk);
         }
-        // If it was completed under an earlier leader, its end is durable already.
+        // The end is already durable if the task was completed under an earlier leader.
         if job.unsaved_chunks.contains(&chunk) {
             job.unsaved_completions.push(UnsavedCompletion {
                 index: attempt.index,
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Stops the other attempts of a completed task. They are rare.
+    /// Decides to stop the other attempts of a completed task, which are rare.
     fn stop_duplicates(&mut self, completed: &Attempt, now: f64) {
         let machines: Vec<String> = match self.jobs.get(&completed.spec.id) {
             Some(job) if job.attempts_by_task.contains_key(&completed.index) => {
@@ -117,9 +119,9 @@
         }
     }
 
-    /// Requeues the task of a failed attempt with a backoff. The first failures are
-    /// likely the machine's fault and cost little; a job that fails everywhere must
-    /// not keep machines busy.
+    /// Requeues the task of a failed attempt with a backoff. The backoff is short at first,
+    /// because the first failures are likely caused by the machine and cost little. It
+    /// grows because a job that fails everywhere must not keep machines busy.
     fn requeue_failed(&mut self, now: f64, machine: &str, attempt: &Attempt) {
         let failures = match self.jobs.get_mut(&attempt.spec.id) {
             Some(job) => {
@@ -135,7 +137,8 @@
         self.requeue(attempt, checkpointed_s, machine, now + backoff_s);
     }
 
-    /// A job failed on a machine: one on which several do is faulty.
+    /// Records that a task of a job failed on a machine. A machine on which several jobs
+    /// fail is returned as faulty.
     fn record_failure_on(&mut self, machine: &str, job_id: &str, now: f64) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
--- a/crates/tallygauge-scheduler/src/task_status.rs
+++ b/crates/tallygauge-scheduler/src/task_status.rs
@@ -1,5 +1,5 @@
-//! What heartbeats say of tasks: attempts that are absent, run, or have ended, and
-//! those that no leader placed.
+//! Task statuses in heartbeats: attempts that run, have ended or are absent, and attempts
+//! that no leader placed.
 
 use crate::{
     cluster_state::ClusterState, events::ClusterEvent, heartbeats::HeartbeatSource, model::*,
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use tallygauge_protocol::workers::{EndCause, Heartbeat, TaskState, TaskStatus};
 
-/// Lowest fetch rate that fetch times are estimated with, in GB per second.
+/// Lower bound of the fetch rate in estimates of fetch times, in GB per second.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 impl ClusterState {
@@ -29,9 +29,9 @@
         }
     }
 
-    /// Requeues the tasks of attempts that a heartbeat should show but does not.
-    /// Without our fencing token it proves nothing: an older start may still be
-    /// executed after it.
+    /// Requeues the tasks of attempts that a heartbeat should report but does not. A
+    /// heartbeat without this leader's fencing token does not prove that an attempt is
+    /// absent: an earlier start command may still be executed after the heartbeat was sent.
     fn requeue_absent(&mut self, now: f64, heartbeat: &Heartbeat, source: HeartbeatSource) {
         let machine = heartbeat.machine.as_str();
         let is_fenced = heartbeat.token == self.config.term;
@@ -44,8 +44,9 @@
             let is_reported = reported
                 .get(&attempt.number)
                 .is_some_and(|status| attempt.has_task_name(&status.task));
-            // A later incarnation than an agent with our token has reached belongs to
-            // another life of it: it has restarted since.
+            // An attempt of an earlier leader may be recorded with a higher incarnation
+            // than that of an agent with this leader's token. That incarnation belongs to
+            // an earlier run of the agent, which has restarted since.
             let is_comparable = attempt.incarnation == heartbeat.incarnation || attempt.restored;
             !is_reported
                 && is_fenced
@@ -58,6 +59,8 @@
         }
     }
 
+    /// Applies the status of one attempt, or appends the attempt to `orphans` if it is
+    /// neither known nor can be adopted.
     fn apply_task_status(
         &mut self,
         now: f64,
@@ -90,9 +93,9 @@
         }
     }
 
-    /// Position of a reported attempt among those of its worker. One that is on no
-    /// leader's record is adopted if its job is open, so that it is accounted for;
-    /// else there is none, and it is to be stopped and cleared.
+    /// Index of a reported attempt in the attempts of its worker. An attempt that is not
+    /// known is adopted if its job is open, so that it is accounted for. Otherwise returns
+    /// `None`, and the worker is to be told to stop and forget the attempt.
     fn find_or_adopt_attempt(
         &mut self,
         now: f64,
@@ -112,7 +115,7 @@
         let spec = job.spec.clone();
         let attempt = Attempt::restored(spec, index, status.attempt, incarnation, now);
         self.add_attempt(machine, attempt);
-        // It must be recorded, or the next leader would not know of it.
+        // Without a durable record, the next leader would not know of the attempt.
         if status.state != TaskState::Ended {
             self.unbatched_attempts.push(UnbatchedAttempt {
                 worker: machine.to_string(),
@@ -123,7 +126,7 @@
         Some(worker.attempts.len() - 1)
     }
 
-    /// A heartbeat shows that an attempt has not ended.
+    /// Applies a status which shows that an attempt has not ended.
     fn apply_observed_state(&mut self, now: f64, machine: &str, position: usize, state: TaskState) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
@@ -140,7 +143,7 @@
         }
         let is_running = matches!(state, TaskState::Running | TaskState::Saving);
         if is_running && attempt.running_since.is_none() {
-            // After a failover the start is known from the placement.
+            // After a failover the best known start time is that of the placement.
             attempt.running_since = Some(if attempt.restored {
                 attempt.placed_at
             } else {
@@ -171,7 +174,7 @@
         }
     }
 
-    /// A heartbeat shows for the first time that an attempt has ended.
+    /// Applies the first status which shows that an attempt has ended.
     fn apply_end(&mut self, now: f64, machine: &str, position: usize, status: &TaskStatus) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
@@ -193,12 +196,12 @@
     }
 }
 
-/// Whether an attempt is lost when a heartbeat does not show it, by its phase.
+/// Whether an attempt in its phase counts as lost if a heartbeat does not report it.
 fn is_lost_when_absent(attempt: &Attempt, source: HeartbeatSource) -> bool {
     match attempt.phase {
         AttemptPhase::Planned => false,
-        // A start of this term is sent again until a heartbeat shows it, unless the
-        // attempt is not wanted any more.
+        // A start command of this term is sent again until a heartbeat reports the
+        // attempt, unless the attempt is to be stopped.
         AttemptPhase::Recorded => {
             attempt.restored || (attempt.stop.is_some() && source == HeartbeatSource::Periodic)
         }
@@ -206,8 +209,9 @@
     }
 }
 
-/// Whether a heartbeat shows a worker's attempts just as they are known, all of them
-/// and no others, and none of them is waited for.
+/// Whether a heartbeat reports exactly the known attempts of a worker, each in its known
+/// state, and none of them is to be stopped or has a start time that is still to be
+/// recorded.
 pub(crate) fn is_unchanged(worker: &Worker, statuses: &[TaskStatus]) -> bool {
     worker.orphaned_attempts.is_empty()
         && worker.attempts.len() == statuses.len()
@@ -225,7 +229,7 @@
         })
 }
 
-/// Job id and task number in a task's name on the wire.
+/// Parses the name of a task on the wire into job id and task number.
 fn parse_task_name(name: &str) -> Option<(&str, u32)> {
     let (job_id, index) = name.rsplit_once('/')?;
     Some((job_id, index.parse().ok()?))
