--- a/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
@@ -113,7 +113,7 @@
     // The next leader, on another steady clock, finds the same.
     let text = serde_json::to_string(cluster.deadline_tracker()).unwrap();
     let mut next = ClusterState::new(config(), 7000.0, 16, 4096);
-    next.set_machine_types(&types());
+    next.set_machine_types(&machine_types());
     next.set_time_of_day(7000.0, DAY + 15.0);
     next.set_cutoff_rules(rules, false);
     next.restore_deadline_tracker(serde_json::from_str(&text).unwrap());
--- a/crates/tallygauge-scheduler/src/tests/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/tests/image_locality.rs
@@ -35,7 +35,7 @@
     cache_image(&mut old, "l-3", "llm", 18.0);
     cache_image(&mut old, "l-4", "small", 0.1);
     let mut cluster = ClusterState::new(config(), 200.0, 16, 4096);
-    cluster.set_machine_types(&types());
+    cluster.set_machine_types(&machine_types());
     for part in old.image_locations(1.0, 2000, 2) {
         assert_eq!(cluster.restore_image_locations(&part), 0);
     }
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -116,7 +116,7 @@
     );
     let other = if first == "sa" { "s2b" } else { "sa" };
     let s = spec(1, 1, 1.0);
-    let t = &types()[0];
+    let t = &machine_types()[0];
     let fetch = |c: &ClusterState, on: &str, now| {
         c.workers[on]
             .images
@@ -150,7 +150,7 @@
         HeartbeatSource::Periodic,
     );
     assert!(round(&mut c, 101.0).is_empty());
-    c.set_machine_types(&types());
+    c.set_machine_types(&machine_types());
     assert_eq!(c.workers["sa"].free_resources.cpus, 2.5);
     assert_eq!(round(&mut c, 101.0).len(), 1);
 }
--- a/crates/tallygauge-scheduler/src/tests/mod.rs
+++ b/crates/tallygauge-scheduler/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the cluster state, and their shared helpers.
+//! Tests of the cluster state and their shared helpers.
 
 mod attempt_lifecycle;
 mod batch_deadlines;
@@ -24,6 +24,7 @@
     workers::{Command, EndCause, Heartbeat, TaskState, TaskStatus},
 };
 
+/// Term, and so fencing token, of the leader under test.
 const TERM: u64 = 3;
 
 fn config() -> Config {
@@ -60,20 +61,23 @@
     }
 }
 
-fn types() -> Vec<MachineType> {
-    let of = |name: &str, cpus: f64, fetch: f64| MachineType {
+fn machine_types() -> Vec<MachineType> {
+    let machine_type = |name: &str, cpus: f64, fetch_gb_per_s: f64| MachineType {
         name: name.into(),
         cpus,
         gpus: 0.0,
         memory_gb: cpus * 4.0,
         cache_gb: 20.0,
-        fetch_gb_per_s: fetch,
+        fetch_gb_per_s,
         price: cpus / 10.0,
         spot_price: cpus / 25.0,
         boot_s: 30.0,
         zones: vec!["a".into(), "b".into()],
     };
-    vec![of("small", 4.0, 0.8), of("large", 16.0, 0.3)]
+    vec![
+        machine_type("small", 4.0, 0.8),
+        machine_type("large", 16.0, 0.3),
+    ]
 }
 
 fn spec(number: usize, tasks: u32, cpus: f64) -> JobSpec {
@@ -101,6 +105,9 @@
     }
 }
 
+/// A heartbeat from a machine whose name determines what it is: a name that starts with
+/// `l` is a large machine, one that ends with `b` is in zone `b`, and one that contains
+/// `s` is a spot instance.
 fn heartbeat_from(
     machine: &str,
     incarnation: u64,
@@ -108,11 +115,11 @@
     token: u64,
     tasks: Vec<TaskStatus>,
 ) -> Heartbeat {
-    let large = machine.starts_with('l');
+    let is_large = machine.starts_with('l');
     Heartbeat {
         machine: machine.into(),
         endpoint: format!("{machine}:1"),
-        machine_type: if large { "large" } else { "small" }.into(),
+        machine_type: if is_large { "large" } else { "small" }.into(),
         zone: if machine.ends_with('b') { "b" } else { "a" }.into(),
         spot: machine.contains('s'),
         incarnation,
@@ -133,44 +140,51 @@
     }
 }
 
+/// A cluster in which each of the machines has sent its first heartbeat.
 fn cluster(machines: &[&str], now: f64) -> ClusterState {
-    let mut c = ClusterState::new(config(), now, 16, 4096);
-    c.set_machine_types(&types());
-    for m in machines {
+    let mut cluster = ClusterState::new(config(), now, 16, 4096);
+    cluster.set_machine_types(&machine_types());
+    for machine in machines {
         assert_eq!(
-            c.apply_heartbeat(
+            cluster.apply_heartbeat(
                 now,
-                &heartbeat_from(m, 1, 1, TERM, vec![]),
+                &heartbeat_from(machine, 1, 1, TERM, vec![]),
                 HeartbeatSource::Periodic
             ),
             HeartbeatOutcome::Applied
         );
     }
-    c
+    cluster
 }
 
-/// Plans, and makes all of it durable. Returns placements in order.
-fn round(c: &mut ClusterState, now: f64) -> Vec<(String, u32, String)> {
-    c.run_round(now, true);
-    let mut out = Vec::new();
-    for w in c.workers.values() {
-        for h in w
+/// Runs a scheduling round and makes its placements durable. Returns job id, task number
+/// and worker of each placement, in the order of the attempt numbers.
+fn round(cluster: &mut ClusterState, now: f64) -> Vec<(String, u32, String)> {
+    cluster.run_round(now, true);
+    let mut placements = Vec::new();
+    for worker in cluster.workers.values() {
+        for attempt in worker
             .attempts
             .iter()
-            .filter(|h| h.phase == AttemptPhase::Planned)
+            .filter(|attempt| attempt.phase == AttemptPhase::Planned)
         {
-            out.push((h.number, (h.spec.id.clone(), h.index, w.name.clone())));
+            placements.push((
+                attempt.number,
+                (attempt.spec.id.clone(), attempt.index, worker.name.clone()),
+            ));
         }
     }
-    out.sort();
-    for batch in c.take_placement_batches(4096, 60, 0.0) {
-        c.record_batch_committed(&batch, now);
+    placements.sort();
+    for batch in cluster.take_placement_batches(4096, 60, 0.0) {
+        cluster.record_batch_committed(&batch, now);
     }
-    out.into_iter().map(|o| o.1).collect()
+    placements.into_iter().map(|numbered| numbered.1).collect()
 }
 
-fn start_commands(c: &ClusterState, worker: &str, now: f64) -> Vec<(String, u64)> {
-    c.commands(worker, now)
+/// Task name and attempt number of each start command that a worker is due.
+fn start_commands(cluster: &ClusterState, worker: &str, now: f64) -> Vec<(String, u64)> {
+    cluster
+        .commands(worker, now)
         .into_iter()
         .filter_map(|command| match command {
             Command::Start { task, attempt } => Some((task, attempt)),
@@ -179,7 +193,7 @@
         .collect()
 }
 
-/// What an earlier leader left: the first task of `req-1` on worker `sa`.
+/// A placement batch of an earlier leader: the first task of `req-1` on worker `sa`.
 fn earlier_leader_batch() -> PlacementBatchRecord {
     PlacementBatchRecord {
         placed_at: 0,
--- a/crates/tallygauge-scheduler/src/tests/plain_model.rs
+++ b/crates/tallygauge-scheduler/src/tests/plain_model.rs
@@ -50,7 +50,7 @@
             workers: cluster.workers.clone().into_iter().collect(),
             cpus_used: cluster.config.teams.iter().map(team).collect(),
             waiting: waiting.collect(),
-            largest: types().iter().map(|t| t.cpus).fold(0.0, f64::max),
+            largest: machine_types().iter().map(|t| t.cpus).fold(0.0, f64::max),
             contended: cluster.contended_cpus(&cluster.pending_groups(now).groups),
             is_overdue_start: false,
             out: Vec::new(),
@@ -114,7 +114,7 @@
         free.cpus -= job.spec.cpus;
         free.memory_gb -= job.spec.memory_gb;
         let w = self.workers.get_mut(&name).unwrap();
-        let t = types();
+        let t = machine_types();
         let t = t.iter().find(|t| t.name == w.machine_type).unwrap();
         w.images.request_for(&job.spec, t, self.now);
         self.out.push((id, index, name));
