--- a/crates/tallygauge-scheduler/src/tests/mod.rs
+++ b/crates/tallygauge-scheduler/src/tests/mod.rs
@@ -62,13 +62,13 @@
 }
 
 fn machine_types() -> Vec<MachineType> {
-    let machine_type = |name: &str, cpus: f64, fetch_gb_per_s: f64| MachineType {
+    let machine_type = |name: &str, cpus: f64, fetch_rate: f64| MachineType {
         name: name.into(),
         cpus,
         gpus: 0.0,
         memory_gb: cpus * 4.0,
         cache_gb: 20.0,
-        fetch_gb_per_s,
+        fetch_gb_per_s: fetch_rate,
         price: cpus / 10.0,
         spot_price: cpus / 25.0,
         boot_s: 30.0,
@@ -110,8 +110,8 @@
 /// `s` is a spot instance.
 fn heartbeat_from(
     machine: &str,
-    incarnation: u64,
-    sequence: u64,
+    agent_incarnation: u64,
+    sequence_number: u64,
     token: u64,
     tasks: Vec<TaskStatus>,
 ) -> Heartbeat {
@@ -122,8 +122,8 @@
         machine_type: if is_large { "large" } else { "small" }.into(),
         zone: if machine.ends_with('b') { "b" } else { "a" }.into(),
         spot: machine.contains('s'),
-        incarnation,
-        sequence,
+        incarnation: agent_incarnation,
+        sequence: sequence_number,
         token,
         spot_notice_s: None,
         tasks,
