--- a/crates/tallygauge-scheduler/examples/overload/day/settings.rs
+++ b/crates/tallygauge-scheduler/examples/overload/day/settings.rs
@@ -28,7 +28,7 @@
         heartbeat_interval_s: HEARTBEAT_INTERVAL_S,
         lease_s: LEASE_S,
         cancel_timeout_s: 50.0,
-        fence_s: 20.0,
+        fencing_timeout_s: 20.0,
         list_lag_s: 5.0,
         clock_drift: 0.0005,
         min_remaining_s: 5.0,
--- a/crates/tallygauge-scheduler/examples/scale.rs
+++ b/crates/tallygauge-scheduler/examples/scale.rs
@@ -30,7 +30,7 @@
         heartbeat_interval_s: 4.0,
         lease_s: 26.0,
         cancel_timeout_s: 50.0,
-        fence_s: 20.0,
+        fencing_timeout_s: 20.0,
         list_lag_s: 5.0,
         clock_drift: 0.0005,
         min_remaining_s: 5.0,
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -146,7 +146,7 @@
         let last_renewal = worker.fencing_token_seen_at.unwrap_or_else(|| {
             // An earlier leader may have answered until it had to stop as it could not
             // confirm its term.
-            self.term_started_at + self.config.with_clock_drift(self.config.fence_s)
+            self.term_started_at + self.config.with_clock_drift(self.config.fencing_timeout_s)
         });
         worker
             .lease_renewed_at
--- a/crates/tallygauge-scheduler/src/model/config.rs
+++ b/crates/tallygauge-scheduler/src/model/config.rs
@@ -32,7 +32,7 @@
     /// Time within which the tasks of a cancelled job must have ended.
     pub cancel_timeout_s: f64,
     /// How long a leader that cannot confirm its term keeps answering workers.
-    pub fence_s: f64,
+    pub fencing_timeout_s: f64,
     /// Nominal time by which the cloud's machine list lags behind.
     pub list_lag_s: f64,
     /// Maximum drift between two steady clocks, as a fraction of the elapsed time.
