--- a/crates/tallygauge-scheduler/src/attempt_accounting.rs
+++ b/crates/tallygauge-scheduler/src/attempt_accounting.rs
@@ -155,7 +155,10 @@
         machine: &str,
         not_before: f64,
     ) {
-        let machine_type = self.workers.get(machine).map(|w| w.machine_type.clone());
+        let machine_type = self
+            .workers
+            .get(machine)
+            .map(|worker| worker.machine_type.clone());
         let Some(job) = self.jobs.get_mut(&attempt.spec.id) else {
             return;
         };
--- a/crates/tallygauge-scheduler/src/cluster_state.rs
+++ b/crates/tallygauge-scheduler/src/cluster_state.rs
@@ -172,7 +172,11 @@
                 continue;
             };
             worker.free_resources = Resources::of_type(machine_type);
-            for attempt in worker.attempts.iter().filter(|a| a.occupies_capacity()) {
+            for attempt in worker
+                .attempts
+                .iter()
+                .filter(|attempt| attempt.occupies_capacity())
+            {
                 worker.free_resources.add_scaled(&attempt.spec, -1.0);
             }
         }
@@ -216,7 +220,11 @@
                 continue;
             };
             self.needs_direct_message.insert(machine.clone());
-            for attempt in worker.attempts.iter_mut().filter(|a| a.spec.id == id) {
+            for attempt in worker
+                .attempts
+                .iter_mut()
+                .filter(|attempt| attempt.spec.id == id)
+            {
                 if attempt.is_ended() {
                     attempt.end_durable = true;
                 } else {
--- a/crates/tallygauge-scheduler/src/model/config.rs
+++ b/crates/tallygauge-scheduler/src/model/config.rs
@@ -107,9 +107,9 @@
         seconds * (1.0 + 2.0 * self.clock_drift) + self.timing_margin_s()
     }
 
-    /// How much evidence makes a machine suspected or unreachable. The responses that
-    /// follow tell a single lost response from an unreachable machine: within a lease,
-    /// and not before three heartbeats.
+    /// How much evidence keeps new tasks away from a machine, and how much makes it count as
+    /// unreachable. A single lost response is told from an unreachable machine by the
+    /// responses that follow it: within a lease, and not before three heartbeats.
     #[must_use]
     pub fn reachability_thresholds(&self) -> ReachabilityThresholds {
         ReachabilityThresholds {
@@ -123,7 +123,7 @@
     /// Index of the team in [`Config::teams`].
     #[must_use]
     pub fn team_index(&self, name: &str) -> Option<usize> {
-        self.teams.iter().position(|t| t.name == name)
+        self.teams.iter().position(|team| team.name == name)
     }
 }
 
--- a/crates/tallygauge-scheduler/src/model/feasibility.rs
+++ b/crates/tallygauge-scheduler/src/model/feasibility.rs
@@ -15,7 +15,7 @@
     UnknownTeam(String),
     /// One task of an array job, or all tasks of a service, exceed the quota of the team.
     #[error("the job needs more CPUs or GPUs at a time than the quota of team '{0}' allows")]
-    OverTeamLimit(String),
+    ExceedsTeamQuota(String),
     /// No machine type that fits a task is both allowed by the job and offered in a zone
     /// that the job allows.
     #[error("no machine type and zone that the job allows fits one of its tasks")]
@@ -41,7 +41,7 @@
         return Err(InfeasibleJob::UnknownTeam(spec.team.clone()));
     };
     if exceeds_quota(spec, team) {
-        return Err(InfeasibleJob::OverTeamLimit(spec.team.clone()));
+        return Err(InfeasibleJob::ExceedsTeamQuota(spec.team.clone()));
     }
     let zones = fitting_zones(spec, machine_types);
     if zones.is_empty() {
--- a/crates/tallygauge-scheduler/src/model/job.rs
+++ b/crates/tallygauge-scheduler/src/model/job.rs
@@ -83,7 +83,7 @@
     pub unstarted: RangeSet,
     /// The cutoff that it has to meet, if any.
     pub cutoff: Option<CutoffWindow>,
-    /// Time of day when it was accepted, from its record.
+    /// Unix time at which it was accepted, in seconds, from its record.
     pub accepted_time_of_day: Option<f64>,
     /// How far its utility is raised towards that of the next priority, from 0 (not at
     /// all) to 1 (as far as a boost goes).
@@ -161,17 +161,22 @@
     ) -> bool {
         let types = self.spec.machine_types.as_ref();
         (self.spec.spot || !spot)
-            && types.is_none_or(|t| t.iter().any(|name| name == machine_type))
+            && types.is_none_or(|allowed| allowed.iter().any(|name| name == machine_type))
             && self.allows_zone(zone, tasks_by_zone)
     }
 
     /// Whether another task may be placed in a zone, given the number of the job's tasks
     /// in each zone.
     fn allows_zone(&self, zone: &str, tasks_by_zone: &BTreeMap<String, u32>) -> bool {
-        if self.spec.zone.as_ref().is_some_and(|z| z != zone) {
+        if self
+            .spec
+            .zone
+            .as_ref()
+            .is_some_and(|required| required != zone)
+        {
             return false;
         }
-        if self.spec.one_zone && tasks_by_zone.keys().any(|z| z != zone) {
+        if self.spec.one_zone && tasks_by_zone.keys().any(|occupied| occupied != zone) {
             return false;
         }
         if self.spec.spread {
--- a/crates/tallygauge-scheduler/src/model/records.rs
+++ b/crates/tallygauge-scheduler/src/model/records.rs
@@ -7,7 +7,7 @@
 /// changed, and removed when all its attempts have ended.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct PlacementBatchRecord {
-    /// Time of day of the placements, in seconds.
+    /// Unix time of the placements, in seconds.
     #[serde(rename = "t")]
     pub placed_at: u64,
     /// Lowest attempt number in the batch. Attempt numbers are stored as offsets from it.
--- a/crates/tallygauge-scheduler/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -242,9 +242,9 @@
     /// Marks an image as the most recently used one, and evicts the least recently used
     /// images while the total exceeds `cache_gb`. The image itself is never evicted.
     pub(crate) fn mark_used(&mut self, image: &str, gb: f64, cache_gb: f64) {
-        self.cached.retain(|i| i.0 != image);
+        self.cached.retain(|cached| cached.0 != image);
         self.cached.push((image.to_string(), gb));
-        let mut total: f64 = self.cached.iter().map(|i| i.1).sum();
+        let mut total: f64 = self.cached.iter().map(|cached| cached.1).sum();
         while total > cache_gb && self.cached.len() > 1 {
             total -= self.cached.remove(0).1;
         }
@@ -256,10 +256,14 @@
         if let Some(fetched_at) = self.fetching.get(image) {
             return (fetched_at - now).max(0.0);
         }
-        if self.cached.iter().any(|i| i.0 == image) {
+        if self.cached.iter().any(|cached| cached.0 == image) {
             return 0.0;
         }
-        let queue_s = self.fetching.values().fold(now, |a, b| a.max(*b)) - now;
+        let queue_s = self
+            .fetching
+            .values()
+            .fold(now, |latest, fetched_at| latest.max(*fetched_at))
+            - now;
         queue_s + gb / gb_per_s.max(1e-3)
     }
 
@@ -290,7 +294,7 @@
             .iter()
             .any(|attempt| attempt.occupies_capacity() && attempt.spec.image == image);
         if !is_needed && self.fetching.remove(image).is_some() {
-            self.cached.retain(|i| i.0 != image);
+            self.cached.retain(|cached| cached.0 != image);
         }
     }
 }
--- a/crates/tallygauge-scheduler/src/progress.rs
+++ b/crates/tallygauge-scheduler/src/progress.rs
@@ -58,7 +58,7 @@
     ) -> Option<ProgressFlush> {
         let mut changed: Vec<ChunkId> = Vec::new();
         for id in &self.jobs_with_unsaved_progress {
-            if let Some(job) = self.jobs.get(id).filter(|j| !j.is_complete()) {
+            if let Some(job) = self.jobs.get(id).filter(|job| !job.is_complete()) {
                 changed.extend(job.unsaved_chunks.iter().map(|chunk| ChunkId {
                     job: id.clone(),
                     chunk: *chunk,
