--- a/crates/tallygauge-scheduler/src/task_status.rs
+++ b/crates/tallygauge-scheduler/src/task_status.rs
@@ -136,9 +136,8 @@
         attempt.observe(state);
         let spec = &attempt.spec;
         if state == TaskState::Fetching {
-            let gb_per_s = machine_type.map_or(f64::MAX, |known| {
-                known.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
-            });
+            let gb_per_s =
+                machine_type.map_or(f64::MAX, |t| t.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S));
             let fetched_at = now + spec.image_gb / gb_per_s;
             worker.images.record_fetch(&spec.image, fetched_at);
         }
@@ -160,7 +159,7 @@
                     tasks: job.spec.tasks,
                 });
             }
-            let cache_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
+            let cache_gb = machine_type.map_or(0.0, |t| t.cache_gb);
             worker.images.fetching.remove(&spec.image);
             worker
                 .images
