--- a/crates/tallygauge-scheduler/examples/scale.rs
+++ b/crates/tallygauge-scheduler/examples/scale.rs
@@ -30,14 +30,14 @@
         heartbeat_interval_s: 4.0,
         lease_s: 26.0,
         cancel_timeout_s: 50.0,
-        fence_s: 20.0,
+        fencing_timeout_s: 20.0,
         list_lag_s: 5.0,
         clock_drift: 0.0005,
         min_remaining_s: 5.0,
-        utility: [1.0, 2.0, 8.0, 16.0],
-        late_utility: 0.1,
-        idle_boots: 1.5,
-        horizon_boots: 1.0,
+        utility_by_priority: [1.0, 2.0, 8.0, 16.0],
+        late_utility_factor: 0.1,
+        idle_timeout_boot_times: 1.5,
+        rental_horizon_boot_times: 1.0,
         class_deadline_s: HashMap::new(),
         objectives: HashMap::new(),
         minimum_share: MinimumShareConfig {
@@ -214,10 +214,10 @@
             self.heartbeats.push(took);
         }
         self.run_round(step, now);
-        for done in self.cluster.completions(1000, &BTreeSet::new()) {
+        for done in self.cluster.job_completions(1000, &BTreeSet::new()) {
             self.cluster.remove_job(&done.job, now);
         }
-        let flush = self.cluster.next_flush(24, 49_152);
+        let flush = self.cluster.next_progress_flush(24, 49_152);
         if let Some(flush) = flush.filter(|_| step.is_multiple_of(16)) {
             self.cluster.record_flushed(&flush, 1);
         }
--- a/crates/tallygauge-scheduler/src/mapping/round_state.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round_state.rs
@@ -315,7 +315,7 @@
         let machine_type = self.machine_types[slot.type_index];
         slot.images
             .to_mut()
-            .request(&job.spec, machine_type, self.now);
+            .request_for(&job.spec, machine_type, self.now);
         self.changed_slots.push(slot_index);
     }
 
--- a/crates/tallygauge-scheduler/src/scale_in.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -50,7 +50,7 @@
     /// Name of the machine.
     pub name: String,
     /// Why it is returned.
-    pub reason: LeaveReason,
+    pub reason: ReturnReason,
 }
 
 impl ClusterState {
@@ -184,7 +184,7 @@
     /// with all ends of tasks durable, and those that are given up.
     pub fn machines_to_return(&mut self, now: f64) -> Vec<ReturnableMachine> {
         let mut returnable = Vec::new();
-        let idle_boots = self.config.idle_boots;
+        let idle_timeout_boot_times = self.config.idle_timeout_boot_times;
         let settle_s = 2.0 * self.config.list_lag_s;
         for worker in self.workers.values_mut() {
             let boot_s = self
@@ -197,13 +197,13 @@
                     .idle_since
                     .max(self.term_started_at)
                     .max(worker.incarnation_seen_at);
-            if worker.leaving.is_none()
+            if worker.return_decision.is_none()
                 && is_empty
                 && worker.fencing_token_seen_at.is_some()
-                && (idle_s > boot_s * idle_boots || worker.surplus)
+                && (idle_s > boot_s * idle_timeout_boot_times || worker.surplus)
             {
-                worker.leaving = Some(LeaveDecision {
-                    reason: LeaveReason::Idle,
+                worker.return_decision = Some(ReturnDecision {
+                    reason: ReturnReason::Idle,
                     at: now,
                 });
             }
@@ -212,16 +212,16 @@
                 .attempts
                 .iter()
                 .any(|a| !a.occupies_capacity() && !a.end_durable);
-            let Some(LeaveDecision { reason, at: since }) = worker.leaving else {
+            let Some(ReturnDecision { reason, at: since }) = worker.return_decision else {
                 continue;
             };
             let is_given_up = match reason {
-                LeaveReason::Unconfirmed => true,
-                LeaveReason::BootTimeout | LeaveReason::Failed => {
+                ReturnReason::Unconfirmed => true,
+                ReturnReason::BootTimeout | ReturnReason::Failed => {
                     now - self.term_started_at > settle_s
                 }
-                LeaveReason::Silent | LeaveReason::Unreachable => now - since > settle_s,
-                LeaveReason::Faulty | LeaveReason::Slow | LeaveReason::Idle => false,
+                ReturnReason::Silent | ReturnReason::Unreachable => now - since > settle_s,
+                ReturnReason::Faulty | ReturnReason::Slow | ReturnReason::Idle => false,
             };
             if is_given_up || (is_empty && !has_unsaved_ends) {
                 returnable.push(ReturnableMachine {
--- a/crates/tallygauge-scheduler/src/tests/preemption.rs
+++ b/crates/tallygauge-scheduler/src/tests/preemption.rs
@@ -11,13 +11,13 @@
     low.priority = Priority::Low;
     cluster.add_job(low, 1, 90.0, &RangeSet::default());
     assert_eq!(round(&mut cluster, 100.0).len(), 2);
-    let started: Vec<(String, u64)> = start_of(&cluster, "sa", 100.0);
+    let started: Vec<(String, u64)> = start_commands(&cluster, "sa", 100.0);
     let running_report = |seq| {
         let tasks = started
             .iter()
             .map(|start| task(&start.0, start.1, TaskState::Running, None))
             .collect();
-        report("sa", 1, seq, TERM, tasks)
+        heartbeat_from("sa", 1, seq, TERM, tasks)
     };
     cluster.apply_heartbeat(101.0, &running_report(5), HeartbeatSource::Periodic);
     // Task 0 is almost done and so has the higher utility per time.
@@ -132,14 +132,14 @@
     cluster.add_job(low, 1, 90.0, &RangeSet::default());
     assert_eq!(round(&mut cluster, 100.0).len(), 16);
     for (seq, machine) in ["l1a", "l2b"].into_iter().enumerate() {
-        let running = start_of(&cluster, machine, 100.0);
+        let running = start_commands(&cluster, machine, 100.0);
         let running = running
             .iter()
             .map(|start| task(&start.0, start.1, TaskState::Running, None))
             .collect();
         cluster.apply_heartbeat(
             101.0,
-            &report(machine, 1, 5 + seq as u64, TERM, running),
+            &heartbeat_from(machine, 1, 5 + seq as u64, TERM, running),
             HeartbeatSource::Periodic,
         );
     }
--- a/crates/tallygauge-scheduler/src/tests/reference_model.rs
+++ b/crates/tallygauge-scheduler/src/tests/reference_model.rs
@@ -57,7 +57,7 @@
             workers: cluster.workers.clone().into_iter().collect(),
             cpus_used: cluster.config.teams.iter().map(cpus_used_by).collect(),
             pending: pending.collect(),
-            max_machine_cpus: types().iter().map(|t| t.cpus).fold(0.0, f64::max),
+            max_machine_cpus: machine_types().iter().map(|t| t.cpus).fold(0.0, f64::max),
             min_contended_cpus: cluster.min_contended_cpus(&cluster.pending_groups(now).groups),
             is_overdue_start: false,
             placements: Vec::new(),
@@ -135,12 +135,12 @@
         free.cpus -= job.spec.cpus;
         free.memory_gb -= job.spec.memory_gb;
         let worker = self.workers.get_mut(&name).unwrap();
-        let machine_types = types();
+        let machine_types = machine_types();
         let machine_type = machine_types
             .iter()
             .find(|t| t.name == worker.machine_type)
             .unwrap();
-        worker.images.request(&job.spec, machine_type, self.now);
+        worker.images.request_for(&job.spec, machine_type, self.now);
         self.placements.push((id, index, name));
     }
 
@@ -264,7 +264,7 @@
                 _ => cluster.advance_time(now),
             }
             if event == 1 { tasks.clear(); }
-            cluster.apply_heartbeat(now, &report(name, incarnations[machine_index], sequence, TERM, tasks), HeartbeatSource::Periodic);
+            cluster.apply_heartbeat(now, &heartbeat_from(name, incarnations[machine_index], sequence, TERM, tasks), HeartbeatSource::Periodic);
             for worker in cluster.workers.values() {
                 let total_cpus = if worker.machine_type == "large" { 16.0 } else { 4.0 };
                 let used_cpus: f64 = worker.attempts.iter().filter(|attempt| attempt.occupies_capacity()).map(|attempt| attempt.spec.cpus).sum();
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -68,7 +68,7 @@
         machines_up = cluster
             .workers
             .values()
-            .filter(|worker| worker.is_up())
+            .filter(|worker| worker.has_reported())
             .count(),
         cpus_starting = cpus.starting,
         cpus_fetching = cpus.fetching,
