--- a/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
@@ -17,7 +17,7 @@
     simulation.set_faults(|faults| faults.hang_writes = Some("p/1-2"));
     let second = submit_job(&simulation, &controller_a, 2, 2, 4.0, 5.0).await;
     let in_doubt = eventually(LEASE_S, async || {
-        controller_a.store.in_doubt_writes().count > 0
+        controller_a.store.indeterminate_writes().count > 0
     });
     assert!(in_doubt.await);
     let third = submit_job(&simulation, &controller_a, 3, 2, 2.0, 5.0).await;
@@ -28,7 +28,7 @@
         "it waits for the other"
     );
     assert_eq!(simulation.running_task_count(&second), 0);
-    let in_doubt = controller_a.store.in_doubt_writes();
+    let in_doubt = controller_a.store.indeterminate_writes();
     assert!(
         in_doubt.count == 1 && in_doubt.oldest_age.as_secs_f64() > 5.0,
         "{in_doubt:?}"
--- a/crates/tallygauge-store/src/client.rs
+++ b/crates/tallygauge-store/src/client.rs
@@ -3,7 +3,7 @@
 use crate::{
     Listing, RequestBudget, RequestPriority, StoreError, WatchOutcome,
     availability::Availability,
-    error::{InDoubtReason, NotExecutedReason},
+    error::{IndeterminateReason, NotExecutedReason},
     http::{HttpClient, RequestError},
     log_once::is_first_occurrence,
     retry_policy::RetryPolicy,
@@ -145,9 +145,9 @@
             Err(RequestError::NotSent) => Err(ExchangeFailure::NotExecuted(
                 NotExecutedReason::NotConnected,
             )),
-            Err(RequestError::NoResponse) => {
-                Err(ExchangeFailure::InDoubt(InDoubtReason::NoResponse))
-            }
+            Err(RequestError::NoResponse) => Err(ExchangeFailure::Indeterminate(
+                IndeterminateReason::NoResponse,
+            )),
         }
     }
 
@@ -241,14 +241,14 @@
 /// Why a request brought no answer, before it is said which request.
 pub(crate) enum ExchangeFailure {
     NotExecuted(NotExecutedReason),
-    InDoubt(InDoubtReason),
+    Indeterminate(IndeterminateReason),
 }
 
 impl ExchangeFailure {
     pub(crate) fn into_store_error(self, request: impl Into<String>) -> StoreError {
         match self {
             Self::NotExecuted(reason) => StoreError::not_executed(request, reason),
-            Self::InDoubt(reason) => StoreError::in_doubt(request, reason),
+            Self::Indeterminate(reason) => StoreError::indeterminate(request, reason),
         }
     }
 }
--- a/crates/tallygauge-store/src/commit.rs
+++ b/crates/tallygauge-store/src/commit.rs
@@ -5,13 +5,13 @@
 //! conditions on the versions it was computed from: of several attempts at most one
 //! is executed, whichever arrives first, and the conditions of one that arrives later
 //! fail. A conflict after an unanswered attempt therefore says "an earlier attempt was
-//! executed, or none ever will be"; [`CommitResult::in_doubt`] tells the caller that
+//! executed, or none ever will be"; [`CommitResult::has_indeterminate_attempt`] tells the caller that
 //! it has to read which.
 
 use crate::{
     RequestPriority, StoreClient, StoreError, TransactionOutcome,
-    error::{InDoubtReason, NotExecutedReason},
-    in_doubt::{InDoubtGuard, InDoubtSummary},
+    error::{IndeterminateReason, NotExecutedReason},
+    indeterminate::{IndeterminateGuard, IndeterminateSummary},
     transaction::describe_transaction,
 };
 use futures_util::stream::{FuturesUnordered, StreamExt};
@@ -25,7 +25,7 @@
     /// The last answer, or why there is none.
     pub outcome: Result<TransactionOutcome, StoreError>,
     /// Whether another attempt got no answer: it may have been executed.
-    pub in_doubt: bool,
+    pub has_indeterminate_attempt: bool,
     /// When the attempt that was answered was sent: the answer is no older.
     pub sent_at: Instant,
 }
@@ -38,7 +38,7 @@
                 describe_transaction(transaction),
                 NotExecutedReason::BudgetExhausted,
             )),
-            in_doubt: false,
+            has_indeterminate_attempt: false,
             sent_at: Instant::now(),
         }
     }
@@ -46,11 +46,11 @@
     /// The caller's timeout elapsed with attempts unanswered.
     fn deadline_exceeded(transaction: &Transaction, first_sent_at: Instant) -> Self {
         Self {
-            outcome: Err(StoreError::in_doubt(
+            outcome: Err(StoreError::indeterminate(
                 describe_transaction(transaction),
-                InDoubtReason::DeadlineExceeded,
+                IndeterminateReason::DeadlineExceeded,
             )),
-            in_doubt: true,
+            has_indeterminate_attempt: true,
             sent_at: first_sent_at,
         }
     }
@@ -143,23 +143,23 @@
             AttemptSchedule::new(timeouts, backoffs, retries.max_timeout(), first_sent_at);
         let mut attempts = FuturesUnordered::new();
         attempts.push(self.attempt(transaction));
-        let mut in_doubt_guard: Option<InDoubtGuard> = None;
+        let mut indeterminate_guard: Option<IndeterminateGuard> = None;
         let mut has_unanswered_attempt = false;
         loop {
             let wake_at = schedule.next_wake(deadline);
             tokio::select! {
                 biased;
                 Some(Attempt { sent_at, outcome }) = attempts.next(), if !attempts.is_empty() => {
-                    let in_doubt = has_unanswered_attempt || !attempts.is_empty();
+                    let has_indeterminate_attempt = has_unanswered_attempt || !attempts.is_empty();
                     match outcome {
                         Err(error) if error.may_have_executed() => has_unanswered_attempt = true,
-                        Err(_) if in_doubt => schedule.back_off(Instant::now()),
-                        outcome => return CommitResult { outcome, in_doubt, sent_at },
+                        Err(_) if has_indeterminate_attempt => schedule.back_off(Instant::now()),
+                        outcome => return CommitResult { outcome, has_indeterminate_attempt, sent_at },
                     }
                 }
                 () = tokio::time::sleep_until(wake_at) => {
                     let now = Instant::now();
-                    in_doubt_guard.get_or_insert_with(|| retries.in_doubt.enter(first_sent_at));
+                    indeterminate_guard.get_or_insert_with(|| retries.indeterminate_writes.enter(first_sent_at));
                     if deadline.is_some_and(|deadline| now >= deadline) {
                         return CommitResult::deadline_exceeded(transaction, first_sent_at);
                     }
@@ -189,7 +189,7 @@
 
     /// The transactions in doubt now, for the operators' summary.
     #[must_use]
-    pub fn in_doubt_writes(&self) -> InDoubtSummary {
-        self.retries.in_doubt.summary()
+    pub fn indeterminate_writes(&self) -> IndeterminateSummary {
+        self.retries.indeterminate_writes.summary()
     }
 }
--- a/crates/tallygauge-store/src/error.rs
+++ b/crates/tallygauge-store/src/error.rs
@@ -19,11 +19,11 @@
     /// May have been executed, or may yet be: the caller has to read what is
     /// stored before it relies on either.
     #[error("{request} is in doubt, the key-value store may have executed it: {reason}")]
-    InDoubt {
+    Indeterminate {
         /// The request: its path, or the keys of a transaction.
         request: String,
         /// Why there is no usable answer.
-        reason: InDoubtReason,
+        reason: IndeterminateReason,
     },
     /// Answered, but the answer can't be decoded: in doubt as well.
     #[error("answer of the key-value store about {key} can't be decoded: {source}")]
@@ -41,7 +41,7 @@
     pub fn may_have_executed(&self) -> bool {
         match self {
             Self::NotExecuted { .. } => false,
-            Self::InDoubt { .. } | Self::Malformed { .. } => true,
+            Self::Indeterminate { .. } | Self::Malformed { .. } => true,
         }
     }
 
@@ -52,8 +52,8 @@
         }
     }
 
-    pub(crate) fn in_doubt(request: impl Into<String>, reason: InDoubtReason) -> Self {
-        Self::InDoubt {
+    pub(crate) fn indeterminate(request: impl Into<String>, reason: IndeterminateReason) -> Self {
+        Self::Indeterminate {
             request: request.into(),
             reason,
         }
@@ -61,7 +61,7 @@
 
     /// The store answered with a status that the request does not expect.
     pub(crate) fn unexpected_status(request: impl Into<String>, status: StatusCode) -> Self {
-        Self::in_doubt(request, InDoubtReason::UnexpectedStatus(status))
+        Self::indeterminate(request, IndeterminateReason::UnexpectedStatus(status))
     }
 }
 
@@ -87,7 +87,7 @@
 
 /// Why a request that was sent has no usable answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum InDoubtReason {
+pub enum IndeterminateReason {
     /// No whole answer within the time-out.
     #[error("no response")]
     NoResponse,
--- a/crates/tallygauge-store/src/in_doubt.rs
+++ b/crates/tallygauge-store/src/indeterminate.rs
@@ -9,7 +9,7 @@
 
 /// The transactions that are in doubt at one time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct InDoubtSummary {
+pub struct IndeterminateSummary {
     /// Their number.
     pub count: usize,
     /// Time since the oldest was first sent; zero if there is none.
@@ -18,34 +18,34 @@
 
 /// The transactions in doubt of one client. Clones share them.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct InDoubtWrites(Arc<Mutex<InDoubtSet>>);
+pub(crate) struct IndeterminateWrites(Arc<Mutex<IndeterminateSet>>);
 
 #[derive(Debug, Default)]
-struct InDoubtSet {
+struct IndeterminateSet {
     next_id: u64,
     first_sent_at: BTreeMap<u64, Instant>,
 }
 
-impl InDoubtWrites {
+impl IndeterminateWrites {
     /// Counts a transaction first sent at `first_sent_at` as in doubt until the
     /// guard is dropped.
-    pub(crate) fn enter(&self, first_sent_at: Instant) -> InDoubtGuard {
+    pub(crate) fn enter(&self, first_sent_at: Instant) -> IndeterminateGuard {
         let mut set = self.0.lock().expect("in-doubt lock");
         let id = set.next_id;
         set.next_id += 1;
         set.first_sent_at.insert(id, first_sent_at);
         drop(set);
-        InDoubtGuard {
+        IndeterminateGuard {
             writes: self.clone(),
             id,
         }
     }
 
     /// The transactions in doubt now.
-    pub(crate) fn summary(&self) -> InDoubtSummary {
+    pub(crate) fn summary(&self) -> IndeterminateSummary {
         let set = self.0.lock().expect("in-doubt lock");
         let oldest = set.first_sent_at.values().min();
-        InDoubtSummary {
+        IndeterminateSummary {
             count: set.first_sent_at.len(),
             oldest_age: oldest.map_or(Duration::ZERO, |sent_at| sent_at.elapsed()),
         }
@@ -54,12 +54,12 @@
 
 /// Guard of one transaction in doubt: dropping it, also when the caller is
 /// cancelled, ends the doubt.
-pub(crate) struct InDoubtGuard {
-    writes: InDoubtWrites,
+pub(crate) struct IndeterminateGuard {
+    writes: IndeterminateWrites,
     id: u64,
 }
 
-impl Drop for InDoubtGuard {
+impl Drop for IndeterminateGuard {
     fn drop(&mut self) {
         let mut set = self.writes.0.lock().expect("in-doubt lock");
         set.first_sent_at.remove(&self.id);
--- a/crates/tallygauge-store/src/retry_policy.rs
+++ b/crates/tallygauge-store/src/retry_policy.rs
@@ -1,7 +1,7 @@
 //! When an unanswered or refused transaction is sent again: hedging time-outs,
 //! backoff after refusals, and the bound on additional attempts.
 
-use crate::{in_doubt::InDoubtWrites, round_trip::RoundTripEstimator};
+use crate::{indeterminate::IndeterminateWrites, round_trip::RoundTripEstimator};
 use backon::{BackoffBuilder, ExponentialBuilder};
 use std::{sync::Mutex, time::Duration};
 use tallygauge_protocol::state::Transaction;
@@ -30,7 +30,7 @@
 /// State that the transactions of one client share for sending again.
 pub(crate) struct RetryPolicy {
     round_trip: Mutex<RoundTripEstimator>,
-    pub(crate) in_doubt: InDoubtWrites,
+    pub(crate) indeterminate_writes: IndeterminateWrites,
     retry_budget: TpsBudget,
     /// Seed of the next transaction's jitter; without one, jitter is random.
     next_jitter_seed: Mutex<Option<u64>>,
@@ -43,7 +43,7 @@
     pub(crate) fn new(min_timeout: Duration, max_timeout: Duration) -> Self {
         Self {
             round_trip: Mutex::default(),
-            in_doubt: InDoubtWrites::default(),
+            indeterminate_writes: IndeterminateWrites::default(),
             retry_budget: TpsBudget::new(RETRY_WINDOW, MIN_RETRIES_PER_S, RETRIES_PER_TRANSACTION),
             next_jitter_seed: Mutex::default(),
             min_timeout,
--- a/crates/tallygauge-store/tests/commit_with_retries.rs
+++ b/crates/tallygauge-store/tests/commit_with_retries.rs
@@ -16,8 +16,8 @@
 };
 use tallygauge_protocol::state::{Condition, Transaction, Write};
 use tallygauge_store::{
-    InDoubtReason, NotExecutedReason, RequestBudget, RequestPriority, StoreClient, StoreError,
-    TransactionOutcome,
+    IndeterminateReason, NotExecutedReason, RequestBudget, RequestPriority, StoreClient,
+    StoreError, TransactionOutcome,
     http::{HttpClient, HttpResult, RequestError, Transport},
     round_trip::RoundTripEstimator,
 };
@@ -160,14 +160,14 @@
             conflict
         );
         // After a lost answer a conflict leaves open which attempt was executed.
-        assert_eq!(result.in_doubt, request_outcomes.len() > 1);
+        assert_eq!(result.has_indeterminate_attempt, request_outcomes.len() > 1);
         assert_eq!(store.lock().unwrap().executed, 1);
         assert!(
             started_at.elapsed() < MAX_TIMEOUT * 2,
             "{request_outcomes:?}: {:?}",
             started_at.elapsed()
         );
-        assert_eq!(client.in_doubt_writes().count, 0);
+        assert_eq!(client.indeterminate_writes().count, 0);
     }
 }
 
@@ -194,14 +194,17 @@
             ..
         })
     ));
-    assert!(!result.in_doubt && store.lock().unwrap().executed == 0);
+    assert!(!result.has_indeterminate_attempt && store.lock().unwrap().executed == 0);
     // Lost, then refused by an outage: it may have been executed, and was.
     use RequestOutcome::{AnswerLost, Answered, Refused};
     let (client, _) = self::client(&[AnswerLost, Refused, Refused, Answered], None);
     let result = client
         .commit_with_retries(RequestPriority::Users, &transaction(), None)
         .await;
-    assert!(matches!(result.outcome, Ok(TransactionOutcome::Conflict { .. })) && result.in_doubt);
+    assert!(
+        matches!(result.outcome, Ok(TransactionOutcome::Conflict { .. }))
+            && result.has_indeterminate_attempt
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -221,7 +224,7 @@
             result.outcome,
             Ok(TransactionOutcome::Conflict { .. })
         ));
-        assert!(result.in_doubt && store.lock().unwrap().executed == 1);
+        assert!(result.has_indeterminate_attempt && store.lock().unwrap().executed == 1);
     }
 }
 
@@ -248,19 +251,19 @@
             .await
     });
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let in_doubt = client.in_doubt_writes();
-    assert!(in_doubt.count == 1 && in_doubt.oldest_age >= Duration::from_millis(1900));
+    let indeterminate = client.indeterminate_writes();
+    assert!(indeterminate.count == 1 && indeterminate.oldest_age >= Duration::from_millis(1900));
     let result = commit.await.unwrap();
     assert!(matches!(
         result.outcome,
-        Err(StoreError::InDoubt {
-            reason: InDoubtReason::DeadlineExceeded,
+        Err(StoreError::Indeterminate {
+            reason: IndeterminateReason::DeadlineExceeded,
             ..
         })
     ));
-    assert!(result.in_doubt);
+    assert!(result.has_indeterminate_attempt);
     assert!(started_at.elapsed() < Duration::from_millis(3100));
-    assert_eq!(client.in_doubt_writes().count, 0);
+    assert_eq!(client.indeterminate_writes().count, 0);
 }
 
 // Additional attempts are bounded by a share of the transactions.
@@ -279,7 +282,7 @@
         })
         .collect();
     for commit in commits {
-        assert!(commit.await.unwrap().in_doubt);
+        assert!(commit.await.unwrap().has_indeterminate_attempt);
     }
     let requests = store.lock().unwrap().requests;
     // One attempt each, one retry each, and two retries a second.
--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -96,7 +96,7 @@
             }
         }
         Ok(TransactionOutcome::Conflict { .. })
-        | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => {
+        | Err(StoreError::Indeterminate { .. } | StoreError::Malformed { .. }) => {
             cluster.completion_pages.mark_in_doubt(&obsolete.pages)
         }
         Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => {}
--- a/crates/tallygauge/src/leader/election.rs
+++ b/crates/tallygauge/src/leader/election.rs
@@ -126,7 +126,7 @@
         .await;
     let term_version = match result.outcome {
         Ok(TransactionOutcome::Committed(version)) => version,
-        _ if !result.in_doubt => return None,
+        _ if !result.has_indeterminate_attempt => return None,
         // An earlier attempt may have been executed: then the records say so.
         _ => confirm_election(controller, &leader).await?,
     };
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -280,7 +280,7 @@
             }
             // A write in doubt may have been executed.
             Ok(TransactionOutcome::Conflict { .. })
-            | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => {
+            | Err(StoreError::Indeterminate { .. } | StoreError::Malformed { .. }) => {
                 self.reload_versions().await;
             }
             Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => {}
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -159,7 +159,7 @@
             }
             remove_ended_jobs(controller, batch, &failed_keys);
             // An earlier attempt that was executed is in the store by now.
-            Some(result.in_doubt && is_stored(controller, batch).await)
+            Some(result.has_indeterminate_attempt && is_stored(controller, batch).await)
         }
         Ok(TransactionOutcome::LeaseExpired) | Err(_) => Some(false),
     }
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -201,7 +201,7 @@
     controller.with_cluster(|cluster| match result.outcome {
         Ok(TransactionOutcome::Committed(revision)) => cluster.record_flushed(flush, revision),
         Ok(TransactionOutcome::Conflict { .. })
-        | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => cluster
+        | Err(StoreError::Indeterminate { .. } | StoreError::Malformed { .. }) => cluster
             .completion_pages
             .mark_flush_failed(&flush.pages, true),
         Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => cluster
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -41,7 +41,7 @@
 
 fn measure_process(controller: &Controller) -> ProcessMeasurements {
     let (now, memory_s) = (controller.now(), controller.caller_expiry_s());
-    let in_doubt = controller.store.in_doubt_writes();
+    let in_doubt = controller.store.indeterminate_writes();
     let oldest_unanswered_s = controller
         .pending_callers
         .longest_wait_s(now, memory_s)
