--- a/crates/tallygauge-store/src/budget.rs
+++ b/crates/tallygauge-store/src/budget.rs
@@ -130,7 +130,7 @@
     }
 
     /// The store answered that the limit is exceeded: saved tokens are void.
-    pub fn record_refusal(&self) {
+    pub fn record_rate_limited(&self) {
         let mut state = self.state.lock().expect("budget lock");
         state.requests.tokens = state.requests.tokens.min(0.0);
         state.writes.tokens = state.writes.tokens.min(0.0);
--- a/crates/tallygauge-store/src/budget/tests.rs
+++ b/crates/tallygauge-store/src/budget/tests.rs
@@ -25,7 +25,7 @@
         "leadership never waits"
     );
     budget.charge_failed_comparison();
-    budget.record_refusal();
+    budget.record_rate_limited();
     assert!(!budget.try_acquire(RequestPriority::Users, 0));
 }
 
--- a/crates/tallygauge-store/src/client.rs
+++ b/crates/tallygauge-store/src/client.rs
@@ -135,7 +135,7 @@
         }
         match answer {
             Ok((StatusCode::TOO_MANY_REQUESTS, _)) => {
-                self.budget.record_refusal();
+                self.budget.record_rate_limited();
                 Err(ExchangeFailure::NotExecuted(NotExecutedReason::RateLimited))
             }
             Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => {
