--- a/crates/tallygauge-store/src/error.rs
+++ b/crates/tallygauge-store/src/error.rs
@@ -82,7 +82,7 @@
     NotConnected,
     /// The store answered 400: it takes the request for malformed.
     #[error("rejected as malformed")]
-    Rejected,
+    InvalidRequest,
 }
 
 /// Why a request that was sent has no usable answer.
--- a/crates/tallygauge-store/src/transaction.rs
+++ b/crates/tallygauge-store/src/transaction.rs
@@ -70,7 +70,7 @@
             StatusCode::BAD_REQUEST if contains(&body, LEASE_EXPIRED_TEXT) => {
                 Ok(TransactionOutcome::LeaseExpired)
             }
-            StatusCode::BAD_REQUEST => Err(rejected_as_malformed(transaction, &body)),
+            StatusCode::BAD_REQUEST => Err(invalid_request(transaction, &body)),
             _ => Err(StoreError::unexpected_status(
                 describe_transaction(transaction),
                 status,
@@ -107,7 +107,7 @@
 }
 
 /// Logs and returns the error of a transaction that the store answered with 400.
-fn rejected_as_malformed(transaction: &Transaction, body: &[u8]) -> StoreError {
+fn invalid_request(transaction: &Transaction, body: &[u8]) -> StoreError {
     let (largest_key, largest_bytes) = largest_write(transaction);
     tracing::error!(
         answer = %String::from_utf8_lossy(body),
@@ -117,7 +117,7 @@
         "key-value store rejected a transaction as malformed"
     );
     let request = describe_transaction(transaction);
-    StoreError::not_executed(request, NotExecutedReason::Rejected)
+    StoreError::not_executed(request, NotExecutedReason::InvalidRequest)
 }
 
 /// The key with the longest value of a transaction, and the value's bytes.
