--- a/crates/tallygauge-records/src/lib.rs
+++ b/crates/tallygauge-records/src/lib.rs
@@ -6,13 +6,13 @@
 //! write-behind record may be lost and is rebuilt from what else is stored.
 //! [`decode`] reads a stored record back. One that is malformed or of a later version is
 //! an error that the caller logs; it never keeps a controller from leading.
-//! [`WriteBehind`] decides what is written when, many records per transaction.
+//! [`StagedRecords`] decides what is written when, many records per transaction.
 //! `docs/batch-deadlines.md` says what is stored where.
 
 mod error;
 mod record;
-mod write_behind;
+mod staging;
 
 pub use error::{DecodeError, EncodeError};
 pub use record::{Durability, Record, StoredRecord, decode, encode, record_name};
-pub use write_behind::{Entry, RecordStatus, WriteBatch, WriteBehind};
+pub use staging::{Entry, RecordStatus, StagedRecords, WriteBatch};
--- a/crates/tallygauge-records/src/write_behind.rs
+++ b/crates/tallygauge-records/src/staging.rs
@@ -69,14 +69,14 @@
 /// The records of a leader, as they should be and as far as they are durable. Bounded
 /// by the number of names and the bytes of each record.
 #[derive(Debug, Default)]
-pub struct WriteBehind {
+pub struct StagedRecords {
     pending: BTreeMap<String, PendingRecord>,
     max_record_bytes: usize,
     /// Records that were too large once, and their bytes then.
     too_large: BTreeMap<String, usize>,
 }
 
-impl WriteBehind {
+impl StagedRecords {
     /// No records yet; each may have `max_record_bytes`.
     #[must_use]
     pub fn new(max_record_bytes: usize) -> Self {
--- a/crates/tallygauge-records/src/write_behind/tests.rs
+++ b/crates/tallygauge-records/src/staging/tests.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn write_ahead_records_go_first_and_a_batch_holds_many() {
-    let mut records = WriteBehind::new(200);
+    let mut records = StagedRecords::new(200);
     for shard in 0..4 {
         assert!(records.stage(Some(shard), &behind(50), 1.0).unwrap());
     }
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_record_that_is_too_large_is_reported_once_and_the_earlier_state_stays() {
-    let mut records = WriteBehind::new(100);
+    let mut records = StagedRecords::new(100);
     assert!(records.stage(None, &behind(10), 1.0).unwrap());
     let batch = records.next_batch(9, 999, false).unwrap();
     records.mark_written(&batch, 1.0);
@@ -92,7 +92,7 @@
     // only if its last staged state is what was written last, and in the end all are.
     #[test]
     fn a_record_is_durable_only_if_its_last_staged_state_was_written(steps in prop::collection::vec((0u8..4, 0u32..3, 0u32..5), 1..60)) {
-        let mut records = WriteBehind::new(999);
+        let mut records = StagedRecords::new(999);
         let mut stored: BTreeMap<String, Value> = BTreeMap::new();
         let mut staged: BTreeMap<String, u32> = BTreeMap::new();
         let mut in_flight: Option<WriteBatch> = None;
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use std::{collections::BTreeMap, sync::Arc};
 use tallygauge_protocol::state::{Condition, KeyValue, Transaction, Write};
-use tallygauge_records::{Record, WriteBatch, WriteBehind, decode, record_name};
+use tallygauge_records::{Record, StagedRecords, WriteBatch, decode, record_name};
 use tallygauge_scheduler::{PriorityRules, RulesChange};
 use tallygauge_store::{Listing, RequestPriority, StoreError, TransactionOutcome};
 
@@ -119,7 +119,7 @@
 struct RecordWriter<'a> {
     controller: &'a Arc<Controller>,
     term_condition: &'a Condition,
-    records: WriteBehind,
+    records: StagedRecords,
     versions: BTreeMap<String, u64>,
     max_record_bytes: usize,
     status_logged_at: f64,
@@ -140,7 +140,7 @@
         Self {
             controller,
             term_condition,
-            records: WriteBehind::new(max_record_bytes),
+            records: StagedRecords::new(max_record_bytes),
             versions,
             max_record_bytes,
             status_logged_at: controller.now(),
