--- a/crates/tallygauge-store/src/availability.rs
+++ b/crates/tallygauge-store/src/availability.rs
@@ -1,11 +1,11 @@
-//! Whether the key-value store serves this controller.
+//! Availability of the key-value store, as observed by this controller.
 
 use crate::http::{HttpResult, RequestError};
 use hyper::StatusCode;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Availability of the store as seen by this controller's requests.
+/// Availability of the store, derived from the results of this controller's requests.
 #[derive(Debug, Default)]
 pub(crate) struct Availability {
     last_served_at: Option<Instant>,
@@ -13,16 +13,18 @@
 }
 
 impl Availability {
-    /// Since when no request has been served; `None` while requests are.
+    /// Time of the first failure since a request was last served; `None` while requests
+    /// are served.
     pub(crate) fn failing_since(&self) -> Option<Instant> {
         self.failing_since
     }
 
-    /// Records whether a request was served. A single lost answer says nothing about
-    /// the store while others arrive: only a whole `timeout` without one does.
-    pub(crate) fn record(&mut self, answer: &HttpResult, timeout: Duration) {
+    /// Records the result of a request. A missing response counts as a failure only if no
+    /// request has been served for at least `timeout`: a single lost response does not
+    /// mean that the store is unavailable while other responses arrive.
+    pub(crate) fn record(&mut self, response: &HttpResult, timeout: Duration) {
         let now = Instant::now();
-        let is_failure = match answer {
+        let is_failure = match response {
             Ok((StatusCode::SERVICE_UNAVAILABLE, _)) | Err(RequestError::NotSent) => true,
             Err(RequestError::NoResponse) => self
                 .last_served_at
--- a/crates/tallygauge-store/src/budget.rs
+++ b/crates/tallygauge-store/src/budget.rs
@@ -4,27 +4,29 @@
 use std::{sync::Mutex, time::Duration};
 use tokio::time::Instant;
 
-/// Part of the requests that is reserved for polls.
+/// Share of the request rate that is reserved for polls.
 const POLLS_SHARE: f64 = 0.05;
 
-/// Requests a second that are reserved for polls at the least ...
+/// Minimum rate reserved for polls, in requests per second. Capped by
+/// [`MAX_POLLS_SHARE`].
 const MIN_POLLS_PER_S: f64 = 1.0;
 
-/// ... unless that is more than this part of the requests.
+/// Upper bound on the minimum rate reserved for polls, as a share of the request rate.
 const MAX_POLLS_SHARE: f64 = 0.25;
 
-/// Requests that may wait for a permit, in seconds of the rate.
+/// Bound on the number of requests that wait for a permit at one time, in seconds of
+/// the request rate.
 const MAX_WAITING_S: f64 = 4.0;
 
-/// Pause between two tries of a request that waits for a permit.
+/// Interval at which a waiting request tries again to acquire a permit.
 const ACQUIRE_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Requests a second that are reserved for polls.
+/// Rate reserved for polls, in requests per second, at a total of `requests_per_s`.
 fn reserved_for_polls(requests_per_s: f64) -> f64 {
     (requests_per_s * POLLS_SHARE).max(MIN_POLLS_PER_S.min(requests_per_s * MAX_POLLS_SHARE))
 }
 
-/// Token bucket with a burst of one second.
+/// Token bucket. Its burst is one second's worth of tokens.
 struct TokenBucket {
     rate_per_s: f64,
     tokens: f64,
@@ -43,8 +45,8 @@
     }
 
     fn has_tokens(&self, count: f64, priority: RequestPriority) -> bool {
-        // A transaction larger than what its priority can ever accumulate must still
-        // pass once the bucket is full.
+        // A transaction that needs more tokens than its priority's share of the burst
+        // must still be admitted once the bucket is full.
         let reserve = (priority.reserved_share() * self.rate_per_s).min(self.rate_per_s - count);
         priority == RequestPriority::Leadership || self.tokens - count >= reserve
     }
@@ -53,10 +55,11 @@
 struct BudgetState {
     requests: TokenBucket,
     writes: TokenBucket,
-    /// Reserve of polls, used when the other requests leave nothing over. It holds at
-    /// most one second's worth, or one request.
+    /// Reserve for polls, used when the other priorities leave no tokens over. Holds at
+    /// most one second's worth of tokens, or one token if that is more.
     polls: TokenBucket,
     refilled_at: Instant,
+    /// Requests that wait for a permit.
     waiting: usize,
 }
 
@@ -74,7 +77,7 @@
             && (writes == 0 || self.writes.has_tokens(writes as f64, priority))
     }
 
-    /// Takes one request from the reserve of polls, if it has one.
+    /// Takes one token from the reserve for polls, if there is one.
     fn take_poll_reserve(&mut self) -> bool {
         let has_reserve = self.polls.tokens >= 1.0;
         if has_reserve {
@@ -84,14 +87,15 @@
     }
 }
 
-/// Rate limiter of requests and writes: two token buckets with a burst of one second.
+/// Rate limiter for requests and writes: one token bucket for each, with a burst of one
+/// second, and a reserve for polls.
 pub struct RequestBudget {
     state: Mutex<BudgetState>,
     max_waiting: usize,
 }
 
 impl RequestBudget {
-    /// A budget of this many requests and writes a second.
+    /// Creates a budget with these rates per second.
     #[must_use]
     pub fn new(requests_per_s: f64, writes_per_s: f64) -> Self {
         Self {
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Changes the rates, as when the controller is elected leader or steps down.
+    /// Changes the rates, for example when the controller is elected leader or steps down.
     pub fn set_rates(&self, requests_per_s: f64, writes_per_s: f64) {
         let mut state = self.state.lock().expect("budget lock");
         state.requests.rate_per_s = requests_per_s;
@@ -117,31 +121,34 @@
         state.polls.rate_per_s = reserved_for_polls(requests_per_s);
     }
 
-    /// Requests a second that this controller may make.
+    /// Request rate of this controller, in requests per second.
     #[must_use]
     pub fn request_rate(&self) -> f64 {
         self.state.lock().expect("budget lock").requests.rate_per_s
     }
 
-    /// Requests that wait for a permit.
+    /// Number of requests that wait for a permit.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.state.lock().expect("budget lock").waiting
     }
 
-    /// The store answered that the limit is exceeded: saved tokens are void.
+    /// Records that the store responded with 429 (rate limit exceeded): discards the
+    /// accumulated tokens.
     pub fn record_rate_limited(&self) {
         let mut state = self.state.lock().expect("budget lock");
         state.requests.tokens = state.requests.tokens.min(0.0);
         state.writes.tokens = state.writes.tokens.min(0.0);
     }
 
-    /// A comparison failed: the store counts it as a write.
+    /// Charges one write for a failed comparison (a transaction without writes), as the
+    /// store counts it as a write.
     pub fn charge_failed_comparison(&self) {
         self.state.lock().expect("budget lock").writes.tokens -= 1.0;
     }
 
-    /// Takes one request with this many writes if the budget has it now.
+    /// Acquires a permit for one request with this many writes if enough tokens are
+    /// available now.
     pub fn try_acquire(&self, priority: RequestPriority, writes: usize) -> bool {
         let mut state = self.state.lock().expect("budget lock");
         state.refill(Instant::now());
@@ -155,8 +162,9 @@
         is_granted
     }
 
-    /// Takes one request with this many writes, waiting for it as long as the priority
-    /// allows; `false` when the wait ended without it, or too many wait already.
+    /// Acquires a permit for one request with this many writes, waiting for at most the
+    /// priority's maximum wait. Returns `false` if the wait ended without a permit, or if
+    /// too many requests are waiting already.
     pub async fn acquire(&self, priority: RequestPriority, writes: usize) -> bool {
         if self.try_acquire(priority, writes) {
             return true;
@@ -176,8 +184,8 @@
         }
     }
 
-    /// Counts a request as waiting until the guard is dropped; `None` when too many
-    /// wait already.
+    /// Counts a request as waiting until the guard is dropped; `None` if too many
+    /// requests are waiting already.
     fn enter_queue(&self) -> Option<WaitingGuard<'_>> {
         let mut state = self.state.lock().expect("budget lock");
         if state.waiting >= self.max_waiting {
@@ -188,8 +196,8 @@
     }
 }
 
-/// Guard of one waiting request: dropping it, also when the caller is cancelled, ends
-/// the wait.
+/// Counts one waiting request. Dropping it ends the count, also when the caller's future
+/// is cancelled.
 struct WaitingGuard<'a>(&'a RequestBudget);
 
 impl Drop for WaitingGuard<'_> {
--- a/crates/tallygauge-store/src/client.rs
+++ b/crates/tallygauge-store/src/client.rs
@@ -1,4 +1,4 @@
-//! The client, how it sends a request, and reads and watches.
+//! The client: sending single requests, reads, listings and watches.
 
 use crate::{
     Listing, RequestBudget, RequestPriority, StoreError, WatchOutcome,
@@ -19,10 +19,10 @@
 use tallygauge_protocol::state::{KeyValue, ListResponse, RevisionResponse, WatchResponse};
 use tokio::time::Instant;
 
-/// Entries of one page of a listing.
+/// Maximum number of entries on one page of a listing.
 const LIST_PAGE_SIZE: usize = 1000;
 
-/// A page of a listing may take this many times the usual time-out.
+/// Timeout for one page of a listing, as a multiple of the client's request timeout.
 const LIST_TIMEOUT_FACTOR: u32 = 2;
 
 /// Client of the key-value store. Cheap to clone; clones share the request budget.
@@ -56,8 +56,8 @@
 }
 
 impl StoreClient {
-    /// A client of the store at `address`. A request times out after `timeout`; an
-    /// additional attempt of one that is sent again when needed goes out after
+    /// Creates a client of the store at `address`. A request times out after `timeout`.
+    /// A transaction that is committed with retries is sent again after
     /// `min_retry_timeout` at the earliest.
     #[must_use]
     pub fn new(
@@ -77,14 +77,15 @@
         }
     }
 
-    /// Makes the jitter of retries reproducible from a seed, for simulations. Without
-    /// it, jitter is random.
+    /// Makes the jitter of retries reproducible from a seed, for simulations. Without a
+    /// seed the jitter is random.
     pub fn seed_jitter(&self, seed: u64) {
         self.retries.seed_jitter(seed);
     }
 
-    /// Since when the store has not served this controller; `None` while it does.
-    /// An exhausted request budget does not count.
+    /// Time since which the store has not served this controller's requests; `None` while
+    /// it serves them. Requests that were not sent because the request budget was
+    /// exhausted do not count.
     #[must_use]
     pub fn failing_since(&self) -> Option<Instant> {
         let availability = self.availability.lock().expect("availability lock");
@@ -97,7 +98,7 @@
         &self.budget
     }
 
-    /// Sends one request without writes once the budget has a permit for it.
+    /// Sends one request without writes once the request budget grants a permit.
     pub(crate) async fn call<B: Serialize>(
         &self,
         priority: RequestPriority,
@@ -108,11 +109,11 @@
             let reason = NotExecutedReason::BudgetExhausted;
             return Err(StoreError::not_executed(path, reason));
         }
-        let answer = self.exchange(request).await;
-        answer.map_err(|failure| failure.into_store_error(path))
+        let response = self.exchange(request).await;
+        response.map_err(|failure| failure.into_store_error(path))
     }
 
-    /// Sends one request that the budget has been charged for.
+    /// Sends one request for which a permit has already been acquired.
     pub(crate) async fn exchange<B: Serialize>(
         &self,
         request: StoreRequest<'_, B>,
@@ -125,15 +126,15 @@
         } = request;
         let url = format!("{}{path}", self.base_url);
         let sent_at = Instant::now();
-        let answer = self.http.call(method, &url, body, timeout).await;
-        if answer.is_ok() && path == TRANSACTION_PATH {
+        let response = self.http.call(method, &url, body, timeout).await;
+        if response.is_ok() && path == TRANSACTION_PATH {
             self.retries.observe_round_trip(sent_at.elapsed());
         }
         {
             let mut availability = self.availability.lock().expect("availability lock");
-            availability.record(&answer, self.timeout);
+            availability.record(&response, self.timeout);
         }
-        match answer {
+        match response {
             Ok((StatusCode::TOO_MANY_REQUESTS, _)) => {
                 self.budget.record_rate_limited();
                 Err(ExchangeFailure::NotExecuted(NotExecutedReason::RateLimited))
@@ -141,7 +142,7 @@
             Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => {
                 Err(ExchangeFailure::NotExecuted(NotExecutedReason::Unavailable))
             }
-            Ok(answer) => Ok(answer),
+            Ok(response) => Ok(response),
             Err(RequestError::NotSent) => Err(ExchangeFailure::NotExecuted(
                 NotExecutedReason::NotConnected,
             )),
@@ -151,10 +152,10 @@
         }
     }
 
-    /// Reads one key; `None` when it does not exist.
+    /// Reads one key; `None` if it does not exist.
     ///
     /// # Errors
-    /// When the store gave no usable answer.
+    /// If there is no usable response from the store.
     pub async fn get(
         &self,
         priority: RequestPriority,
@@ -170,10 +171,10 @@
         }
     }
 
-    /// Reads all keys with a prefix, page by page, and the revision of the first page.
+    /// Lists all keys with a prefix, page by page, with the revision of the first page.
     ///
     /// # Errors
-    /// When the store gave no usable answer about one of the pages.
+    /// If there is no usable response from the store for one of the pages.
     pub async fn list(
         &self,
         priority: RequestPriority,
@@ -193,7 +194,8 @@
         }
     }
 
-    /// Reads the page of a listing that follows `last_key`, or the first.
+    /// Reads the page of a listing that starts after `last_key`; the first page if it is
+    /// `None`.
     async fn list_page(
         &self,
         priority: RequestPriority,
@@ -213,11 +215,12 @@
         decode(&path, &body)
     }
 
-    /// Waits for changes under a prefix after the revision `since`. A watch without an
-    /// answer well after `block` is given up, so that a dead connection is noticed.
+    /// Waits up to `block` for changes under a prefix after the revision `since`. If there
+    /// is no response within the request timeout after `block`, the watch fails, so that
+    /// a dead connection is detected.
     ///
     /// # Errors
-    /// When the store gave no usable answer.
+    /// If there is no usable response from the store.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -238,7 +241,7 @@
     }
 }
 
-/// Why a request brought no answer, before it is said which request.
+/// Why a request has no usable response. The caller adds which request it was.
 pub(crate) enum ExchangeFailure {
     NotExecuted(NotExecutedReason),
     Indeterminate(IndeterminateReason),
@@ -253,11 +256,11 @@
     }
 }
 
-/// Decodes an answer; the first of each kind that can't be decoded is logged.
+/// Decodes a response body. Each distinct decoding error is logged once per process.
 pub(crate) fn decode<T: DeserializeOwned>(key: &str, body: &[u8]) -> Result<T, StoreError> {
     serde_json::from_slice(body).map_err(|error| {
-        if is_first_occurrence(&format!("malformed store answer: {error}")) {
-            tracing::warn!(%error, key, "malformed answer from the key-value store, treated as none");
+        if is_first_occurrence(&format!("malformed store response: {error}")) {
+            tracing::warn!(%error, key, "malformed response from the key-value store, treated as no response");
         }
         StoreError::Malformed {
             key: key.to_string(),
--- a/crates/tallygauge-store/src/commit.rs
+++ b/crates/tallygauge-store/src/commit.rs
@@ -1,12 +1,13 @@
-//! Commits a transaction whose answer may be lost: the same transaction is sent
-//! again, as a hedged request, until an answer tells its outcome.
+//! Commits a transaction whose response may be lost: the same transaction is sent
+//! again, as a hedged request, until a response tells its outcome.
 //!
-//! Sending again is safe only because every transaction of this project carries
-//! conditions on the versions it was computed from: of several attempts at most one
-//! is executed, whichever arrives first, and the conditions of one that arrives later
-//! fail. A conflict after an unanswered attempt therefore says "an earlier attempt was
-//! executed, or none ever will be"; [`CommitResult::has_indeterminate_attempt`] tells the caller that
-//! it has to read which.
+//! Sending it again is safe only because every transaction of this project carries
+//! conditions on the versions that it was computed from. At most one of several
+//! attempts is executed, the one that arrives first; the conditions of each later one
+//! fail. A conflict after an attempt without a response therefore means that either an
+//! earlier attempt was executed or none ever will be. If
+//! [`CommitResult::has_indeterminate_attempt`] is set, the caller has to read the keys
+//! to find out which.
 
 use crate::{
     RequestPriority, StoreClient, StoreError, TransactionOutcome,
@@ -19,19 +20,21 @@
 use tallygauge_protocol::state::Transaction;
 use tokio::time::Instant;
 
-/// Result of a transaction that was sent as often as needed.
+/// Result of a transaction that was sent with retries.
 #[derive(Debug, Clone)]
 pub struct CommitResult {
-    /// The last answer, or why there is none.
+    /// Outcome from the conclusive response, or why there is none.
     pub outcome: Result<TransactionOutcome, StoreError>,
-    /// Whether another attempt got no answer: it may have been executed.
+    /// Whether an attempt other than the one that gave the outcome has no usable
+    /// response, so that it may have been executed.
     pub has_indeterminate_attempt: bool,
-    /// When the attempt that was answered was sent: the answer is no older.
+    /// When the attempt that gave the outcome was sent: the outcome reflects the store at
+    /// this time or later. After an exceeded deadline, when the first attempt was sent.
     pub sent_at: Instant,
 }
 
 impl CommitResult {
-    /// The request budget had no permit: nothing was sent.
+    /// The request budget granted no permit, so nothing was sent.
     fn not_sent(transaction: &Transaction) -> Self {
         Self {
             outcome: Err(StoreError::not_executed(
@@ -43,7 +46,7 @@
         }
     }
 
-    /// The caller's timeout elapsed with attempts unanswered.
+    /// The caller's deadline passed without a conclusive response to any attempt.
     fn deadline_exceeded(transaction: &Transaction, first_sent_at: Instant) -> Self {
         Self {
             outcome: Err(StoreError::indeterminate(
@@ -56,16 +59,17 @@
     }
 }
 
-/// One sending of a transaction that was answered or given up.
+/// A finished attempt to execute a transaction: one request, with its response or error.
 struct Attempt {
     sent_at: Instant,
     outcome: Result<TransactionOutcome, StoreError>,
 }
 
-/// When the next attempt of a transaction is due.
+/// Schedule of a transaction's attempts: when the next one is due.
 struct AttemptSchedule<T, B> {
     timeouts: T,
     backoffs: B,
+    /// Delay once `timeouts` or `backoffs` is exhausted.
     max_delay: Duration,
     next_attempt_at: Instant,
 }
@@ -75,7 +79,7 @@
     T: Iterator<Item = Duration>,
     B: Iterator<Item = Duration>,
 {
-    /// The schedule of a transaction whose first attempt is sent at `first_sent_at`.
+    /// Schedule of a transaction whose first attempt is sent at `first_sent_at`.
     fn new(timeouts: T, backoffs: B, max_delay: Duration, first_sent_at: Instant) -> Self {
         let mut schedule = Self {
             timeouts,
@@ -83,21 +87,22 @@
             max_delay,
             next_attempt_at: first_sent_at,
         };
-        schedule.await_timeout(first_sent_at);
+        schedule.schedule_after_timeout(first_sent_at);
         schedule
     }
 
-    /// An attempt was sent: the next is due when it times out.
-    fn await_timeout(&mut self, now: Instant) {
+    /// Records that an attempt was sent: the next one is due when it times out.
+    fn schedule_after_timeout(&mut self, now: Instant) {
         self.next_attempt_at = now + self.timeouts.next().unwrap_or(self.max_delay);
     }
 
-    /// An attempt was refused, or must not be sent yet.
+    /// Delays the next attempt, after the store refused one or a budget denied one.
     fn back_off(&mut self, now: Instant) {
         self.next_attempt_at = now + self.backoffs.next().unwrap_or(self.max_delay);
     }
 
-    /// When to act without an answer: at the next attempt or the deadline.
+    /// When to act if no response arrives: at the next attempt or the deadline,
+    /// whichever is earlier.
     fn next_wake(&self, deadline: Option<Instant>) -> Instant {
         deadline.map_or(self.next_attempt_at, |deadline| {
             deadline.min(self.next_attempt_at)
@@ -106,13 +111,13 @@
 }
 
 impl StoreClient {
-    /// Sends a transaction until its outcome is known, or until `timeout` is over if
-    /// one is given. The transaction's conditions must make sure that it can be
-    /// executed at most once.
+    /// Sends a transaction until its outcome is known, or until `timeout` has elapsed if
+    /// one is given. The transaction's conditions must ensure that it can be executed at
+    /// most once.
     ///
-    /// An additional attempt is sent whenever the last has had no answer for a
-    /// time-out; the first answer to any of them counts. A refusal is final while no
-    /// other attempt may have been executed.
+    /// An additional attempt is sent whenever the last one has had no response within its
+    /// timeout; the first conclusive response to any attempt counts. A refusal is
+    /// conclusive only if no other attempt may have been executed.
     pub async fn commit_with_retries(
         &self,
         priority: RequestPriority,
@@ -124,13 +129,13 @@
             return CommitResult::not_sent(transaction);
         }
         self.retries.deposit();
-        self.send_until_answered(priority, transaction, deadline)
+        self.send_until_conclusive(priority, transaction, deadline)
             .await
     }
 
-    /// Sends the first attempt, which the budget has been charged for, and further
-    /// ones until an answer is final or the deadline passes.
-    async fn send_until_answered(
+    /// Sends the first attempt, for which a permit has already been acquired, and further
+    /// attempts until a response is conclusive or the deadline passes.
+    async fn send_until_conclusive(
         &self,
         priority: RequestPriority,
         transaction: &Transaction,
@@ -144,28 +149,31 @@
         let mut attempts = FuturesUnordered::new();
         attempts.push(self.attempt(transaction));
         let mut indeterminate_guard: Option<IndeterminateGuard> = None;
-        let mut has_unanswered_attempt = false;
+        // Whether an attempt has finished with an error that leaves its outcome open.
+        let mut has_indeterminate_finished = false;
         loop {
             let wake_at = schedule.next_wake(deadline);
             tokio::select! {
                 biased;
                 Some(Attempt { sent_at, outcome }) = attempts.next(), if !attempts.is_empty() => {
-                    let has_indeterminate_attempt = has_unanswered_attempt || !attempts.is_empty();
+                    let has_indeterminate_attempt =
+                        has_indeterminate_finished || !attempts.is_empty();
                     match outcome {
-                        Err(error) if error.may_have_executed() => has_unanswered_attempt = true,
+                        Err(error) if error.may_have_executed() => has_indeterminate_finished = true,
                         Err(_) if has_indeterminate_attempt => schedule.back_off(Instant::now()),
                         outcome => return CommitResult { outcome, has_indeterminate_attempt, sent_at },
                     }
                 }
                 () = tokio::time::sleep_until(wake_at) => {
                     let now = Instant::now();
-                    indeterminate_guard.get_or_insert_with(|| retries.indeterminate_writes.enter(first_sent_at));
+                    indeterminate_guard
+                        .get_or_insert_with(|| retries.indeterminate_writes.register(first_sent_at));
                     if deadline.is_some_and(|deadline| now >= deadline) {
                         return CommitResult::deadline_exceeded(transaction, first_sent_at);
                     }
-                    if self.may_hedge(priority, transaction) {
+                    if self.try_acquire_attempt(priority, transaction) {
                         attempts.push(self.attempt(transaction));
-                        schedule.await_timeout(now);
+                        schedule.schedule_after_timeout(now);
                     } else {
                         schedule.back_off(now);
                     }
@@ -180,14 +188,16 @@
         Attempt { sent_at, outcome }
     }
 
-    /// Takes what an additional attempt needs from both budgets, if they have it.
-    fn may_hedge(&self, priority: RequestPriority, transaction: &Transaction) -> bool {
+    /// Acquires an additional attempt from the request budget and the retry budget;
+    /// `false` if one of them denies it.
+    fn try_acquire_attempt(&self, priority: RequestPriority, transaction: &Transaction) -> bool {
         self.budget()
             .try_acquire(priority, transaction.writes.len())
             && self.retries.withdraw()
     }
 
-    /// The transactions in doubt now, for the operators' summary.
+    /// Number and age of the transactions whose outcome is indeterminate now, for the
+    /// operators' summary.
     #[must_use]
     pub fn indeterminate_writes(&self) -> IndeterminateSummary {
         self.retries.indeterminate_writes.summary()
--- a/crates/tallygauge-store/src/connection_count.rs
+++ b/crates/tallygauge-store/src/connection_count.rs
@@ -1,11 +1,11 @@
-//! Count of open connections.
+//! Counter of open connections.
 
 use std::sync::{
     Arc,
     atomic::{AtomicUsize, Ordering::Relaxed},
 };
 
-/// Number of open connections. Clones share the count.
+/// Counter of open connections. Clones share the same counter.
 #[derive(Debug, Clone, Default)]
 pub struct ConnectionCount(Arc<AtomicUsize>);
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Guard of one counted connection: dropping it counts the connection as closed.
+/// One counted connection. Dropping the guard counts the connection as closed.
 #[derive(Debug)]
 pub struct ConnectionGuard(ConnectionCount);
 
--- a/crates/tallygauge-store/src/error.rs
+++ b/crates/tallygauge-store/src/error.rs
@@ -1,42 +1,46 @@
-//! Why a request to the key-value store brought no result.
+//! Errors of requests to the key-value store.
 
 use hyper::StatusCode;
 use std::sync::Arc;
 
-/// Why a request to the key-value store brought no result. Whether it may have
-/// been executed decides what the caller has to do next; ask
+/// Error of a request to the key-value store. What the caller has to do next depends
+/// on whether the request may have been executed:
 /// [`StoreError::may_have_executed`].
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum StoreError {
-    /// Certainly not executed, now or later: it is safe to forget the request.
+    /// Certainly not executed, neither by now nor later: the caller may drop the
+    /// request.
     #[error("{request} was not executed by the key-value store: {reason}")]
     NotExecuted {
         /// The request: its path, or the keys of a transaction.
         request: String,
-        /// What kept it from being executed.
+        /// Why it was not executed.
         reason: NotExecutedReason,
     },
-    /// May have been executed, or may yet be: the caller has to read what is
-    /// stored before it relies on either.
-    #[error("{request} is in doubt, the key-value store may have executed it: {reason}")]
+    /// May have been executed, or may be executed later: the caller must not assume
+    /// either before it has read what is stored.
+    #[error(
+        "outcome of {request} is indeterminate, the key-value store may have executed it: {reason}"
+    )]
     Indeterminate {
         /// The request: its path, or the keys of a transaction.
         request: String,
-        /// Why there is no usable answer.
+        /// Why there is no usable response.
         reason: IndeterminateReason,
     },
-    /// Answered, but the answer can't be decoded: in doubt as well.
-    #[error("answer of the key-value store about {key} can't be decoded: {source}")]
+    /// The store's response can't be decoded. The outcome of the request is
+    /// indeterminate as well.
+    #[error("response of the key-value store about {key} can't be decoded: {source}")]
     Malformed {
-        /// The key or request that the answer is about.
+        /// The key or request path that the response is about.
         key: String,
-        /// What the decoder expected, and where.
+        /// What the decoder expected, and at which position.
         source: Arc<serde_json::Error>,
     },
 }
 
 impl StoreError {
-    /// Whether the request may have been executed, or may yet be.
+    /// Whether the request may have been executed, or may be executed later.
     #[must_use]
     pub fn may_have_executed(&self) -> bool {
         match self {
@@ -59,42 +63,42 @@
         }
     }
 
-    /// The store answered with a status that the request does not expect.
+    /// Error of a response with a status that the request does not expect.
     pub(crate) fn unexpected_status(request: impl Into<String>, status: StatusCode) -> Self {
         Self::indeterminate(request, IndeterminateReason::UnexpectedStatus(status))
     }
 }
 
-/// What kept a request from being executed.
+/// Why a request was not executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum NotExecutedReason {
-    /// This controller's own request budget had no permit in time.
+    /// This controller's own request budget granted no permit in time.
     #[error("request budget exhausted")]
     BudgetExhausted,
-    /// The store answered 429.
+    /// The store responded with 429.
     #[error("rate limited by the store")]
     RateLimited,
-    /// The store answered 503.
+    /// The store responded with 503.
     #[error("store unavailable")]
     Unavailable,
     /// No connection was established.
     #[error("no connection to the store")]
     NotConnected,
-    /// The store answered 400: it takes the request for malformed.
+    /// The store responded with 400: it could not parse or validate the request.
     #[error("rejected as malformed")]
     InvalidRequest,
 }
 
-/// Why a request that was sent has no usable answer.
+/// Why a request that was sent has no usable response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum IndeterminateReason {
-    /// No whole answer within the time-out.
+    /// No complete response arrived within the timeout of the request.
     #[error("no response")]
     NoResponse,
-    /// The caller's timeout elapsed before any attempt was answered.
-    #[error("gave up waiting for a response")]
+    /// The caller's deadline passed before any attempt had a conclusive response.
+    #[error("deadline of the caller exceeded")]
     DeadlineExceeded,
-    /// The store answered with a status that the request does not expect.
+    /// The store responded with a status that the request does not expect.
     #[error("unexpected status {0}")]
     UnexpectedStatus(StatusCode),
 }
--- a/crates/tallygauge-store/src/http.rs
+++ b/crates/tallygauge-store/src/http.rs
@@ -1,4 +1,5 @@
-//! A small JSON-over-HTTP client with bounded time and size.
+//! JSON-over-HTTP client with bounds on the time of a request and the size of its
+//! response.
 
 mod counted_connection;
 mod driver;
@@ -20,7 +21,7 @@
 use serde::Serialize;
 use std::{sync::Arc, time::Duration};
 
-/// Idle connections that are kept per host.
+/// Maximum number of idle connections kept per host.
 const MAX_IDLE_PER_HOST: usize = 4;
 
 type NetworkClient = Client<CountingConnector, Full<Bytes>>;
@@ -36,13 +37,15 @@
 pub struct HttpClient {
     backend: Backend,
     max_response_bytes: usize,
-    open: ConnectionCount,
+    open_connections: ConnectionCount,
 }
 
 impl HttpClient {
-    /// A client that gives a connection attempt up after `connect_timeout`, closes a
-    /// connection unused for `idle_timeout`, and accepts answers of at most
-    /// `max_response_bytes`.
+    /// Creates a client with these limits:
+    ///
+    /// - An attempt to connect fails after `connect_timeout`.
+    /// - A connection is closed after it has been idle for `idle_timeout`.
+    /// - A response body may have at most `max_response_bytes`.
     #[must_use]
     pub fn new(
         connect_timeout: Duration,
@@ -53,8 +56,9 @@
         Self::with_executor(executor, connect_timeout, idle_timeout, max_response_bytes)
     }
 
-    /// The same, with connections that are driven by the caller instead of as tasks of
-    /// the runtime. No request is answered unless the driver runs.
+    /// Does what [`HttpClient::new`] does, but the connections are driven by the returned
+    /// driver instead of by tasks of the runtime. Requests make no progress unless
+    /// [`ConnectionDriver::run`] is polled.
     #[must_use]
     pub fn with_driver(
         connect_timeout: Duration,
@@ -67,13 +71,14 @@
         (client, driver)
     }
 
-    /// A client whose requests are carried by `transport` instead of the network.
+    /// Creates a client that sends its requests through `transport` instead of the
+    /// network.
     #[must_use]
     pub fn with_transport(transport: Arc<dyn Transport>) -> Self {
         Self {
             backend: Backend::Custom(transport),
             max_response_bytes: usize::MAX,
-            open: ConnectionCount::default(),
+            open_connections: ConnectionCount::default(),
         }
     }
 
@@ -89,33 +94,33 @@
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(connect_timeout));
         connector.set_nodelay(true);
-        let open = ConnectionCount::default();
+        let open_connections = ConnectionCount::default();
         let client = Client::builder(executor)
             .pool_idle_timeout(idle_timeout)
             .pool_max_idle_per_host(MAX_IDLE_PER_HOST)
             .pool_timer(TokioTimer::new())
             .build(CountingConnector {
                 connector,
-                open: open.clone(),
+                open_connections: open_connections.clone(),
             });
         Self {
             backend: Backend::Network(Box::new(client)),
             max_response_bytes,
-            open,
+            open_connections,
         }
     }
 
-    /// The count of this client's open connections.
+    /// Counter of this client's open connections.
     #[must_use]
     pub fn connection_count(&self) -> &ConnectionCount {
-        &self.open
+        &self.open_connections
     }
 
-    /// Sends one request and reads the whole answer within `timeout`.
+    /// Sends one request and reads the complete response within `timeout`.
     ///
     /// # Errors
-    /// [`RequestError::NotSent`] when no connection was established or the body can't
-    /// be encoded, [`RequestError::NoResponse`] when no whole answer came in time.
+    /// [`RequestError::NotSent`] if no connection was established or the body can't be
+    /// encoded, [`RequestError::NoResponse`] if no complete response arrived in time.
     pub async fn call<B: Serialize>(
         &self,
         method: Method,
@@ -126,8 +131,8 @@
         self.send(method, url, body, timeout, true).await
     }
 
-    /// Does what [`HttpClient::call`] does, and keeps the connection for further
-    /// requests only if `keep_alive` says so.
+    /// Does what [`HttpClient::call`] does, but closes the connection after the request
+    /// unless `keep_alive` is set.
     ///
     /// # Errors
     /// As [`HttpClient::call`].
--- a/crates/tallygauge-store/src/http/counted_connection.rs
+++ b/crates/tallygauge-store/src/http/counted_connection.rs
@@ -1,4 +1,4 @@
-//! Connections that are counted while they are open.
+//! TCP connections that are counted while they are open.
 
 use crate::connection_count::{ConnectionCount, ConnectionGuard};
 use hyper::{
@@ -18,11 +18,11 @@
 use tokio::net::TcpStream;
 use tower_service::Service;
 
-/// Connects, and counts connections from the attempt until they are closed.
+/// Connector that counts each connection from the attempt to connect until it is closed.
 #[derive(Clone)]
 pub(super) struct CountingConnector {
     pub(super) connector: HttpConnector,
-    pub(super) open: ConnectionCount,
+    pub(super) open_connections: ConnectionCount,
 }
 
 impl Service<Uri> for CountingConnector {
@@ -35,7 +35,7 @@
     }
 
     fn call(&mut self, uri: Uri) -> Self::Future {
-        let guard = self.open.acquire();
+        let guard = self.open_connections.acquire();
         let connecting = self.connector.call(uri);
         Box::pin(async move {
             let stream = connecting.await?;
@@ -47,7 +47,7 @@
     }
 }
 
-/// A connection that is counted until it is dropped.
+/// TCP connection that is counted until it is dropped.
 pub(super) struct CountedConnection {
     stream: TokioIo<TcpStream>,
     _guard: ConnectionGuard,
--- a/crates/tallygauge-store/src/http/driver.rs
+++ b/crates/tallygauge-store/src/http/driver.rs
@@ -1,17 +1,17 @@
-//! Drives the connections of a client from a task of the caller's choice.
+//! Drives a client's connections from a task that the caller chooses.
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use std::{future::Future, pin::Pin};
 use tokio::sync::mpsc;
 
-/// The work of one connection, as the HTTP implementation hands it over.
+/// Future that drives one connection, as the HTTP library passes it to its executor.
 pub(super) type ConnectionTask = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// Connections that wait for the driver to take them over; further ones are spawned as
-/// tasks of their own.
-const MAX_QUEUED: usize = 64;
+/// Capacity of the queue of connections that the driver has not yet taken. Further
+/// connections are spawned as separate tasks.
+const MAX_QUEUED_CONNECTIONS: usize = 64;
 
-/// Executor that hands the work of connections over to a [`ConnectionDriver`].
+/// Executor that passes connection futures to a [`ConnectionDriver`].
 #[derive(Clone)]
 pub(super) struct TaskQueue(mpsc::Sender<ConnectionTask>);
 
@@ -23,18 +23,19 @@
     }
 }
 
-/// The connections of a client, driven by whoever runs this: they don't queue with the
-/// other tasks of the runtime and can be given precedence.
+/// Drives a client's connections within the task that calls [`ConnectionDriver::run`].
+/// The connections then don't queue behind the other tasks of the runtime and can be
+/// given precedence.
 pub struct ConnectionDriver(mpsc::Receiver<ConnectionTask>);
 
 impl ConnectionDriver {
-    /// An executor for a client, and the driver of its connections.
+    /// Creates an executor for a client, and the driver of the client's connections.
     pub(super) fn new() -> (TaskQueue, Self) {
-        let (sender, receiver) = mpsc::channel(MAX_QUEUED);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_CONNECTIONS);
         (TaskQueue(sender), Self(receiver))
     }
 
-    /// Drives the connections for as long as the client is in use.
+    /// Drives the connections for as long as the client or a clone of it is in use.
     pub async fn run(mut self) {
         let mut connections = FuturesUnordered::new();
         loop {
--- a/crates/tallygauge-store/src/indeterminate.rs
+++ b/crates/tallygauge-store/src/indeterminate.rs
@@ -1,4 +1,5 @@
-//! Transactions in doubt: sent, not answered yet, and awaited by a caller.
+//! Transactions with an indeterminate outcome: sent, without a conclusive
+//! response so far, and still awaited by a caller.
 
 use std::{
     collections::BTreeMap,
@@ -7,16 +8,17 @@
 };
 use tokio::time::Instant;
 
-/// The transactions that are in doubt at one time.
+/// Number and age of the transactions whose outcome is indeterminate at one time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IndeterminateSummary {
-    /// Their number.
+    /// Number of transactions.
     pub count: usize,
-    /// Time since the oldest was first sent; zero if there is none.
+    /// Time since the first attempt of the oldest one was sent; zero if there is none.
     pub oldest_age: Duration,
 }
 
-/// The transactions in doubt of one client. Clones share them.
+/// Registry of one client's transactions with an indeterminate outcome. Clones share
+/// it.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct IndeterminateWrites(Arc<Mutex<IndeterminateSet>>);
 
@@ -27,10 +29,10 @@
 }
 
 impl IndeterminateWrites {
-    /// Counts a transaction first sent at `first_sent_at` as in doubt until the
-    /// guard is dropped.
-    pub(crate) fn enter(&self, first_sent_at: Instant) -> IndeterminateGuard {
-        let mut set = self.0.lock().expect("in-doubt lock");
+    /// Registers a transaction whose first attempt was sent at `first_sent_at`, until
+    /// the guard is dropped.
+    pub(crate) fn register(&self, first_sent_at: Instant) -> IndeterminateGuard {
+        let mut set = self.0.lock().expect("indeterminate writes lock");
         let id = set.next_id;
         set.next_id += 1;
         set.first_sent_at.insert(id, first_sent_at);
@@ -41,9 +43,9 @@
         }
     }
 
-    /// The transactions in doubt now.
+    /// Number and age of the transactions that are registered now.
     pub(crate) fn summary(&self) -> IndeterminateSummary {
-        let set = self.0.lock().expect("in-doubt lock");
+        let set = self.0.lock().expect("indeterminate writes lock");
         let oldest = set.first_sent_at.values().min();
         IndeterminateSummary {
             count: set.first_sent_at.len(),
@@ -52,8 +54,8 @@
     }
 }
 
-/// Guard of one transaction in doubt: dropping it, also when the caller is
-/// cancelled, ends the doubt.
+/// Registration of one transaction. Dropping it removes the transaction from the
+/// registry, also when the caller's future is cancelled.
 pub(crate) struct IndeterminateGuard {
     writes: IndeterminateWrites,
     id: u64,
@@ -61,7 +63,7 @@
 
 impl Drop for IndeterminateGuard {
     fn drop(&mut self) {
-        let mut set = self.writes.0.lock().expect("in-doubt lock");
+        let mut set = self.writes.0.lock().expect("indeterminate writes lock");
         set.first_sent_at.remove(&self.id);
     }
 }
--- a/crates/tallygauge-store/src/lease.rs
+++ b/crates/tallygauge-store/src/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: granted, renewed and revoked for the leader key.
+//! Granting, renewing and revoking the lease of the leader key.
 
 use crate::{
     RequestPriority, StoreClient, StoreError,
@@ -8,14 +8,15 @@
 use std::time::Duration;
 use tallygauge_protocol::state::{LeaseRequest, LeaseResponse};
 
-/// Time to live that is asked for when the wanted one can't be expressed.
+/// Requested time to live if the caller's does not fit into the 64-bit field.
 const FALLBACK_LEASE_TTL_MS: u64 = 600_000;
 
 impl StoreClient {
     /// Grants a lease and returns its id.
     ///
     /// # Errors
-    /// When the store gave no usable answer; a lease granted nevertheless expires.
+    /// If there is no usable response from the store. A lease that it granted all the
+    /// same expires.
     pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
         let path = "/leases";
         let body = LeaseRequest {
@@ -34,10 +35,10 @@
         decode::<LeaseResponse>(path, &body).map(|lease| lease.id)
     }
 
-    /// Renews a lease; `false` when it has expired.
+    /// Renews a lease; `false` if it has expired.
     ///
     /// # Errors
-    /// When the store gave no usable answer.
+    /// If there is no usable response from the store.
     pub async fn renew_lease(&self, lease: u64, timeout: Duration) -> Result<bool, StoreError> {
         let path = format!("/leases/{lease}/touch");
         let request = StoreRequest::without_body(Method::POST, &path, timeout);
@@ -49,10 +50,11 @@
         }
     }
 
-    /// Revokes a lease at once.
+    /// Revokes a lease before it expires.
     ///
     /// # Errors
-    /// When the store gave no usable answer; the lease expires anyway.
+    /// If there is no usable response from the store. The lease then expires on its own
+    /// at the latest.
     pub async fn revoke_lease(&self, lease: u64) -> Result<(), StoreError> {
         let path = format!("/leases/{lease}");
         let request = StoreRequest::without_body(Method::DELETE, &path, self.timeout);
--- a/crates/tallygauge-store/src/lib.rs
+++ b/crates/tallygauge-store/src/lib.rs
@@ -1,11 +1,15 @@
 //! Client of the consensus-backed key-value store: compare-and-swap transactions,
 //! leases, watches, and this controller's share of the store's rate limits.
 //!
-//! A request ends in one of three ways: it was executed, it certainly was not
-//! ([`StoreError::NotExecuted`]), or it is in doubt: without a usable answer it may
-//! have been executed, or may yet be minutes later. Callers therefore put a
-//! condition on the version of every key that a write was computed from, so that a
-//! late transaction fails.
+//! A request ends in one of three ways:
+//!
+//! - It was executed.
+//! - It was certainly not executed ([`StoreError::NotExecuted`]).
+//! - Its outcome is indeterminate, as there is no usable response: the store may have
+//!   executed it, or may still do so minutes later.
+//!
+//! Callers therefore put a condition on the version of every key that a write was
+//! computed from, so that a transaction that is executed late fails.
 
 mod availability;
 mod budget;
--- a/crates/tallygauge-store/src/log_once.rs
+++ b/crates/tallygauge-store/src/log_once.rs
@@ -1,15 +1,16 @@
-//! Log lines that are wanted once per cause.
+//! Deduplication of log lines: each cause is logged once per process.
 
 use std::{collections::BTreeSet, sync::Mutex};
 
-/// Causes that this process has logged.
+/// Causes that this process has logged so far.
 static LOGGED_CAUSES: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
 
-/// Causes that are told apart; later ones count as logged.
+/// Bound on the number of remembered causes. Further causes are treated as already
+/// logged.
 const MAX_CAUSES: usize = 100;
 
-/// Whether this is the first occurrence of a cause in this process. Callers log the
-/// cause only then.
+/// Whether this is the first occurrence of a cause in this process; records the cause.
+/// Callers log the cause only if this returns `true`.
 pub fn is_first_occurrence(cause: &str) -> bool {
     let mut logged = LOGGED_CAUSES.lock().expect("logged causes lock");
     logged.len() < MAX_CAUSES && logged.insert(cause.to_string())
--- a/crates/tallygauge-store/src/priority.rs
+++ b/crates/tallygauge-store/src/priority.rs
@@ -2,29 +2,30 @@
 
 use std::time::Duration;
 
-/// What a request is for, most important first. A priority may only use tokens that
-/// the priorities above it have left over.
+/// Purpose of a request, from the highest to the lowest priority. Each priority keeps
+/// a share of the burst free for the priorities above it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
-    /// Terms, leases and watches: never waits.
+    /// Leader terms, leases and watches; never waits for a permit.
     Leadership,
-    /// Submissions and cancellations.
+    /// Users' submissions and cancellations of jobs.
     Users,
-    /// Placements.
+    /// Placements of tasks on machines.
     Placement,
     /// Finished tasks and the removal of obsolete records.
     Progress,
-    /// What can be done without.
+    /// Optional work, which may be skipped.
     Maintenance,
-    /// Users' polls. Their number is not bounded, so they must never take what the
-    /// others need: they come last and use all that is left. A small part of the
-    /// requests is reserved for them, so that each is answered in the end however
-    /// busy the others are.
+    /// Users' polls. Their number is not bounded, so they have the lowest priority
+    /// and use what the other priorities leave over. A small share of the request
+    /// rate is reserved for polls, so that each is eventually answered however high
+    /// the load of the other priorities is.
     Polls,
 }
 
 impl RequestPriority {
-    /// Part of the burst that this priority leaves to the ones above it.
+    /// Fraction of the burst (one second's worth of tokens) that requests of this
+    /// priority must leave in the bucket for higher priorities.
     pub(crate) fn reserved_share(self) -> f64 {
         match self {
             RequestPriority::Leadership => f64::NEG_INFINITY,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// How long a request may wait for its permit.
+    /// How long a request of this priority may wait for a permit.
     pub(crate) fn max_wait(self) -> Duration {
         match self {
             RequestPriority::Leadership => Duration::ZERO,
--- a/crates/tallygauge-store/src/retry_policy.rs
+++ b/crates/tallygauge-store/src/retry_policy.rs
@@ -1,5 +1,6 @@
-//! When an unanswered or refused transaction is sent again: hedging time-outs,
-//! backoff after refusals, and the bound on additional attempts.
+//! When a transaction without a response, or one that was refused, is sent again:
+//! hedging timeouts, backoff after refusals, and the retry budget that bounds the number
+//! of additional attempts.
 
 use crate::{indeterminate::IndeterminateWrites, round_trip::RoundTripEstimator};
 use backon::{BackoffBuilder, ExponentialBuilder};
@@ -7,39 +8,44 @@
 use tallygauge_protocol::state::Transaction;
 use tower::retry::budget::{Budget as _, TpsBudget};
 
-/// Growth of the time-out from one attempt of a write to the next: a store that has
-/// become slower is given the time in the end, and lost answers cost little.
+/// Factor from the timeout of one attempt of a write to that of the next. With this
+/// growth the timeout eventually exceeds the response time of a store that has become
+/// slower, while a lost response costs little time.
 const WRITE_TIMEOUT_GROWTH: f32 = 1.25;
 
-/// The same for comparisons, which write nothing and whose callers soon give up.
+/// Factor from the timeout of one attempt of a comparison (a transaction without writes)
+/// to that of the next. No growth, as the callers of comparisons soon give up.
 const COMPARE_TIMEOUT_GROWTH: f32 = 1.0;
 
-/// Growth of the backoff after a refusal.
+/// Factor from one backoff after a refusal to the next.
 const BACKOFF_GROWTH: f32 = 2.0;
 
-/// Additional attempts allowed per transaction over a window, on average. With two
-/// answers in five lost, two thirds of an attempt are needed.
+/// Additional attempts allowed per transaction, on average over the window. If two of
+/// five responses are lost, two thirds of an additional attempt are needed on average.
 const RETRIES_PER_TRANSACTION: f32 = 1.0;
 
-/// Additional attempts a second that are allowed however few transactions there are.
+/// Additional attempts per second that are allowed regardless of the number of
+/// transactions.
 const MIN_RETRIES_PER_S: u32 = 2;
 
-/// Window over which additional attempts are counted against transactions.
+/// Window of the retry budget, over which additional attempts are compared with
+/// transactions.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// State that the transactions of one client share for sending again.
+/// State that the retries of all transactions of one client share.
 pub(crate) struct RetryPolicy {
     round_trip: Mutex<RoundTripEstimator>,
     pub(crate) indeterminate_writes: IndeterminateWrites,
     retry_budget: TpsBudget,
-    /// Seed of the next transaction's jitter; without one, jitter is random.
+    /// Seed of the next transaction's jitter; the jitter is random if this is `None`.
     next_jitter_seed: Mutex<Option<u64>>,
     min_timeout: Duration,
     max_timeout: Duration,
 }
 
 impl RetryPolicy {
-    /// A policy whose attempts time out after `min_timeout` to `max_timeout`.
+    /// Creates a policy whose attempts time out after `min_timeout` at the earliest and
+    /// `max_timeout` at the latest.
     pub(crate) fn new(min_timeout: Duration, max_timeout: Duration) -> Self {
         Self {
             round_trip: Mutex::default(),
@@ -51,28 +57,28 @@
         }
     }
 
-    /// The longest time-out and the longest backoff.
+    /// Upper bound on timeouts and backoffs.
     pub(crate) fn max_timeout(&self) -> Duration {
         self.max_timeout
     }
 
-    /// Records the round-trip time of an answered transaction.
+    /// Records the round-trip time of a transaction that received a response.
     pub(crate) fn observe_round_trip(&self, elapsed: Duration) {
         let mut round_trip = self.round_trip.lock().expect("round-trip lock");
         round_trip.observe(elapsed);
     }
 
-    /// Counts a transaction, which allows for further attempts.
+    /// Counts a transaction in the retry budget, which allows for additional attempts.
     pub(crate) fn deposit(&self) {
         self.retry_budget.deposit();
     }
 
-    /// Takes one additional attempt from the retry budget, if it has one.
+    /// Takes one additional attempt from the retry budget; `false` if it is exhausted.
     pub(crate) fn withdraw(&self) -> bool {
         self.retry_budget.withdraw()
     }
 
-    /// Time-outs of a transaction's attempts, one after the other.
+    /// Timeouts of a transaction's successive attempts.
     pub(crate) fn timeouts(
         &self,
         transaction: &Transaction,
@@ -90,8 +96,8 @@
             .build()
     }
 
-    /// Backoff before another attempt after a refusal, so that an outage brings no
-    /// storm of requests.
+    /// Backoffs before the next attempt after successive refusals, so that an outage does
+    /// not cause a retry storm.
     pub(crate) fn backoffs(&self) -> impl Iterator<Item = Duration> + use<> {
         let backoffs = ExponentialBuilder::default()
             .with_min_delay(self.min_timeout)
@@ -105,7 +111,7 @@
         }
     }
 
-    /// Makes jitter reproducible from a seed.
+    /// Makes the jitter reproducible from a seed.
     pub(crate) fn seed_jitter(&self, seed: u64) {
         *self.next_jitter_seed.lock().expect("jitter lock") = Some(seed);
     }
--- a/crates/tallygauge-store/src/round_trip.rs
+++ b/crates/tallygauge-store/src/round_trip.rs
@@ -1,5 +1,5 @@
-//! Estimate of the round-trip time to the store, and the time-out derived from it
-//! (RFC 6298: smoothed mean and mean deviation).
+//! Estimate of the round-trip time to the store, and the retransmission timeout derived
+//! from it, as in RFC 6298 (smoothed mean and mean deviation).
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 const MEAN_GAIN: f64 = 1.0 / 8.0;
 /// Weight of a new sample in the mean deviation.
 const DEVIATION_GAIN: f64 = 1.0 / 4.0;
-/// Mean deviations above the mean at which a request times out.
+/// Number of mean deviations that the timeout lies above the mean.
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
 
-/// Estimator of the round-trip time of answered requests.
+/// Estimator of the round-trip time, from requests that received a response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RoundTripEstimator {
     /// `None` before the first sample.
@@ -24,7 +24,7 @@
 }
 
 impl RoundTripEstimator {
-    /// Adds the round-trip time of an answered request.
+    /// Adds a sample: the round-trip time of a request that received a response.
     pub fn observe(&mut self, sample: Duration) {
         let sample_s = sample.as_secs_f64();
         self.estimate = Some(match self.estimate {
@@ -43,8 +43,8 @@
         });
     }
 
-    /// How long to wait for an answer before the request counts as unanswered,
-    /// between `min` and `max`. Before the first sample: their geometric mean.
+    /// How long to wait for a response before the request is sent again, between `min`
+    /// and `max`. Before the first sample this is the geometric mean of `min` and `max`.
     #[must_use]
     pub fn timeout(&self, min: Duration, max: Duration) -> Duration {
         let (min_s, max_s) = (min.as_secs_f64(), max.as_secs_f64());
--- a/crates/tallygauge-store/src/transaction.rs
+++ b/crates/tallygauge-store/src/transaction.rs
@@ -1,4 +1,4 @@
-//! Compare-and-swap transactions, sent once.
+//! Compare-and-swap transactions, each sent once, without retries.
 
 use crate::{
     RequestPriority, StoreClient, StoreError, TransactionOutcome,
@@ -8,17 +8,18 @@
 use hyper::{Method, StatusCode};
 use tallygauge_protocol::state::{ConflictResponse, RevisionResponse, Transaction, Write};
 
-/// Path of transactions; their answers tell the round-trip time.
+/// Path of transactions. The round-trip time is measured on requests to this path.
 pub(crate) const TRANSACTION_PATH: &str = "/multi";
 
-/// What the store's answer contains when a write refers to an expired lease.
+/// Text in the body of a 400 response when a write is attached to an expired lease.
 const LEASE_EXPIRED_TEXT: &[u8] = b"no such lease";
 
-/// Conditions of a transaction that an error names.
+/// Maximum number of a transaction's conditions that an error message lists.
 const MAX_DESCRIBED_CONDITIONS: usize = 3;
 
 impl StoreClient {
-    /// Takes the permit for a transaction from the request budget.
+    /// Acquires a permit for a transaction from the request budget; `false` if none was
+    /// granted in time.
     pub(crate) async fn acquire_permit(
         &self,
         priority: RequestPriority,
@@ -31,8 +32,8 @@
     /// Sends a transaction once.
     ///
     /// # Errors
-    /// [`StoreError::NotExecuted`]: certainly not committed. Any other: it may have been
-    /// committed, or may yet be.
+    /// [`StoreError::NotExecuted`] if the transaction was certainly not committed. After
+    /// any other error it may have been committed, or may be committed later.
     pub async fn transact(
         &self,
         priority: RequestPriority,
@@ -47,7 +48,7 @@
         self.send_transaction(transaction).await
     }
 
-    /// Sends a transaction that the budget has been charged for.
+    /// Sends a transaction for which a permit has already been acquired.
     pub(crate) async fn send_transaction(
         &self,
         transaction: &Transaction,
@@ -58,8 +59,8 @@
             body: Some(transaction),
             timeout: self.timeout,
         };
-        let answer = self.exchange(request).await;
-        let (status, body) = answer
+        let response = self.exchange(request).await;
+        let (status, body) = response
             .map_err(|failure| failure.into_store_error(describe_transaction(transaction)))?;
         match status {
             StatusCode::OK => {
@@ -78,19 +79,23 @@
         }
     }
 
-    /// The outcome of a transaction whose conditions failed.
+    /// Builds the outcome of a transaction whose conditions failed. The store counts a
+    /// failed comparison (a transaction without writes) as a write, so the budget is
+    /// charged for one.
     fn conflict(&self, transaction: &Transaction, body: &[u8]) -> TransactionOutcome {
         if transaction.writes.is_empty() {
             self.budget.charge_failed_comparison();
         }
-        // A conflict whose keys can't be decoded is still certainly not committed.
+        // Even if the failed keys can't be decoded, status 409 proves that the
+        // transaction was not committed.
         let failed_keys = decode::<ConflictResponse>(TRANSACTION_PATH, body)
             .map_or_else(|_| Vec::new(), |conflict| conflict.failed);
         TransactionOutcome::Conflict { failed_keys }
     }
 }
 
-/// A transaction in words, for errors: its first conditions and how much it writes.
+/// Describes a transaction for error messages: its number of writes and conditions, and
+/// its first conditions.
 pub(crate) fn describe_transaction(transaction: &Transaction) -> String {
     let conditions: Vec<String> = transaction
         .conditions
@@ -106,11 +111,11 @@
     )
 }
 
-/// Logs and returns the error of a transaction that the store answered with 400.
+/// Logs a transaction that the store rejected with 400, and returns its error.
 fn invalid_request(transaction: &Transaction, body: &[u8]) -> StoreError {
     let (largest_key, largest_bytes) = largest_write(transaction);
     tracing::error!(
-        answer = %String::from_utf8_lossy(body),
+        response = %String::from_utf8_lossy(body),
         writes = transaction.writes.len(),
         largest_key,
         largest_bytes,
@@ -120,7 +125,8 @@
     StoreError::not_executed(request, NotExecutedReason::InvalidRequest)
 }
 
-/// The key with the longest value of a transaction, and the value's bytes.
+/// Key of the transaction's longest encoded value, and the length of that value in
+/// bytes.
 fn largest_write(transaction: &Transaction) -> (&str, usize) {
     let sizes = transaction.writes.iter().map(|write| match write {
         Write::Set { key, value, .. } => (key.as_str(), value.to_string().len()),
--- a/crates/tallygauge-store/tests/commit_with_retries.rs
+++ b/crates/tallygauge-store/tests/commit_with_retries.rs
@@ -1,10 +1,7 @@
-//! Committing transactions whose answers are lost, late or refused, against a plain
-//! store that executes conditional writes.
+//! Commits of transactions when requests or responses are lost, late or refused, against
+//! a fake store that executes conditional writes.
 
-#![allow(
-    clippy::unwrap_used,
-    reason = "a test ends on a value that it does not expect"
-)]
+#![allow(clippy::unwrap_used, reason = "an unexpected value fails the test")]
 
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
@@ -26,30 +23,30 @@
 const MIN_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What happens to one request.
+/// What the fake transport does with one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum RequestOutcome {
-    /// Executed and answered.
-    Answered,
-    /// Executed, the answer is lost.
-    AnswerLost,
-    /// Neither executed nor answered.
-    Lost,
-    /// Answered 503.
+    /// Executed, with a response.
+    Responded,
+    /// Executed, but the response is lost.
+    ResponseLost,
+    /// Neither executed nor responded to.
+    RequestLost,
+    /// Not executed, responded to with 503.
     Refused,
-    /// Executed and answered after this many milliseconds.
+    /// Executed, with a response after this many milliseconds.
     Slow(u64),
-    /// Executed and answered 200 with a body that can't be decoded.
+    /// Executed, with a 200 response whose body can't be decoded.
     Malformed,
-    /// Executed and answered 500.
+    /// Executed, with a 500 response.
     ServerError,
 }
 
-/// A store with one key, written at most once.
+/// Fake store with one key, which is written at most once.
 #[derive(Default)]
 struct FakeStore {
     request_outcomes: VecDeque<RequestOutcome>,
-    /// Outcome of all requests beyond those listed.
+    /// Outcome of requests after those in `request_outcomes`; `Responded` if `None`.
     default_outcome: Option<RequestOutcome>,
     executed: u32,
     requests: u32,
@@ -67,30 +64,30 @@
         let store = self.0.clone();
         Box::pin(async move {
             tokio::time::sleep(Duration::from_millis(2)).await;
-            let (request_outcome, answer) = {
+            let (request_outcome, response) = {
                 let mut store = store.lock().unwrap();
                 store.requests += 1;
-                let default_outcome = store.default_outcome.unwrap_or(RequestOutcome::Answered);
+                let default_outcome = store.default_outcome.unwrap_or(RequestOutcome::Responded);
                 let request_outcome = store
                     .request_outcomes
                     .pop_front()
                     .unwrap_or(default_outcome);
                 let executes = !matches!(
                     request_outcome,
-                    RequestOutcome::Lost | RequestOutcome::Refused
+                    RequestOutcome::RequestLost | RequestOutcome::Refused
                 );
                 let is_first = store.executed == 0;
                 store.executed += u32::from(executes && is_first);
-                let answer = if is_first {
+                let response = if is_first {
                     (StatusCode::OK, Bytes::from_static(b"{\"epoch\":7}"))
                 } else {
                     let body = b"{\"failed\":[\"k\"],\"epoch\":7}";
                     (StatusCode::CONFLICT, Bytes::from_static(body))
                 };
-                (request_outcome, answer)
+                (request_outcome, response)
             };
             match request_outcome {
-                RequestOutcome::Answered => Ok(answer),
+                RequestOutcome::Responded => Ok(response),
                 RequestOutcome::Refused => Ok((StatusCode::SERVICE_UNAVAILABLE, Bytes::new())),
                 RequestOutcome::Malformed => Ok((StatusCode::OK, Bytes::from_static(b"{"))),
                 RequestOutcome::ServerError => {
@@ -98,9 +95,9 @@
                 }
                 RequestOutcome::Slow(ms) => {
                     tokio::time::sleep(Duration::from_millis(ms)).await;
-                    Ok(answer)
+                    Ok(response)
                 }
-                RequestOutcome::Lost | RequestOutcome::AnswerLost => {
+                RequestOutcome::RequestLost | RequestOutcome::ResponseLost => {
                     tokio::time::sleep(Duration::from_secs(3600)).await;
                     Err(RequestError::NoResponse)
                 }
@@ -140,15 +137,18 @@
     }
 }
 
-// A lost answer must not cost a whole request time-out.
+// Without hedging, a lost response would delay the commit by a whole request timeout.
 #[tokio::test(start_paused = true)]
-async fn lost_answers_are_resolved_by_hedged_attempts_and_the_write_executes_once() {
-    use RequestOutcome::{AnswerLost, Answered, Lost};
-    for (request_outcomes, conflict) in [
-        (vec![Answered], false),
-        (vec![Lost, Answered], false),
-        (vec![AnswerLost, Answered], true),
-        (vec![Lost, AnswerLost, Lost, Answered], true),
+async fn lost_responses_are_resolved_by_hedged_attempts_and_the_write_executes_once() {
+    use RequestOutcome::{RequestLost, Responded, ResponseLost};
+    for (request_outcomes, expects_conflict) in [
+        (vec![Responded], false),
+        (vec![RequestLost, Responded], false),
+        (vec![ResponseLost, Responded], true),
+        (
+            vec![RequestLost, ResponseLost, RequestLost, Responded],
+            true,
+        ),
     ] {
         let (client, store) = client(&request_outcomes, None);
         let started_at = Instant::now();
@@ -157,9 +157,10 @@
             .await;
         assert_eq!(
             matches!(result.outcome, Ok(TransactionOutcome::Conflict { .. })),
-            conflict
+            expects_conflict
         );
-        // After a lost answer a conflict leaves open which attempt was executed.
+        // After a lost response, a conflict does not tell whether this transaction was
+        // executed by an earlier attempt.
         assert_eq!(result.has_indeterminate_attempt, request_outcomes.len() > 1);
         assert_eq!(store.lock().unwrap().executed, 1);
         assert!(
@@ -172,8 +173,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_answer_counts_after_a_hedged_attempt_was_sent() {
-    let (client, store) = client(&[RequestOutcome::Slow(600)], Some(RequestOutcome::Lost));
+async fn a_slow_response_counts_after_a_hedged_attempt_was_sent() {
+    let (client, store) = client(
+        &[RequestOutcome::Slow(600)],
+        Some(RequestOutcome::RequestLost),
+    );
     let result = client
         .commit_with_retries(RequestPriority::Users, &transaction(), None)
         .await;
@@ -182,7 +186,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_refusal_is_final_only_if_no_attempt_may_have_executed() {
+async fn a_refusal_is_conclusive_only_if_no_attempt_may_have_executed() {
     let (client, store) = client(&[RequestOutcome::Refused], None);
     let result = client
         .commit_with_retries(RequestPriority::Users, &transaction(), None)
@@ -195,9 +199,10 @@
         })
     ));
     assert!(!result.has_indeterminate_attempt && store.lock().unwrap().executed == 0);
-    // Lost, then refused by an outage: it may have been executed, and was.
-    use RequestOutcome::{AnswerLost, Answered, Refused};
-    let (client, _) = self::client(&[AnswerLost, Refused, Refused, Answered], None);
+    // The first response is lost and the next attempts are refused, as in an outage: the
+    // transaction may have been executed, and was.
+    use RequestOutcome::{Refused, Responded, ResponseLost};
+    let (client, _) = self::client(&[ResponseLost, Refused, Refused, Responded], None);
     let result = client
         .commit_with_retries(RequestPriority::Users, &transaction(), None)
         .await;
@@ -208,7 +213,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unusable_answer_counts_as_possibly_executed() {
+async fn an_unusable_response_counts_as_possibly_executed() {
     for outcome in [RequestOutcome::Malformed, RequestOutcome::ServerError] {
         let (client, _) = client(&[outcome], None);
         let error = client
@@ -229,7 +234,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_refusal_counts_as_not_executed_and_names_the_conditions() {
+async fn a_refusal_counts_as_not_executed_and_its_error_names_the_conditions() {
     let (client, store) = client(&[RequestOutcome::Refused], None);
     let error = client
         .transact(RequestPriority::Users, &transaction())
@@ -240,14 +245,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn deadline_ends_in_doubt_and_the_oldest_in_doubt_write_is_reported() {
-    let (client, _) = client(&[], Some(RequestOutcome::Lost));
-    let patience = Some(Duration::from_secs(3));
+async fn an_exceeded_deadline_is_indeterminate_and_the_oldest_indeterminate_write_is_reported() {
+    let (client, _) = client(&[], Some(RequestOutcome::RequestLost));
+    let timeout = Some(Duration::from_secs(3));
     let started_at = Instant::now();
-    let other = client.clone();
+    let committing_client = client.clone();
     let commit = tokio::spawn(async move {
-        other
-            .commit_with_retries(RequestPriority::Users, &transaction(), patience)
+        committing_client
+            .commit_with_retries(RequestPriority::Users, &transaction(), timeout)
             .await
     });
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -266,17 +271,18 @@
     assert_eq!(client.indeterminate_writes().count, 0);
 }
 
-// Additional attempts are bounded by a share of the transactions.
+// Without the retry budget, all pending transactions would keep sending attempts during
+// an outage.
 #[tokio::test(start_paused = true)]
-async fn an_outage_without_answers_brings_no_retry_storm() {
-    let (client, store) = client(&[], Some(RequestOutcome::Lost));
+async fn an_outage_without_responses_causes_no_retry_storm() {
+    let (client, store) = client(&[], Some(RequestOutcome::RequestLost));
     let commits: Vec<_> = (0..40)
         .map(|_| {
             let client = client.clone();
             tokio::spawn(async move {
-                let patience = Some(Duration::from_secs(20));
+                let timeout = Some(Duration::from_secs(20));
                 client
-                    .commit_with_retries(RequestPriority::Users, &transaction(), patience)
+                    .commit_with_retries(RequestPriority::Users, &transaction(), timeout)
                     .await
             })
         })
@@ -285,7 +291,8 @@
         assert!(commit.await.unwrap().has_indeterminate_attempt);
     }
     let requests = store.lock().unwrap().requests;
-    // One attempt each, one retry each, and two retries a second.
+    // One attempt and one retry per transaction, and two retries per second for 20 s. The
+    // upper bound allows 40 requests more.
     assert!(
         (80..=40 * 2 + 20 * 2 + 40).contains(&requests),
         "{requests}"
@@ -293,21 +300,28 @@
 }
 
 #[test]
-fn the_timeout_follows_the_round_trip_times() {
+fn the_timeout_adapts_to_the_round_trip_times() {
     let mut round_trip = RoundTripEstimator::default();
-    let timeout = |r: &RoundTripEstimator| r.timeout(MIN_TIMEOUT, MAX_TIMEOUT).as_secs_f64();
-    assert!((timeout(&round_trip) - 0.447).abs() < 0.01, "before any");
+    let timeout_s =
+        |estimator: &RoundTripEstimator| estimator.timeout(MIN_TIMEOUT, MAX_TIMEOUT).as_secs_f64();
+    assert!(
+        (timeout_s(&round_trip) - 0.447).abs() < 0.01,
+        "before the first sample"
+    );
     for _ in 0..100 {
         round_trip.observe(Duration::from_millis(10));
     }
-    assert!((timeout(&round_trip) - 0.1).abs() < 1e-6, "the minimum");
-    for n in 0..100 {
-        round_trip.observe(Duration::from_millis(200 + n % 2 * 400));
+    assert!((timeout_s(&round_trip) - 0.1).abs() < 1e-6, "the minimum");
+    for i in 0..100 {
+        round_trip.observe(Duration::from_millis(200 + i % 2 * 400));
     }
-    let with_jitter = timeout(&round_trip);
-    assert!((0.8..=2.0).contains(&with_jitter), "{with_jitter}");
+    let timeout_with_jitter = timeout_s(&round_trip);
+    assert!(
+        (0.8..=2.0).contains(&timeout_with_jitter),
+        "{timeout_with_jitter}"
+    );
     for _ in 0..100 {
         round_trip.observe(Duration::from_secs(9));
     }
-    assert!((timeout(&round_trip) - 2.0).abs() < 1e-6, "the maximum");
+    assert!((timeout_s(&round_trip) - 2.0).abs() < 1e-6, "the maximum");
 }
