--- a/crates/tallygauge-records/src/error.rs
+++ b/crates/tallygauge-records/src/error.rs
@@ -1,49 +1,49 @@
-//! Why a record can't be written or read.
+//! Errors of encoding and decoding records.
 
-/// Why a record can't be written. Nothing was staged; an earlier state stays.
+/// Why a record can't be encoded or staged. The state staged before, if any, is kept.
 #[derive(Debug, thiserror::Error)]
 pub enum EncodeError {
     /// The record has fields that can't be serialized.
-    #[error("{name} can't be serialized: {source}")]
+    #[error("record {name} can't be serialized: {source}")]
     Serialize {
         /// Name of the record.
         name: String,
         /// What the serializer rejected.
         source: serde_json::Error,
     },
-    /// The record serializes to something else than an object with named fields.
-    #[error("{name} is not an object")]
+    /// The record does not serialize to an object with named fields.
+    #[error("record {name} does not serialize to an object")]
     NotAnObject {
         /// Name of the record.
         name: String,
     },
-    /// The record is longer than a value may be.
-    #[error("{name} has {bytes} bytes, more than {max_bytes}")]
+    /// The encoded record exceeds the size limit of a value.
+    #[error("record {name} has {bytes} bytes, more than the limit of {max_bytes}")]
     TooLarge {
-        /// Name of the record, with its shard.
+        /// Name of the record, including its shard.
         name: String,
-        /// Bytes of the value.
+        /// Size of the encoded record in bytes.
         bytes: usize,
-        /// Bytes that a value may have.
+        /// Size limit in bytes.
         max_bytes: usize,
     },
 }
 
-/// Why a stored record can't be read.
+/// Why a stored record can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// It has no version, or none that is a number.
-    #[error("it has no version")]
+    /// The version is missing or is not an unsigned 32-bit number.
+    #[error("record has no version")]
     MissingVersion,
-    /// It was written by a later program.
-    #[error("it is of version {version}, which is later than {supported}")]
+    /// The record was written by a later release.
+    #[error("record version {version} is later than the supported version {supported}")]
     NewerVersion {
         /// Version of the stored record.
         version: u32,
-        /// Version that this program reads.
+        /// Latest version that this release reads.
         supported: u32,
     },
-    /// Its fields are not those of the record.
-    #[error("it can't be read: {0}")]
+    /// The fields of the stored record do not match those of the record type.
+    #[error("record fields can't be decoded: {0}")]
     Fields(#[from] serde_json::Error),
 }
--- a/crates/tallygauge-records/src/record.rs
+++ b/crates/tallygauge-records/src/record.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of one record.
+//! Encoding and decoding of single records.
 
 use crate::error::{DecodeError, EncodeError};
 use serde::{Serialize, de::DeserializeOwned};
@@ -7,39 +7,43 @@
 /// Field of a stored record that holds its version.
 const VERSION_FIELD: &str = "v";
 
-/// Field of a stored record that holds the time of day when it was written.
+/// Field of a stored record that holds the wall-clock time at which it was encoded for
+/// writing.
 pub(crate) const WRITTEN_AT_FIELD: &str = "at";
 
-/// When a record must be durable.
+/// When a record has to be durable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Durability {
-    /// Before anybody acts on what it says.
+    /// Before any component acts on its content.
     WriteAhead,
-    /// Some time later: if lost, it is rebuilt from what else is stored.
+    /// At some later time. A record that is lost is rebuilt from other stored data.
     WriteBehind,
 }
 
-/// A value that is stored as an object with named fields. Fields may be added within a
-/// version, with a default; the field names `v` and `at` are reserved.
+/// A value that is stored as an object with named fields.
+///
+/// Fields may be added without a new version if they have a default. The field names `v`
+/// and `at` are reserved.
 pub trait Record: Serialize + DeserializeOwned {
-    /// Name of the record, part of its key.
+    /// Name of the record, which is part of its key.
     const NAME: &'static str;
-    /// Version of the record. A program does not read records of a later version.
+    /// Version of the record's format. Records of a later version are not read.
     const VERSION: u32;
-    /// When the record must be durable.
+    /// When the record has to be durable.
     const DURABILITY: Durability;
 }
 
-/// A record as it was read.
+/// A record as read from the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredRecord<T> {
     /// The record.
     pub record: T,
-    /// Time of day when it was written, in seconds since the epoch; 0 if unknown.
+    /// Wall-clock time at which it was written, in seconds since the Unix epoch; 0 if
+    /// unknown.
     pub written_at: f64,
 }
 
-/// Name of a record, or of one of its shards.
+/// Name of a record, or of one of its shards if `shard` is given.
 #[must_use]
 pub fn record_name<T: Record>(shard: Option<usize>) -> String {
     match shard {
@@ -48,10 +52,11 @@
     }
 }
 
-/// Decodes the value stored under a record's key; `None` when there is none.
+/// Decodes the value stored under a record's key; `None` if there is no value.
 ///
 /// # Errors
-/// When the value has no version, a later one, or other fields than the record.
+/// If the value has no version, has a later version, or has fields that do not match the
+/// record type.
 pub fn decode<T: Record>(stored: Option<Value>) -> Result<Option<StoredRecord<T>>, DecodeError> {
     let Some(value) = stored else {
         return Ok(None);
@@ -73,10 +78,11 @@
     }))
 }
 
-/// Encodes a record as it is stored, written at a time of day in seconds.
+/// Encodes a record for storage. `written_at` is the wall-clock time in seconds since the
+/// Unix epoch.
 ///
 /// # Errors
-/// When it is not an object, or has fields that can't be serialized.
+/// If the record does not serialize to an object, or has fields that can't be serialized.
 pub fn encode<T: Record>(record: &T, written_at: f64) -> Result<Value, EncodeError> {
     let value = serde_json::to_value(record).map_err(|source| EncodeError::Serialize {
         name: T::NAME.to_string(),
--- a/crates/tallygauge-records/src/record/tests.rs
+++ b/crates/tallygauge-records/src/record/tests.rs
@@ -1,41 +1,41 @@
-//! Encoding and decoding of records across versions.
+//! Encoding and decoding of records across releases and versions.
 
 use super::*;
 use serde::Deserialize;
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct Old {
+struct RecordWithoutAddedField {
     sum: u32,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct New {
+struct RecordWithAddedField {
     sum: u32,
     #[serde(default)]
     more: Vec<u32>,
 }
 
-impl Record for Old {
+impl Record for RecordWithoutAddedField {
     const NAME: &'static str = "test";
     const VERSION: u32 = 2;
     const DURABILITY: Durability = Durability::WriteBehind;
 }
 
-impl Record for New {
+impl Record for RecordWithAddedField {
     const NAME: &'static str = "test";
     const VERSION: u32 = 2;
     const DURABILITY: Durability = Durability::WriteBehind;
 }
 
-fn read<T: Record>(value: Value) -> StoredRecord<T> {
+fn decode_stored<T: Record>(value: Value) -> StoredRecord<T> {
     decode(Some(value)).unwrap().unwrap()
 }
 
-// A rolling upgrade from an older program to a newer one and back: each reads what the
-// other wrote, as far as it knows it.
+// During a rolling upgrade and a rollback, each release has to read the records of the
+// other: unknown fields are ignored, and missing ones get their default.
 #[test]
-fn programs_of_one_version_read_each_others_records() {
-    let new = New {
+fn releases_with_the_same_record_version_read_each_others_records() {
+    let new = RecordWithAddedField {
         sum: 3,
         more: vec![1],
     };
@@ -44,31 +44,38 @@
         record: new,
         written_at: 17.5,
     };
-    assert_eq!(read::<New>(written.clone()), stored);
-    let old = read::<Old>(written).record;
-    assert_eq!(old, Old { sum: 3 });
+    assert_eq!(
+        decode_stored::<RecordWithAddedField>(written.clone()),
+        stored
+    );
+    let old = decode_stored::<RecordWithoutAddedField>(written).record;
+    assert_eq!(old, RecordWithoutAddedField { sum: 3 });
     let stored = StoredRecord {
-        record: New {
+        record: RecordWithAddedField {
             sum: 3,
             more: vec![],
         },
         written_at: 18.0,
     };
-    assert_eq!(read::<New>(encode(&old, 18.0).unwrap()), stored);
+    assert_eq!(
+        decode_stored::<RecordWithAddedField>(encode(&old, 18.0).unwrap()),
+        stored
+    );
 }
 
 #[test]
-fn records_that_cannot_be_read_are_errors_that_say_why() {
+fn undecodable_records_give_errors_that_name_the_cause() {
     let cases = [
         (r#"{"v":3,"sum":1}"#, "later"),
         (r#"{"sum":1}"#, "no version"),
-        (r#"{"v":2,"sum":"x"}"#, "can't be read"),
+        (r#"{"v":2,"sum":"x"}"#, "can't be decoded"),
         (r#"[2]"#, "no version"),
         (r#"{"v":-2,"sum":1}"#, "no version"),
     ];
-    for (text, word) in cases {
-        let error = decode::<Old>(Some(serde_json::from_str(text).unwrap())).unwrap_err();
-        assert!(error.to_string().contains(word), "{text}");
+    for (text, expected_words) in cases {
+        let error = decode::<RecordWithoutAddedField>(Some(serde_json::from_str(text).unwrap()))
+            .unwrap_err();
+        assert!(error.to_string().contains(expected_words), "{text}");
     }
-    assert_eq!(decode::<Old>(None).unwrap(), None);
+    assert_eq!(decode::<RecordWithoutAddedField>(None).unwrap(), None);
 }
--- a/crates/tallygauge-records/src/staging.rs
+++ b/crates/tallygauge-records/src/staging.rs
@@ -1,4 +1,4 @@
-//! Staging of records: what is written, and when.
+//! Staging of records: which ones are written, and in which order.
 
 use crate::{
     error::EncodeError,
@@ -7,7 +7,7 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// A value to be written under one key.
+/// One record to be written under its key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
     /// Name of the record.
@@ -16,15 +16,16 @@
     pub value: Value,
 }
 
-/// Records to be written in one transaction.
+/// Records that are written in one transaction.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct WriteBatch {
-    /// The records.
+    /// Records to write.
     pub entries: Vec<Entry>,
-    /// Generation of each entry when it was taken into the batch.
+    /// Generation of each entry when it was added to the batch; same order as `entries`.
     generations: Vec<u64>,
 }
 
+/// Staging state of one record.
 #[derive(Debug, Clone)]
 struct PendingRecord {
     durability: Durability,
@@ -32,9 +33,11 @@
     desired: Value,
     /// Number of times that `desired` has changed.
     generation: u64,
-    /// Newest generation known to be durable.
+    /// Latest generation that is known to be durable.
     durable_generation: Option<u64>,
+    /// Size of `desired` in bytes.
     bytes: usize,
+    /// When the record was last committed; negative infinity before the first time.
     written_at: f64,
 }
 
@@ -55,29 +58,30 @@
     }
 }
 
-/// State of one record, for operators.
+/// Status of one record, for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordStatus {
     /// Name of the record.
     pub name: String,
-    /// Bytes of its value.
+    /// Size of its value in bytes.
     pub bytes: usize,
-    /// Seconds since it was written; `None` if it has not been yet.
+    /// Seconds since it was last written; `None` if it has not been written yet.
     pub age_s: Option<f64>,
 }
 
-/// The records of a leader, as they should be and as far as they are durable. Bounded
-/// by the number of names and the bytes of each record.
+/// The records of a leader: their desired state, and which generation of it is durable.
+/// Memory is bounded by the number of record names and the size limit of a record.
 #[derive(Debug, Default)]
 pub struct StagedRecords {
     pending: BTreeMap<String, PendingRecord>,
     max_record_bytes: usize,
-    /// Records that were too large once, and their bytes then.
+    /// Names of records that have exceeded the size limit, with their last such size in
+    /// bytes.
     too_large: BTreeMap<String, usize>,
 }
 
 impl StagedRecords {
-    /// No records yet; each may have `max_record_bytes`.
+    /// Creates an empty staging area for records of at most `max_record_bytes` each.
     #[must_use]
     pub fn new(max_record_bytes: usize) -> Self {
         Self {
@@ -87,12 +91,13 @@
         }
     }
 
-    /// Sets the desired state of a record, or of one of its shards. Returns whether it
-    /// changed anything but the time.
+    /// Sets the desired state of a record, or of one of its shards. Returns whether any
+    /// field other than the time of writing has changed.
     ///
     /// # Errors
-    /// When the record can't be encoded or is too large; the latter is reported once
-    /// per name. The state staged before stays.
+    /// If the record can't be encoded or is too large. The state staged before is kept. A
+    /// record that is too large is reported only once per name; afterwards the result is
+    /// `Ok(false)`.
     pub fn stage<T: Record>(
         &mut self,
         shard: Option<usize>,
@@ -107,7 +112,7 @@
         }
         let bytes = value.to_string().len();
         if bytes > self.max_record_bytes {
-            return self.refuse_too_large(name, bytes);
+            return self.reject_too_large(name, bytes);
         }
         let pending = self
             .pending
@@ -119,8 +124,8 @@
         Ok(true)
     }
 
-    /// An error the first time that a record is too large, "unchanged" afterwards.
-    fn refuse_too_large(&mut self, name: String, bytes: usize) -> Result<bool, EncodeError> {
+    /// Returns an error the first time that a record is too large, `Ok(false)` afterwards.
+    fn reject_too_large(&mut self, name: String, bytes: usize) -> Result<bool, EncodeError> {
         let is_known = self.too_large.insert(name.clone(), bytes).is_some();
         if is_known {
             return Ok(false);
@@ -132,14 +137,14 @@
         })
     }
 
-    /// A record as last staged.
+    /// Desired state of a record, as last staged.
     #[must_use]
     pub fn desired<T: Record>(&self) -> Option<T> {
         let pending = self.pending.get(T::NAME)?;
         serde_json::from_value(pending.desired.clone()).ok()
     }
 
-    /// Whether a record is durable as last staged.
+    /// Whether the last staged state of a record is durable.
     #[must_use]
     pub fn is_durable(&self, name: &str) -> bool {
         self.pending
@@ -147,9 +152,9 @@
             .is_some_and(PendingRecord::is_durable)
     }
 
-    /// The records to be written next in one transaction of at most `max_entries` and
-    /// `max_bytes`: write-ahead records first, then those written longest ago. `None`
-    /// when nothing is due.
+    /// Selects the records to write next, in one transaction of at most `max_entries`
+    /// records and `max_bytes` in total: write-ahead records first, then the records that
+    /// were written longest ago. Returns `None` if no record is selected.
     #[must_use]
     pub fn next_batch(
         &self,
@@ -176,7 +181,7 @@
         (!batch.entries.is_empty()).then_some(batch)
     }
 
-    /// Records that are not durable, in the order in which they are to be written.
+    /// Records whose last staged state is not durable, in the order of writing.
     fn due(&self, only_write_ahead: bool) -> Vec<(&String, &PendingRecord)> {
         let is_write_behind =
             |pending: &PendingRecord| pending.durability == Durability::WriteBehind;
@@ -195,8 +200,8 @@
         due
     }
 
-    /// Records that a batch was committed. A record staged again since then is not
-    /// durable yet.
+    /// Records that a batch was committed. A record that was staged again after the batch
+    /// was created is not yet durable.
     pub fn mark_written(&mut self, batch: &WriteBatch, now: f64) {
         for (entry, generation) in batch.entries.iter().zip(&batch.generations) {
             if let Some(pending) = self.pending.get_mut(&entry.name) {
@@ -206,7 +211,7 @@
         }
     }
 
-    /// State of all records, for operators.
+    /// Status of all records, for operators.
     #[must_use]
     pub fn status(&self, now: f64) -> Vec<RecordStatus> {
         self.pending
@@ -223,7 +228,7 @@
     }
 }
 
-/// Whether two encoded records are equal but for the time at which they were written.
+/// Whether two encoded records are equal apart from the time of writing.
 fn is_equal_except_time(a: &Value, b: &Value) -> bool {
     match (a, b) {
         (Value::Object(a), Value::Object(b)) => {
