--- a/crates/tallygauge-health/src/lib.rs
+++ b/crates/tallygauge-health/src/lib.rs
@@ -1,14 +1,17 @@
-//! Health of machines, as far as it shows in the messages of their workers and in
-//! those that are missing.
+//! Health of machines, derived from the messages that arrive from their workers and from
+//! missing responses and acknowledgements.
 //!
-//! Pure: no clock, no input or output; times are seconds of the caller's clock.
-//! [`MessageOrder`] classifies a message by its place among those that its worker
-//! has sent: new, overtaken by a direct response, or an old copy. [`Reachability`]
-//! weighs the evidence that messages to a machine don't arrive. [`Tombstones`]
-//! remember deregistered machines, which late messages must not register again.
+//! This crate is pure: it reads no clock and does no I/O. Times are in seconds of the
+//! caller's clock. The scheduler's cluster state calls it.
 //!
-//! None of it frees capacity or a task by itself: that rests on the proofs of
-//! `docs/design.md`, "Attempt retention". The cluster state of the scheduler calls it.
+//! - [`MessageOrder`] classifies a message by its position among the messages that its
+//!   worker has sent: new, overtaken by a direct reply, or old.
+//! - [`Reachability`] counts the evidence that messages to a machine don't arrive.
+//! - [`Tombstones`] remember deregistered machines, so that late messages don't register
+//!   them again.
+//!
+//! Nothing here releases capacity or a task: that requires the proofs described in
+//! `docs/design.md`, "Attempt retention".
 
 mod message_order;
 mod reachability;
--- a/crates/tallygauge-health/src/message_order.rs
+++ b/crates/tallygauge-health/src/message_order.rs
@@ -1,43 +1,43 @@
-//! The order of a worker's messages, and messages that arrive out of it.
+//! Order of a worker's messages, and detection of messages that arrive out of order.
 
-/// Place of a message among all of its worker, ordered by agent incarnation, then by
-/// sequence number.
+/// Position of a message among all messages of its worker: ordered by agent incarnation,
+/// then by sequence number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SequenceMark {
-    /// Agent incarnation; it grows when the worker's lease expires.
+    /// Agent incarnation, which increases when the worker's lease expires.
     pub incarnation: u64,
-    /// Sequence number; it grows with every message of the incarnation.
+    /// Sequence number, which increases with every message of the incarnation.
     pub sequence: u64,
 }
 
-/// How a message relates to those that arrived before it.
+/// Position of a message relative to the messages that arrived before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arrival {
-    /// Newer than all others.
+    /// Newer than all messages that arrived before.
     New,
-    /// Older, but its worker may still wait for the response: a direct reply that
-    /// was sent after it arrived before it.
+    /// Older than the newest message, but the worker may still wait for the response to
+    /// it: a direct reply that the worker sent later arrived earlier.
     Overtaken,
-    /// Older: a late copy, or a message of a worker that has restarted. A liveness
-    /// probe tells which.
+    /// Not newer than the newest message: either a late copy, or a message of a worker
+    /// that has restarted. A liveness probe tells which of the two it is.
     Old,
 }
 
-/// The newest message of a worker that has arrived.
+/// Order of the messages that have arrived from one worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct MessageOrder {
-    /// Mark of the newest message.
+    /// Position of the newest message that has arrived.
     pub newest: SequenceMark,
-    /// When a direct reply was last the newest message.
+    /// When a direct reply last became the newest message.
     direct_reply_at: Option<f64>,
-    /// An old message has arrived, and no liveness probe was sent since.
+    /// Whether a liveness probe is needed: an old message has arrived, and since then no
+    /// probe was sent and no new message arrived.
     probe_requested: bool,
 }
 
 impl MessageOrder {
-    /// Classifies a message that arrives at `now`. A worker waits
-    /// `response_timeout_s` seconds for the response to a heartbeat, and has one
-    /// heartbeat under way at a time.
+    /// Classifies a message that arrives at `now`. Assumes that a worker has at most one
+    /// heartbeat in flight, and waits `response_timeout_s` seconds for its response.
     #[must_use]
     pub fn classify(&self, mark: SequenceMark, now: f64, response_timeout_s: f64) -> Arrival {
         if mark > self.newest {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Records a new message; `is_direct_reply` if it replies to a direct message.
+    /// Records a new message. `is_direct_reply` is set if it replies to a direct message.
     pub fn advance(&mut self, mark: SequenceMark, is_direct_reply: bool, now: f64) {
         self.newest = mark;
         if is_direct_reply {
@@ -65,7 +65,7 @@
         self.probe_requested = false;
     }
 
-    /// Asks for a liveness probe, as an old message has arrived.
+    /// Requests a liveness probe, as an old message has arrived.
     pub fn request_liveness_probe(&mut self) {
         self.probe_requested = true;
     }
@@ -76,17 +76,17 @@
         self.probe_requested
     }
 
-    /// Records that a liveness probe was sent; the next is due after the next old
-    /// message.
+    /// Records that a liveness probe was sent. The next one is needed when another old
+    /// message arrives.
     pub fn liveness_probe_sent(&mut self) {
         self.probe_requested = false;
     }
 }
 
 impl SequenceMark {
-    /// Whether a worker that replies to a probe with this mark has restarted since
-    /// the probe was sent, when `before` was its newest message: a worker that has
-    /// not restarted replies with a mark above all that it has sent.
+    /// Whether a worker that replies to a probe with this mark has restarted. `before` is
+    /// the mark of its newest message when the probe was sent. A worker that has not
+    /// restarted replies with a mark greater than all marks that it has sent.
     #[must_use]
     pub fn is_restart_since(self, before: SequenceMark) -> bool {
         self <= before
--- a/crates/tallygauge-health/src/message_order/tests.rs
+++ b/crates/tallygauge-health/src/message_order/tests.rs
@@ -7,8 +7,9 @@
     }
 }
 
-// A copy was answered as if its sender waited, and a dead machine's attempts were
-// kept for as long as copies of its heartbeats arrived.
+// Guards against classifying a late copy as overtaken: it would be responded to as if its
+// sender were waiting, and the attempts of a dead machine would be kept for as long as
+// copies of its heartbeats arrived.
 #[test]
 fn only_a_message_overtaken_by_a_direct_reply_is_classified_as_overtaken() {
     let mut order = MessageOrder::default();
@@ -23,17 +24,17 @@
     assert_eq!(
         order.classify(mark(2, 12), 101.1, 4.0),
         Arrival::Old,
-        "itself"
+        "a copy of the direct reply itself"
     );
     assert_eq!(
         order.classify(mark(2, 11), 105.1, 4.0),
         Arrival::Old,
-        "the sender has given up"
+        "the sender no longer waits for the response"
     );
 }
 
 #[test]
-fn an_old_message_requests_one_liveness_probe_at_most() {
+fn an_old_message_requests_at_most_one_liveness_probe() {
     let mut order = MessageOrder::default();
     assert!(!order.needs_liveness_probe());
     order.request_liveness_probe();
@@ -42,5 +43,8 @@
     assert!(!order.needs_liveness_probe());
     order.request_liveness_probe();
     order.advance(mark(1, 1), false, 1.0);
-    assert!(!order.needs_liveness_probe(), "a new message answers it");
+    assert!(
+        !order.needs_liveness_probe(),
+        "a new message makes the probe unnecessary"
+    );
 }
--- a/crates/tallygauge-health/src/reachability.rs
+++ b/crates/tallygauge-health/src/reachability.rs
@@ -1,59 +1,61 @@
-//! Whether messages to a machine arrive.
+//! Reachability of a machine: whether messages to it arrive.
 
-/// Evidence that messages to a machine don't arrive.
+/// One observation that suggests that messages to a machine don't arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
-    /// A heartbeat shows no effect of what the response before it carried.
+    /// A heartbeat does not reflect the content of the response to the heartbeat before
+    /// it.
     NotAcknowledged,
-    /// A probe or command sent to it got no reply, though its heartbeats arrive.
+    /// A probe or command to the machine got no reply, although its heartbeats arrive.
     Unanswered,
-    /// Its lease expired though all its heartbeats were answered: it has received
-    /// none of the responses of a whole lease.
+    /// The machine's lease expired although all its heartbeats were responded to: it has
+    /// received none of the responses for the duration of a lease.
     LeaseExpired,
 }
 
-/// How much evidence it takes, and for how long evidence counts.
+/// Thresholds of the reachability states, and the time for which evidence counts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReachabilityThresholds {
-    /// Pieces of evidence in a row from which on a machine is suspected and gets no
-    /// new work.
+    /// Evidence count, without a confirmation in between, from which a machine gets no new
+    /// work.
     pub suspected: u32,
-    /// Pieces of evidence in a row from which on it is unreachable.
+    /// Evidence count, without a confirmation in between, from which a machine is
+    /// unreachable.
     pub unreachable: u32,
-    /// Seconds within which two pieces of evidence count as one event: a single lost
-    /// response must not count twice.
+    /// Pieces of evidence less than this many seconds apart count as one, so that a single
+    /// lost response does not count twice.
     pub min_interval_s: f64,
-    /// Seconds after which evidence is forgotten if no other follows.
+    /// Seconds after which evidence is discarded if no further evidence follows.
     pub expiry_s: f64,
 }
 
-/// Whether messages to a machine arrive, as far as can be told.
+/// Whether messages to a machine arrive, according to the evidence so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum Reachability {
-    /// There is no evidence against it.
+    /// There is no evidence that messages don't arrive.
     #[default]
     Reachable,
-    /// There is evidence, but not enough of it to call the machine unreachable.
+    /// There is evidence, but less than the threshold of an unreachable machine.
     Suspected {
-        /// Pieces of evidence in a row.
+        /// Evidence count since the last confirmation.
         evidence_count: u32,
-        /// When the last of them came.
+        /// Time of the latest evidence.
         last_at: f64,
     },
-    /// Messages don't arrive.
+    /// The evidence has reached the threshold: messages are taken not to arrive.
     Unreachable {
-        /// When the machine was first found unreachable.
+        /// When the machine became unreachable.
         since: f64,
     },
 }
 
 impl Reachability {
-    /// Records that a message arrived: the machine replied, or did what it was told.
+    /// Records that a message arrived, as shown by a reply or by the effect of a command.
     pub fn confirm(&mut self) {
         *self = Self::Reachable;
     }
 
-    /// Records evidence. Returns whether the machine has become unreachable by it.
+    /// Records evidence. Returns whether this evidence made the machine unreachable.
     pub fn record(
         &mut self,
         evidence: Evidence,
@@ -105,13 +107,14 @@
         }
     }
 
-    /// Whether the machine should be probed, as there is evidence against it.
+    /// Whether the machine should be probed, as there is evidence that messages to it
+    /// don't arrive.
     #[must_use]
     pub fn needs_probe(&self) -> bool {
         !matches!(self, Self::Reachable)
     }
 
-    /// Seconds since the machine was found unreachable; `None` if it is not.
+    /// Seconds since the machine became unreachable; `None` if it is not unreachable.
     #[must_use]
     pub fn unreachable_for(&self, now: f64) -> Option<f64> {
         match *self {
--- a/crates/tallygauge-health/src/reachability/tests.rs
+++ b/crates/tallygauge-health/src/reachability/tests.rs
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn evidence_in_a_row_makes_unreachable_and_one_confirmation_resets_it() {
+fn consecutive_evidence_makes_a_machine_unreachable_until_a_confirmation() {
     let mut reachability = Reachability::default();
     assert!(!reachability.record(Evidence::NotAcknowledged, 10.0, &THRESHOLDS));
     assert!(reachability.accepts_work(10.0, &THRESHOLDS) && reachability.needs_probe());
@@ -18,7 +18,7 @@
     assert!(reachability.record(Evidence::NotAcknowledged, 20.0, &THRESHOLDS));
     assert!(
         !reachability.record(Evidence::NotAcknowledged, 25.0, &THRESHOLDS),
-        "known already"
+        "already unreachable"
     );
     assert_eq!(reachability.unreachable_for(26.0), Some(6.0));
     reachability.confirm();
@@ -26,14 +26,18 @@
     assert!(reachability.record(Evidence::LeaseExpired, 30.0, &THRESHOLDS));
 }
 
-/// The evidence in a row after all events, counted as the documentation words it:
-/// pieces closer than the least interval are one event, expired ones are forgotten,
-/// and a confirmation (`None`) forgets all.
-fn plain_evidence_count(events: &[(f64, Option<Evidence>)]) -> u32 {
-    let (mut row, mut last, mut unreachable): (u32, Option<f64>, bool) = (0, None, false);
+/// Reference model: the evidence count after all events, according to the documented
+/// rules.
+///
+/// - Evidence within the minimum interval after the evidence before it counts as one event
+///   with it.
+/// - Expired evidence is discarded.
+/// - A confirmation (`None`) discards all evidence.
+fn reference_evidence_count(events: &[(f64, Option<Evidence>)]) -> u32 {
+    let (mut count, mut last_at, mut unreachable): (u32, Option<f64>, bool) = (0, None, false);
     for (at, evidence) in events {
         let Some(evidence) = evidence else {
-            (row, last, unreachable) = (0, None, false);
+            (count, last_at, unreachable) = (0, None, false);
             continue;
         };
         if unreachable {
@@ -44,26 +48,26 @@
         } else {
             1
         };
-        match last {
-            Some(before) if at - before > THRESHOLDS.expiry_s => row = weight,
-            Some(before) if at - before < THRESHOLDS.min_interval_s => row = row.max(weight),
-            _ => row += weight,
+        match last_at {
+            Some(last) if at - last > THRESHOLDS.expiry_s => count = weight,
+            Some(last) if at - last < THRESHOLDS.min_interval_s => count = count.max(weight),
+            _ => count += weight,
         }
-        last = Some(*at);
-        unreachable = row >= THRESHOLDS.unreachable;
+        last_at = Some(*at);
+        unreachable = count >= THRESHOLDS.unreachable;
     }
-    row.min(THRESHOLDS.unreachable)
+    count.min(THRESHOLDS.unreachable)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn the_evidence_count_is_that_of_the_plain_model(steps in prop::collection::vec((0.1f64..40.0, 0u8..6), 0..30)) {
+    fn the_evidence_count_matches_the_reference_model(steps in prop::collection::vec((0.1f64..40.0, 0u8..6), 0..30)) {
         let mut reachability = Reachability::default();
         let (mut now, mut events) = (0.0, Vec::new());
-        for (pause, what) in steps {
-            now += pause;
-            let evidence = match what {
+        for (interval_s, event_kind) in steps {
+            now += interval_s;
+            let evidence = match event_kind {
                 0 => None,
                 1 => Some(Evidence::LeaseExpired),
                 2 | 3 => Some(Evidence::Unanswered),
@@ -74,12 +78,12 @@
                 None => reachability.confirm(),
             }
             events.push((now, evidence));
-            let real = match reachability {
+            let evidence_count = match reachability {
                 Reachability::Reachable => 0,
                 Reachability::Suspected { evidence_count, .. } => evidence_count,
                 Reachability::Unreachable { .. } => THRESHOLDS.unreachable,
             };
-            prop_assert_eq!(real, plain_evidence_count(&events));
+            prop_assert_eq!(evidence_count, reference_evidence_count(&events));
         }
     }
 }
--- a/crates/tallygauge-health/src/tombstones.rs
+++ b/crates/tallygauge-health/src/tombstones.rs
@@ -1,12 +1,12 @@
-//! Tombstones of machines that were deregistered.
+//! Tombstones of deregistered machines.
 
 use std::collections::BTreeMap;
 
-/// Names of deregistered machines with the time of their departure, kept for as
-/// long as late messages of them may arrive.
+/// Names of deregistered machines and the times of their deregistration, kept for as long
+/// as late messages from these machines may arrive.
 ///
-/// Bounded: beyond the limit the lowest names are dropped, which are the oldest, as
-/// names ascend in the order of creation.
+/// The number of tombstones is bounded. Beyond the limit, the machines with the lowest
+/// names are dropped: these are the oldest, as names ascend in the order of creation.
 #[derive(Debug, Clone)]
 pub struct Tombstones {
     departed_at: BTreeMap<String, f64>,
@@ -15,7 +15,7 @@
 }
 
 impl Tombstones {
-    /// Keeps at most `max_names` tombstones, each for `retention_s` seconds.
+    /// Creates a set of at most `max_names` tombstones, each kept for `retention_s` seconds.
     #[must_use]
     pub fn new(max_names: usize, retention_s: f64) -> Self {
         Self {
@@ -40,17 +40,17 @@
             .retain(|_, departed_at| now - *departed_at <= retention_s);
     }
 
-    /// Whether there is a tombstone of a machine.
+    /// Whether there is a tombstone for a machine.
     #[must_use]
     pub fn contains(&self, name: &str) -> bool {
         self.departed_at.contains_key(name)
     }
 
-    /// Whether the machine departed after `listed_at`, so that a machine list which
-    /// shows it as of that time is out of date.
+    /// Whether the machine was deregistered after `listed_at`, so that a machine list as of
+    /// that time, which still contains the machine, is out of date.
     ///
-    /// A machine that departed before, and is listed all the same, exists: its
-    /// tombstone is removed.
+    /// A machine that was deregistered at or before `listed_at` and is listed nevertheless
+    /// exists, so its tombstone is removed.
     pub fn overrules_listing(&mut self, name: &str, listed_at: f64) -> bool {
         match self.departed_at.get(name) {
             Some(departed_at) if *departed_at > listed_at => true,
--- a/crates/tallygauge-health/src/tombstones/tests.rs
+++ b/crates/tallygauge-health/src/tombstones/tests.rs
@@ -1,13 +1,16 @@
 use super::*;
 
-// Copies of a returned machine's heartbeats, a lease late, registered it again: it was
-// capacity that did not exist.
+// Without tombstones, copies of a returned machine's heartbeats that arrive a lease late
+// would register it again, as capacity that does not exist.
 #[test]
-fn a_departed_machine_stays_departed_unless_a_later_list_shows_it() {
+fn a_deregistered_machine_stays_deregistered_unless_a_later_list_contains_it() {
     let mut tombstones = Tombstones::new(3, 100.0);
     tombstones.record_departure("host-1", 10.0);
     assert!(tombstones.contains("host-1"));
-    assert!(tombstones.overrules_listing("host-1", 9.0), "an old list");
+    assert!(
+        tombstones.overrules_listing("host-1", 9.0),
+        "the list is older than the deregistration"
+    );
     assert!(tombstones.contains("host-1"));
     assert!(!tombstones.overrules_listing("host-1", 11.0));
     assert!(!tombstones.contains("host-1"));
