--- a/crates/tallygauge-health/src/tombstones.rs
+++ b/crates/tallygauge-health/src/tombstones.rs
@@ -9,7 +9,7 @@
 /// names are dropped: these are the oldest, as names ascend in the order of creation.
 #[derive(Debug, Clone)]
 pub struct Tombstones {
-    departed_at: BTreeMap<String, f64>,
+    deregistered_at: BTreeMap<String, f64>,
     max_names: usize,
     retention_s: f64,
 }
@@ -19,31 +19,31 @@
     #[must_use]
     pub fn new(max_names: usize, retention_s: f64) -> Self {
         Self {
-            departed_at: BTreeMap::new(),
+            deregistered_at: BTreeMap::new(),
             max_names,
             retention_s,
         }
     }
 
     /// Records that a machine was deregistered at `now`.
-    pub fn record_departure(&mut self, name: &str, now: f64) {
-        self.departed_at.insert(name.to_string(), now);
-        while self.departed_at.len() > self.max_names {
-            self.departed_at.pop_first();
+    pub fn record_deregistration(&mut self, name: &str, now: f64) {
+        self.deregistered_at.insert(name.to_string(), now);
+        while self.deregistered_at.len() > self.max_names {
+            self.deregistered_at.pop_first();
         }
     }
 
     /// Drops the tombstones that are older than the retention time.
     pub fn expire(&mut self, now: f64) {
         let retention_s = self.retention_s;
-        self.departed_at
-            .retain(|_, departed_at| now - *departed_at <= retention_s);
+        self.deregistered_at
+            .retain(|_, deregistered_at| now - *deregistered_at <= retention_s);
     }
 
     /// Whether there is a tombstone for a machine.
     #[must_use]
     pub fn contains(&self, name: &str) -> bool {
-        self.departed_at.contains_key(name)
+        self.deregistered_at.contains_key(name)
     }
 
     /// Whether the machine was deregistered after `listed_at`, so that a machine list as of
@@ -52,10 +52,10 @@
     /// A machine that was deregistered at or before `listed_at` and is listed nevertheless
     /// exists, so its tombstone is removed.
     pub fn overrules_listing(&mut self, name: &str, listed_at: f64) -> bool {
-        match self.departed_at.get(name) {
-            Some(departed_at) if *departed_at > listed_at => true,
+        match self.deregistered_at.get(name) {
+            Some(deregistered_at) if *deregistered_at > listed_at => true,
             Some(_) => {
-                self.departed_at.remove(name);
+                self.deregistered_at.remove(name);
                 false
             }
             None => false,
--- a/crates/tallygauge-health/src/tombstones/tests.rs
+++ b/crates/tallygauge-health/src/tombstones/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_deregistered_machine_stays_deregistered_unless_a_later_list_contains_it() {
     let mut tombstones = Tombstones::new(3, 100.0);
-    tombstones.record_departure("host-1", 10.0);
+    tombstones.record_deregistration("host-1", 10.0);
     assert!(tombstones.contains("host-1"));
     assert!(
         tombstones.overrules_listing("host-1", 9.0),
@@ -15,7 +15,7 @@
     assert!(!tombstones.overrules_listing("host-1", 11.0));
     assert!(!tombstones.contains("host-1"));
     for n in 2..9 {
-        tombstones.record_departure(&format!("host-{n}"), 20.0 + f64::from(n));
+        tombstones.record_deregistration(&format!("host-{n}"), 20.0 + f64::from(n));
     }
     assert!(tombstones.contains("host-8") && !tombstones.contains("host-4"));
     tombstones.expire(127.5);
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -133,7 +133,7 @@
     /// A machine is certainly gone, with everything on it.
     pub fn deregister_machine(&mut self, name: &str, now: f64) {
         self.end_incarnation(name, u64::MAX, now);
-        self.tombstones.record_departure(name, now);
+        self.tombstones.record_deregistration(name, now);
         self.workers.remove(name);
     }
 
