--- a/crates/tallygauge-health/src/reachability.rs
+++ b/crates/tallygauge-health/src/reachability.rs
@@ -18,7 +18,7 @@
 pub struct ReachabilityThresholds {
     /// Evidence count, without a confirmation in between, from which a machine gets no new
     /// work.
-    pub suspected: u32,
+    pub no_new_work: u32,
     /// Evidence count, without a confirmation in between, from which a machine is
     /// unreachable.
     pub unreachable: u32,
@@ -102,7 +102,7 @@
             Self::Suspected {
                 evidence_count,
                 last_at,
-            } => evidence_count < thresholds.suspected || now - last_at > thresholds.expiry_s,
+            } => evidence_count < thresholds.no_new_work || now - last_at > thresholds.expiry_s,
             Self::Unreachable { .. } => false,
         }
     }
--- a/crates/tallygauge-health/src/reachability/tests.rs
+++ b/crates/tallygauge-health/src/reachability/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 const THRESHOLDS: ReachabilityThresholds = ReachabilityThresholds {
-    suspected: 2,
+    no_new_work: 2,
     unreachable: 3,
     min_interval_s: 0.5,
     expiry_s: 30.0,
--- a/crates/tallygauge-scheduler/src/model/config.rs
+++ b/crates/tallygauge-scheduler/src/model/config.rs
@@ -108,7 +108,7 @@
     #[must_use]
     pub fn reachability_thresholds(&self) -> ReachabilityThresholds {
         ReachabilityThresholds {
-            suspected: 2,
+            no_new_work: 2,
             unreachable: 3,
             min_interval_s: self.heartbeat_interval_s * 0.5,
             expiry_s: self.lease_s,
