--- a/crates/tallygauge-health/src/lib.rs
+++ b/crates/tallygauge-health/src/lib.rs
@@ -1,5 +1,5 @@
-//! Health of machines, derived from the messages that arrive from their workers and from
-//! missing responses and acknowledgements.
+//! Health of machines, derived from the messages of their workers that arrive and from
+//! expected messages that don't.
 //!
 //! This crate is pure: it reads no clock and does no I/O. Times are in seconds of the
 //! caller's clock. The scheduler's cluster state calls it.
--- a/crates/tallygauge-health/src/reachability.rs
+++ b/crates/tallygauge-health/src/reachability.rs
@@ -16,11 +16,9 @@
 /// Thresholds of the reachability states, and the time for which evidence counts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReachabilityThresholds {
-    /// Evidence count, without a confirmation in between, from which a machine gets no new
-    /// work.
+    /// Count of evidence since the last confirmation from which a machine gets no new work.
     pub no_new_work: u32,
-    /// Evidence count, without a confirmation in between, from which a machine is
-    /// unreachable.
+    /// Count of evidence since the last confirmation from which a machine is unreachable.
     pub unreachable: u32,
     /// Pieces of evidence less than this many seconds apart count as one, so that a single
     /// lost response does not count twice.
@@ -37,7 +35,7 @@
     Reachable,
     /// There is evidence, but less than the threshold of an unreachable machine.
     Suspected {
-        /// Evidence count since the last confirmation.
+        /// Count of evidence since the last confirmation, without expired evidence.
         evidence_count: u32,
         /// Time of the latest evidence.
         last_at: f64,
--- a/crates/tallygauge-records/src/staging.rs
+++ b/crates/tallygauge-records/src/staging.rs
@@ -38,7 +38,7 @@
     /// Size of `desired` in bytes.
     bytes: usize,
     /// When the record was last committed; negative infinity before the first time.
-    written_at: f64,
+    committed_at: f64,
 }
 
 impl PendingRecord {
@@ -49,7 +49,7 @@
             generation: 0,
             durable_generation: None,
             bytes: 0,
-            written_at: f64::NEG_INFINITY,
+            committed_at: f64::NEG_INFINITY,
         }
     }
 
@@ -194,7 +194,7 @@
         due.sort_by(|(a_name, a), (b_name, b)| {
             is_write_behind(a)
                 .cmp(&is_write_behind(b))
-                .then(a.written_at.total_cmp(&b.written_at))
+                .then(a.committed_at.total_cmp(&b.committed_at))
                 .then(a_name.cmp(b_name))
         });
         due
@@ -206,7 +206,7 @@
         for (entry, generation) in batch.entries.iter().zip(&batch.generations) {
             if let Some(pending) = self.pending.get_mut(&entry.name) {
                 pending.durable_generation = pending.durable_generation.max(Some(*generation));
-                pending.written_at = now;
+                pending.committed_at = now;
             }
         }
     }
@@ -220,9 +220,9 @@
                 name: name.clone(),
                 bytes: pending.bytes,
                 age_s: pending
-                    .written_at
+                    .committed_at
                     .is_finite()
-                    .then_some(now - pending.written_at),
+                    .then_some(now - pending.committed_at),
             })
             .collect()
     }
--- a/crates/tallygauge-store/src/commit.rs
+++ b/crates/tallygauge-store/src/commit.rs
@@ -150,18 +150,23 @@
         attempts.push(self.attempt(transaction));
         let mut indeterminate_guard: Option<IndeterminateGuard> = None;
         // Whether an attempt has finished with an error that leaves its outcome open.
-        let mut has_indeterminate_finished = false;
+        let mut has_indeterminate_result = false;
         loop {
             let wake_at = schedule.next_wake(deadline);
             tokio::select! {
                 biased;
                 Some(Attempt { sent_at, outcome }) = attempts.next(), if !attempts.is_empty() => {
                     let has_indeterminate_attempt =
-                        has_indeterminate_finished || !attempts.is_empty();
+                        has_indeterminate_result || !attempts.is_empty();
                     match outcome {
-                        Err(error) if error.may_have_executed() => has_indeterminate_finished = true,
+                        Err(error) if error.may_have_executed() =>
+                            has_indeterminate_result = true,
                         Err(_) if has_indeterminate_attempt => schedule.back_off(Instant::now()),
-                        outcome => return CommitResult { outcome, has_indeterminate_attempt, sent_at },
+                        outcome => return CommitResult {
+                            outcome,
+                            has_indeterminate_attempt,
+                            sent_at,
+                        },
                     }
                 }
                 () = tokio::time::sleep_until(wake_at) => {
