--- a/crates/tallygauge-store/src/commit.rs
+++ b/crates/tallygauge-store/src/commit.rs
@@ -87,12 +87,13 @@
             max_delay,
             next_attempt_at: first_sent_at,
         };
-        schedule.schedule_after_timeout(first_sent_at);
+        schedule.start_timeout(first_sent_at);
         schedule
     }
 
-    /// Records that an attempt was sent: the next one is due when it times out.
-    fn schedule_after_timeout(&mut self, now: Instant) {
+    /// Starts the timeout of an attempt that was sent: the next attempt is due when it
+    /// elapses.
+    fn start_timeout(&mut self, now: Instant) {
         self.next_attempt_at = now + self.timeouts.next().unwrap_or(self.max_delay);
     }
 
@@ -178,7 +179,7 @@
                     }
                     if self.try_acquire_attempt(priority, transaction) {
                         attempts.push(self.attempt(transaction));
-                        schedule.schedule_after_timeout(now);
+                        schedule.start_timeout(now);
                     } else {
                         schedule.back_off(now);
                     }
