--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -165,7 +165,7 @@
             }
             remove_ended_jobs(controller, batch, &failed_keys);
             // If an earlier attempt was executed, the batch is in the store by now.
-            Some(result.in_doubt && is_stored(controller, batch).await)
+            Some(result.has_indeterminate_attempt && is_stored(controller, batch).await)
         }
         Ok(TransactionOutcome::LeaseExpired) | Err(_) => Some(false),
     }
