--- a/crates/tallygauge-scheduler/src/model/feasibility.rs
+++ b/crates/tallygauge-scheduler/src/model/feasibility.rs
@@ -11,20 +11,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InfeasibleJob {
     /// The job names a team that is not configured.
-    #[error("no team named '{0}' is configured")]
+    #[error("no team is called '{0}'")]
     UnknownTeam(String),
     /// One task of an array job, or all tasks of a service, exceed the quota of the team.
-    #[error("the job needs more CPUs or GPUs at a time than the quota of team '{0}' allows")]
+    #[error("needs more than the limit of team '{0}'")]
     ExceedsTeamQuota(String),
     /// No machine type that fits a task is both allowed by the job and offered in a zone
     /// that the job allows.
-    #[error("no machine type and zone that the job allows fits one of its tasks")]
+    #[error("a task fits no allowed machine type and zone")]
     NoFittingMachine,
     /// The job asks both for a single zone and for a spread over zones.
-    #[error("the job asks for all tasks in one zone and also for a spread over zones")]
+    #[error("all tasks in one zone and at most half of them there can't both be")]
     SpreadInOneZone,
     /// The job asks for a spread over zones but fits only one.
-    #[error("the job asks for a spread over zones, but its tasks fit in only one allowed zone")]
+    #[error("spread over zones, but only one zone is allowed")]
     SpreadWithoutZones,
 }
 
