--- a/crates/tallygauge-scheduler/src/tests/placement_batches.rs
+++ b/crates/tallygauge-scheduler/src/tests/placement_batches.rs
@@ -8,8 +8,8 @@
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
     let mut next = config();
     next.term += 1;
-    let first_of_next = ClusterState::new(next, 100.0, 16, 4096).last_attempt;
-    c.last_attempt = first_of_next - 4;
+    let first_of_next = ClusterState::new(next, 100.0, 16, 4096).last_attempt_number;
+    c.last_attempt_number = first_of_next - 4;
     c.run_round(100.0, true);
     assert!(!c.attempts_exhausted());
     assert!(
@@ -91,7 +91,7 @@
     for name in ["sa", "s2b"] {
         c.apply_heartbeat(
             140.0,
-            &report(name, 2, 1, TERM, vec![]),
+            &heartbeat_from(name, 2, 1, TERM, vec![]),
             HeartbeatSource::Periodic,
         );
     }
@@ -107,7 +107,7 @@
     let found = task("req-1/0", 77, TaskState::Running, None);
     c.apply_heartbeat(
         101.0,
-        &report("sa", 1, 5, TERM, vec![found]),
+        &heartbeat_from("sa", 1, 5, TERM, vec![found]),
         HeartbeatSource::Periodic,
     );
     assert_eq!(
