--- a/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
@@ -124,7 +124,7 @@
     // The next leader, whose steady clock differs, has the same counts.
     let tracker_json = serde_json::to_string(cluster.deadline_tracker()).unwrap();
     let mut next = ClusterState::new(config(), 7000.0, 16, 4096);
-    next.set_machine_types(&types());
+    next.set_machine_types(&machine_types());
     next.set_time_of_day(7000.0, TEST_START + 15.0);
     next.set_cutoff_rules(rules, false);
     next.restore_deadline_tracker(serde_json::from_str(&tracker_json).unwrap());
--- a/crates/tallygauge-scheduler/src/tests/start_deadline.rs
+++ b/crates/tallygauge-scheduler/src/tests/start_deadline.rs
@@ -153,15 +153,15 @@
             }
             cluster.apply_heartbeat(
                 now,
-                &report(name, 1, heartbeat_number, TERM, tasks),
+                &heartbeat_from(name, 1, heartbeat_number, TERM, tasks),
                 HeartbeatSource::Periodic,
             );
         }
-        if let Some(flush) = cluster.next_flush(9, 60_000) {
+        if let Some(flush) = cluster.next_progress_flush(9, 60_000) {
             cluster.record_flushed(&flush, 1);
         }
         let completed_jobs: Vec<String> = cluster
-            .completions(99, &BTreeSet::new())
+            .job_completions(99, &BTreeSet::new())
             .into_iter()
             .map(|c| c.job)
             .collect();
@@ -252,7 +252,7 @@
     // heartbeat confirms that the task runs.
     cluster.apply_heartbeat(
         221.0,
-        &report("sa", 1, 2, TERM, vec![]),
+        &heartbeat_from("sa", 1, 2, TERM, vec![]),
         HeartbeatSource::Periodic,
     );
     cluster.jobs.get_mut("req-1").unwrap().pending = RangeSet::first(1);
@@ -299,7 +299,7 @@
     for (n, name) in names.iter().enumerate() {
         cluster.apply_heartbeat(
             245.0,
-            &report(name, 1, 2 + n as u64, TERM, vec![]),
+            &heartbeat_from(name, 1, 2 + n as u64, TERM, vec![]),
             HeartbeatSource::Periodic,
         );
     }
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -15,7 +15,7 @@
     state::{Condition, Transaction, Write},
     users::JobStatus,
 };
-use tallygauge_scheduler::{Completion, Flush, PageWrite};
+use tallygauge_scheduler::{JobCompletion, PageWrite, ProgressFlush};
 use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
 /// Longest wait before completed jobs are collected, when no notification arrives earlier,
@@ -52,7 +52,7 @@
                 biased;
                 () = &mut wait => break,
                 Some(answered) = in_flight.next(), if !in_flight.is_empty() => {
-                    let answered: Vec<Completion> = answered;
+                    let answered: Vec<JobCompletion> = answered;
                     for completion in answered {
                         in_flight_jobs.remove(&completion.job);
                     }
@@ -61,7 +61,7 @@
         }
         while in_flight.len() < MAX_IN_FLIGHT {
             let due = controller
-                .with_cluster(|cluster| cluster.completions(max_jobs, &in_flight_jobs))
+                .with_cluster(|cluster| cluster.job_completions(max_jobs, &in_flight_jobs))
                 .unwrap_or_default();
             if due.is_empty() {
                 break;
@@ -82,7 +82,9 @@
         tokio::time::sleep(pause).await;
         resolve_pages_in_doubt(controller).await;
         let flush = controller
-            .with_cluster(|cluster| cluster.next_flush(max_writes, MAX_TRANSACTION_VALUE_BYTES))
+            .with_cluster(|cluster| {
+                cluster.next_progress_flush(max_writes, MAX_TRANSACTION_VALUE_BYTES)
+            })
             .flatten();
         if let Some(flush) = flush {
             commit_flush(controller, term_condition, &flush).await;
@@ -94,8 +96,8 @@
 async fn commit_completions(
     controller: &Controller,
     term_condition: &Condition,
-    completions: Vec<Completion>,
-) -> Vec<Completion> {
+    completions: Vec<JobCompletion>,
+) -> Vec<JobCompletion> {
     let transaction = completion_transaction(term_condition, &completions);
     let result = controller
         .store
@@ -116,7 +118,10 @@
 /// The transaction that replaces the active records of completed jobs by terminal records.
 /// Like a cancellation, it is conditioned on the active records, so that only one of the
 /// two is committed. For the same reason it can safely be sent several times.
-fn completion_transaction(term_condition: &Condition, completions: &[Completion]) -> Transaction {
+fn completion_transaction(
+    term_condition: &Condition,
+    completions: &[JobCompletion],
+) -> Transaction {
     let mut transaction = new_transaction(term_condition);
     for completion in completions {
         let record = TerminalJobRecord {
@@ -137,7 +142,7 @@
 
 /// Removes from the cluster state the jobs whose completion was committed, and caches their
 /// terminal records.
-fn record_completions(controller: &Controller, completions: &[Completion]) {
+fn record_completions(controller: &Controller, completions: &[JobCompletion]) {
     let now = controller.now();
     for completion in completions {
         let job = &completion.job;
@@ -156,7 +161,7 @@
 /// before their completion, or an unanswered attempt to commit the completion was executed.
 fn remove_jobs_without_active_record(
     controller: &Controller,
-    completions: &[Completion],
+    completions: &[JobCompletion],
     failed_keys: &[String],
 ) {
     let now = controller.now();
@@ -186,7 +191,7 @@
 }
 
 /// Commits a flush of completion pages and records its outcome.
-async fn commit_flush(controller: &Controller, term_condition: &Condition, flush: &Flush) {
+async fn commit_flush(controller: &Controller, term_condition: &Condition, flush: &ProgressFlush) {
     if flush.pages.writes.is_empty() {
         return;
     }
@@ -204,7 +209,7 @@
     controller.with_cluster(|cluster| match result.outcome {
         Ok(TransactionOutcome::Committed(revision)) => cluster.record_flushed(flush, revision),
         Ok(TransactionOutcome::Conflict { .. })
-        | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => cluster
+        | Err(StoreError::Indeterminate { .. } | StoreError::Malformed { .. }) => cluster
             .completion_pages
             .mark_flush_failed(&flush.pages, true),
         Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => cluster
--- a/crates/tallygauge/src/scheduler_config.rs
+++ b/crates/tallygauge/src/scheduler_config.rs
@@ -28,19 +28,19 @@
         heartbeat_interval_s: deployment.workers.heartbeat_interval_s,
         lease_s: deployment.workers.lease_s,
         cancel_timeout_s: deployment.workers.cancel_timeout_s,
-        fence_s: controller.fence_s(),
+        fencing_timeout_s: controller.fence_s(),
         list_lag_s: deployment.cloud.list_lag_s,
         clock_drift: CLOCK_DRIFT,
         min_remaining_s: operator.min_remaining,
-        utility: [
+        utility_by_priority: [
             operator.utility.low,
             operator.utility.normal,
             operator.utility.high,
             operator.utility.production,
         ],
-        late_utility: operator.late_utility,
-        idle_boots: operator.idle_wait,
-        horizon_boots: operator.rent_horizon,
+        late_utility_factor: operator.late_utility,
+        idle_timeout_boot_times: operator.idle_wait,
+        rental_horizon_boot_times: operator.rent_horizon,
         class_deadline_s: deployment
             .objectives
             .iter()
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -41,7 +41,7 @@
 
 fn measure_process(controller: &Controller) -> ProcessMeasurements {
     let (now, expiry_s) = (controller.now(), controller.caller_expiry_s());
-    let in_doubt = controller.store.in_doubt_writes();
+    let in_doubt = controller.store.indeterminate_writes();
     let oldest_unanswered_s = controller
         .unanswered_polls
         .longest_wait_s(now, expiry_s)
@@ -68,7 +68,7 @@
         machines_up = cluster
             .workers
             .values()
-            .filter(|worker| worker.is_up())
+            .filter(|worker| worker.has_reported())
             .count(),
         cpus_starting = cpus.starting,
         cpus_fetching = cpus.fetching,
