--- a/crates/tallygauge-sim/src/fault_settings.rs
+++ b/crates/tallygauge-sim/src/fault_settings.rs
@@ -82,9 +82,9 @@
     pub store_down: bool,
     /// Probability that a transaction gets no response and is executed 2 to 12 seconds
     /// later.
-    pub late_writes: f64,
+    pub late_write_probability: f64,
     /// Probability that a transaction is executed at once and gets no response.
-    pub lost_responses: f64,
+    pub lost_response_probability: f64,
     /// How many of the next transactions with writes are executed while their connection
     /// breaks before the response.
     pub lose_next_responses: u32,
@@ -121,8 +121,8 @@
             partitioned: BTreeSet::new(),
             refused: BTreeSet::new(),
             store_down: false,
-            late_writes: 0.0,
-            lost_responses: 0.0,
+            late_write_probability: 0.0,
+            lost_response_probability: 0.0,
             lose_next_responses: 0,
             hang_writes: None,
             delay_next_write: None,
--- a/crates/tallygauge-sim/src/scenario.rs
+++ b/crates/tallygauge-sim/src/scenario.rs
@@ -248,11 +248,11 @@
             let faults = &mut self.simulation.state.lock().unwrap().faults;
             faults.partitioned.clear();
             faults.refused.clear();
-            faults.late_writes = 0.0;
+            faults.late_write_probability = 0.0;
             faults.delayed_commands = RandomDelay::NONE;
             faults.duplicated_heartbeats = RandomDelay::NONE;
             faults.lose_next_responses = 0;
-            faults.lost_responses = 0.0;
+            faults.lost_response_probability = 0.0;
         }
         for machine in self.simulation.booted_machines() {
             self.simulation.set_inbound_blocked(&machine, false);
--- a/crates/tallygauge-sim/src/scenario/faults.rs
+++ b/crates/tallygauge-sim/src/scenario/faults.rs
@@ -155,10 +155,10 @@
         let faults = &mut self.simulation.state.lock().unwrap().faults;
         match kind {
             K::LoseNextResponse => faults.lose_next_responses = 1,
-            K::StartLosingResponses => faults.lost_responses = LOST_RESPONSE_PROBABILITY,
-            K::EndLosingResponses => faults.lost_responses = 0.0,
-            K::StartLateWrites => faults.late_writes = LATE_WRITE_PROBABILITY,
-            K::EndLateWrites => faults.late_writes = 0.0,
+            K::StartLosingResponses => faults.lost_response_probability = LOST_RESPONSE_PROBABILITY,
+            K::EndLosingResponses => faults.lost_response_probability = 0.0,
+            K::StartLateWrites => faults.late_write_probability = LATE_WRITE_PROBABILITY,
+            K::EndLateWrites => faults.late_write_probability = 0.0,
             K::DuplicateHeartbeats => faults.duplicated_heartbeats = DUPLICATED_HEARTBEATS,
             K::DelayCommands => faults.delayed_commands = DELAYED_COMMANDS,
             K::HealStorePartitions => faults.partitioned.clear(),
--- a/crates/tallygauge-sim/src/store_requests.rs
+++ b/crates/tallygauge-sim/src/store_requests.rs
@@ -202,14 +202,14 @@
         let has_writes = is_transaction && text.contains("\"writes\"");
         let sets_key = |prefix: &str| text.contains(&format!("\"set\":\"{prefix}"));
         let mut delay_s = None;
-        if has_writes && self.strikes(self.faults.late_writes) {
+        if has_writes && self.strikes(self.faults.late_write_probability) {
             delay_s = Some(self.random.random_range(LATE_WRITE_DELAY_S));
         }
         let delayed = &mut self.faults.delay_next_write;
         if let Some(write) = delayed.take_if(|write| sets_key(write.key_prefix)) {
             delay_s = Some(write.delay_s);
         }
-        let is_lost = is_transaction && self.strikes(self.faults.lost_responses);
+        let is_lost = is_transaction && self.strikes(self.faults.lost_response_probability);
         if self.faults.hang_writes.is_some_and(sets_key) {
             RequestFault::Hang
         } else if let Some(delay_s) = delay_s {
--- a/crates/tallygauge-sim/tests/concurrent_faults.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults.rs
@@ -164,7 +164,7 @@
         let (simulation, controller_a, task_a) = start_with_leader().await;
         simulation.seed(seed);
         let (controller_b, _task_b) = simulation.start_controller("n-b");
-        simulation.set_faults(|faults| faults.late_writes = 0.5);
+        simulation.set_faults(|faults| faults.late_write_probability = 0.5);
         let mut ids = Vec::new();
         for n in 1..=5 {
             ids.push(submit_job(&simulation, &controller_a, n, 4, 2.0, 3.0).await);
@@ -174,7 +174,7 @@
         simulation.crash_controller("n-a", &task_a);
         let (controller_c, _task_c) = simulation.start_controller("n-c");
         sleep_s(8.0).await;
-        simulation.set_faults(|faults| faults.late_writes = 0.0);
+        simulation.set_faults(|faults| faults.late_write_probability = 0.0);
         for id in &ids[..4] {
             assert!(wait_until_done(&controller_c, id).await, "{seed}: {id}");
         }
--- a/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
@@ -46,7 +46,7 @@
         let (simulation, _a, task) = start_with_leader().await;
         simulation.seed(seed);
         let (controller_b, _task_b) = simulation.start_controller("n-b");
-        simulation.set_faults(|faults| faults.lost_responses = 0.4);
+        simulation.set_faults(|faults| faults.lost_response_probability = 0.4);
         let mut ids = Vec::new();
         for n in 1..=20 {
             ids.push(submit_job(&simulation, &controller_b, n, 2, 2.0, 2.0).await);
@@ -207,7 +207,7 @@
         {
             let mut state = simulation.state.lock().unwrap();
             state.boot_time_s = 0.1;
-            state.faults.late_writes = 0.4;
+            state.faults.late_write_probability = 0.4;
         }
         let mut ids = Vec::new();
         for n in 1..=6 {
@@ -216,7 +216,7 @@
         sleep_s(0.3 * seed as f64).await;
         simulation.crash_controller("n-a", &task);
         sleep_s(LEASE_S).await;
-        simulation.set_faults(|faults| faults.late_writes = 0.0);
+        simulation.set_faults(|faults| faults.late_write_probability = 0.0);
         for id in &ids {
             assert!(wait_until_done(&controller_b, id).await, "{seed}: {id}");
         }
--- a/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
@@ -94,7 +94,7 @@
     // Beforehand a machine has booted, and every controller has a job in its cache.
     let first = submit_job_with_shape(&simulation, &controllers[0], 1, shape).await;
     assert!(wait_until_done(&controllers[0], &first).await);
-    simulation.set_faults(|faults| faults.lost_responses = lost_responses);
+    simulation.set_faults(|faults| faults.lost_response_probability = lost_responses);
     let job = simulation.job_with_shape(2, shape);
     let mut requests = Vec::new();
     let started_at = simulation.now();
@@ -124,7 +124,7 @@
     for request in requests {
         request.await.unwrap();
     }
-    simulation.set_faults(|faults| faults.lost_responses = 0.0);
+    simulation.set_faults(|faults| faults.lost_response_probability = 0.0);
     let is_over = eventually(60.0, async || {
         matches!(
             query_status(&controllers[2], &job.id).await,
