--- a/crates/tallygauge-sim/src/fault_settings.rs
+++ b/crates/tallygauge-sim/src/fault_settings.rs
@@ -90,7 +90,7 @@
     pub lose_next_responses: u32,
     /// Transactions that set a key with this prefix get no response and are never
     /// executed.
-    pub hang_writes: Option<&'static str>,
+    pub hang_writes_with_prefix: Option<&'static str>,
     /// The next transaction that matches gets no response and is executed late.
     pub delay_next_write: Option<DelayedWrite>,
     /// Watches of active jobs hang.
@@ -124,7 +124,7 @@
             late_write_probability: 0.0,
             lost_response_probability: 0.0,
             lose_next_responses: 0,
-            hang_writes: None,
+            hang_writes_with_prefix: None,
             delay_next_write: None,
             hang_job_watches: false,
             truncate_responses: false,
--- a/crates/tallygauge-sim/src/scenario/checks.rs
+++ b/crates/tallygauge-sim/src/scenario/checks.rs
@@ -71,7 +71,12 @@
             }
             InjectedViolation::DoneTooSoon => self.simulation.forget_completions("req-000001"),
             InjectedViolation::NothingPlaced => {
-                self.simulation.state.lock().unwrap().faults.hang_writes = Some("p/");
+                self.simulation
+                    .state
+                    .lock()
+                    .unwrap()
+                    .faults
+                    .hang_writes_with_prefix = Some("p/");
                 self.submit_violating_job(1.0).await;
             }
         }
--- a/crates/tallygauge-sim/src/store_requests.rs
+++ b/crates/tallygauge-sim/src/store_requests.rs
@@ -210,7 +210,7 @@
             delay_s = Some(write.delay_s);
         }
         let is_lost = is_transaction && self.strikes(self.faults.lost_response_probability);
-        if self.faults.hang_writes.is_some_and(sets_key) {
+        if self.faults.hang_writes_with_prefix.is_some_and(sets_key) {
             RequestFault::Hang
         } else if let Some(delay_s) = delay_s {
             RequestFault::Late { delay_s }
--- a/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
@@ -14,7 +14,7 @@
     let first = submit_job(&simulation, &controller_a, 1, 2, 2.0, 5.0).await;
     assert!(wait_until_done(&controller_a, &first).await);
     // Neither copy of the next round's batch write is executed.
-    simulation.set_faults(|faults| faults.hang_writes = Some("p/1-2"));
+    simulation.set_faults(|faults| faults.hang_writes_with_prefix = Some("p/1-2"));
     let second = submit_job(&simulation, &controller_a, 2, 2, 4.0, 5.0).await;
     let in_doubt = eventually(LEASE_S, async || {
         controller_a.store.indeterminate_writes().count > 0
@@ -33,7 +33,7 @@
         in_doubt.count == 1 && in_doubt.oldest_age.as_secs_f64() > 5.0,
         "{in_doubt:?}"
     );
-    simulation.set_faults(|faults| faults.hang_writes = None);
+    simulation.set_faults(|faults| faults.hang_writes_with_prefix = None);
     assert!(wait_until_done(&controller_a, &second).await);
     assert_eq!(count_starts(&simulation), 6, "nothing is placed twice");
     simulation.assert_invariants();
