--- a/crates/tallygauge-sim/src/faults.rs
+++ b/crates/tallygauge-sim/src/faults.rs
@@ -220,8 +220,8 @@
     }
 
     /// Partitions a machine from all controllers, or heals the partition; its tasks run on.
-    pub fn set_silent(&self, machine: &str, silent: bool) {
-        self.change_worker(machine, |worker| worker.silent = silent);
+    pub fn set_worker_partitioned(&self, machine: &str, partitioned: bool) {
+        self.change_worker(machine, |worker| worker.partitioned = partitioned);
     }
 
     /// Hangs a machine, or lets it go on: meanwhile its tasks make no progress and what is
--- a/crates/tallygauge-sim/src/machines.rs
+++ b/crates/tallygauge-sim/src/machines.rs
@@ -81,7 +81,7 @@
     pub(crate) lease_renewed_at: f64,
     pub(crate) tasks: Vec<SimTask>,
     /// Neither sends heartbeats nor accepts commands, but runs its tasks.
-    pub(crate) silent: bool,
+    pub(crate) partitioned: bool,
     /// Its heartbeats arrive; answers and direct commands don't reach it.
     pub(crate) inbound_blocked: bool,
     /// Its heartbeats don't arrive; direct commands reach it.
@@ -102,7 +102,7 @@
             fencing_token: 0,
             lease_renewed_at: now,
             tasks: Vec::new(),
-            silent: false,
+            partitioned: false,
             inbound_blocked: false,
             outbound_blocked: false,
             controller_index: 0,
@@ -126,7 +126,7 @@
 
     /// Whether its heartbeats reach controllers.
     pub(crate) fn can_send(&self) -> bool {
-        !self.silent && !self.outbound_blocked && !self.is_hung()
+        !self.partitioned && !self.outbound_blocked && !self.is_hung()
     }
 
     /// Whether nothing blocks messages to or from it.
--- a/crates/tallygauge-sim/src/scenario/faults.rs
+++ b/crates/tallygauge-sim/src/scenario/faults.rs
@@ -219,7 +219,7 @@
             K::BlockOutbound => self.simulation.set_outbound_blocked(machine, true),
             K::UnblockOutbound => self.simulation.set_outbound_blocked(machine, false),
             K::RestartAgent => self.simulation.restart_agent(machine),
-            K::SilenceMachine => self.simulation.set_silent(machine, true),
+            K::SilenceMachine => self.simulation.set_worker_partitioned(machine, true),
             K::DestroyMachine => self.simulation.destroy(machine),
             K::HangMachine => {
                 self.simulation.set_hung(machine, true);
--- a/crates/tallygauge-sim/src/worker_agent.rs
+++ b/crates/tallygauge-sim/src/worker_agent.rs
@@ -161,7 +161,10 @@
 
     /// The next heartbeat of a worker; `None` if it is silent or gone.
     pub fn next_heartbeat(&mut self, name: &str) -> Option<Value> {
-        let worker = self.workers.get_mut(name).filter(|worker| !worker.silent)?;
+        let worker = self
+            .workers
+            .get_mut(name)
+            .filter(|worker| !worker.partitioned)?;
         worker.sequence += 1;
         Some(self.heartbeat(name))
     }
@@ -201,7 +204,7 @@
         let request: DirectCommands = serde_json::from_slice(body).unwrap();
         self.advance(now);
         let worker = self.workers.get_mut(name)?;
-        if worker.silent || worker.inbound_blocked {
+        if worker.partitioned || worker.inbound_blocked {
             return None;
         }
         worker.sequence += 1;
--- a/crates/tallygauge-sim/tests/concurrent_faults.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults.rs
@@ -232,7 +232,7 @@
             if inbound_blocked {
                 simulation.set_inbound_blocked(&machine, on);
             } else {
-                simulation.set_silent(&machine, on);
+                simulation.set_worker_partitioned(&machine, on);
             }
         };
         set_unreachable(true);
--- a/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
@@ -130,9 +130,9 @@
         assert!(eventually(60.0, async || simulation.running_task_count(&id) == 4).await);
         // The lease of one worker expires, and its task is started again.
         let machine = simulation.state.lock().unwrap().starts[0].worker.clone();
-        simulation.set_silent(&machine, true);
+        simulation.set_worker_partitioned(&machine, true);
         sleep_s(LEASE_S * 1.5).await;
-        simulation.set_silent(&machine, false);
+        simulation.set_worker_partitioned(&machine, false);
         assert!(
             eventually(LEASE_S * 4.0, async || simulation.running_task_count(&id)
                 == 4)
@@ -247,7 +247,7 @@
                 if hangs {
                     simulation.set_hung(machine, on);
                 } else {
-                    simulation.set_silent(machine, on);
+                    simulation.set_worker_partitioned(machine, on);
                 }
             }
         };
--- a/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
@@ -140,7 +140,7 @@
         for (n, machine) in machines.iter().enumerate() {
             match (n + seed) % 3 {
                 0 => simulation.destroy(machine),
-                1 => simulation.set_silent(machine, true),
+                1 => simulation.set_worker_partitioned(machine, true),
                 _ => {}
             }
         }
@@ -149,7 +149,7 @@
         }
         sleep_s(LEASE_S * 0.5 * seed as f64).await;
         for machine in simulation.booted_machines() {
-            simulation.set_silent(&machine, false);
+            simulation.set_worker_partitioned(&machine, false);
         }
         for id in &ids {
             assert!(wait_until_done(&controller_b, id).await, "{seed}: {id}");
--- a/crates/tallygauge-sim/tests/failover.rs
+++ b/crates/tallygauge-sim/tests/failover.rs
@@ -23,7 +23,7 @@
     sleep_s(2.0).await;
     let worker = simulation.state.lock().unwrap().starts[0].worker.clone();
     // Leader and worker fail together; the worker's task runs on for its lease.
-    simulation.set_silent(&worker, true);
+    simulation.set_worker_partitioned(&worker, true);
     let silent_at = simulation.now();
     simulation.crash_controller("n-a", &task);
     let (controller_b, _task) = simulation.start_controller("n-b");
--- a/crates/tallygauge-sim/tests/message_faults.rs
+++ b/crates/tallygauge-sim/tests/message_faults.rs
@@ -100,7 +100,7 @@
         // The leader crashes, and a machine falls silent whose copies still arrive.
         simulation.crash_controller("n-a", &task);
         if let Some(worker) = simulation.booted_machines().first() {
-            simulation.set_silent(worker, true);
+            simulation.set_worker_partitioned(worker, true);
         }
         for id in &jobs {
             assert!(
