--- a/crates/tallygauge-sim/src/fault_settings.rs
+++ b/crates/tallygauge-sim/src/fault_settings.rs
@@ -75,9 +75,9 @@
 /// Faults in force.
 pub struct FaultSettings {
     /// Controllers whose requests to the store get no response.
-    pub partitioned: BTreeSet<String>,
+    pub store_partitioned: BTreeSet<String>,
     /// Controllers that the store answers 503, while it serves others.
-    pub refused: BTreeSet<String>,
+    pub store_refused: BTreeSet<String>,
     /// The store answers everybody 503.
     pub store_down: bool,
     /// Probability that a transaction gets no response and is executed 2 to 12 seconds
@@ -118,8 +118,8 @@
 impl Default for FaultSettings {
     fn default() -> Self {
         Self {
-            partitioned: BTreeSet::new(),
-            refused: BTreeSet::new(),
+            store_partitioned: BTreeSet::new(),
+            store_refused: BTreeSet::new(),
             store_down: false,
             late_write_probability: 0.0,
             lost_response_probability: 0.0,
@@ -143,6 +143,6 @@
 impl FaultSettings {
     /// Whether the store answers a controller 503; its open watches hang.
     pub(crate) fn store_refuses(&self, controller: &str) -> bool {
-        self.store_down || self.refused.contains(controller)
+        self.store_down || self.store_refused.contains(controller)
     }
 }
--- a/crates/tallygauge-sim/src/faults.rs
+++ b/crates/tallygauge-sim/src/faults.rs
@@ -130,9 +130,12 @@
     pub fn set_store_partitioned(&self, controller: &str, partitioned: bool) {
         let mut state = self.state.lock().unwrap();
         if partitioned {
-            state.faults.partitioned.insert(controller.to_string());
+            state
+                .faults
+                .store_partitioned
+                .insert(controller.to_string());
         } else {
-            state.faults.partitioned.remove(controller);
+            state.faults.store_partitioned.remove(controller);
         }
     }
 
@@ -140,9 +143,9 @@
     pub fn set_store_refuses(&self, controller: &str, refuses: bool) {
         let mut state = self.state.lock().unwrap();
         if refuses {
-            state.faults.refused.insert(controller.to_string());
+            state.faults.store_refused.insert(controller.to_string());
         } else {
-            state.faults.refused.remove(controller);
+            state.faults.store_refused.remove(controller);
         }
     }
 }
--- a/crates/tallygauge-sim/src/scenario.rs
+++ b/crates/tallygauge-sim/src/scenario.rs
@@ -246,8 +246,8 @@
     fn end_faults(&self) {
         {
             let faults = &mut self.simulation.state.lock().unwrap().faults;
-            faults.partitioned.clear();
-            faults.refused.clear();
+            faults.store_partitioned.clear();
+            faults.store_refused.clear();
             faults.late_write_probability = 0.0;
             faults.delayed_commands = RandomDelay::NONE;
             faults.duplicated_heartbeats = RandomDelay::NONE;
--- a/crates/tallygauge-sim/src/scenario/faults.rs
+++ b/crates/tallygauge-sim/src/scenario/faults.rs
@@ -161,8 +161,8 @@
             K::EndLateWrites => faults.late_write_probability = 0.0,
             K::DuplicateHeartbeats => faults.duplicated_heartbeats = DUPLICATED_HEARTBEATS,
             K::DelayCommands => faults.delayed_commands = DELAYED_COMMANDS,
-            K::HealStorePartitions => faults.partitioned.clear(),
-            K::ServeAllControllers => faults.refused.clear(),
+            K::HealStorePartitions => faults.store_partitioned.clear(),
+            K::ServeAllControllers => faults.store_refused.clear(),
             _ => {}
         }
     }
--- a/crates/tallygauge-sim/src/store_requests.rs
+++ b/crates/tallygauge-sim/src/store_requests.rs
@@ -116,7 +116,7 @@
 
     fn is_store_partitioned(&self, controller: &str) -> bool {
         let state = self.state.lock().unwrap();
-        state.faults.partitioned.contains(controller)
+        state.faults.store_partitioned.contains(controller)
     }
 
     /// Answers a watch as soon as there are changes, or when its time is over.
--- a/crates/tallygauge-sim/tests/concurrent_faults.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults.rs
@@ -375,7 +375,7 @@
     });
     assert!(!was_answered.await);
     simulation.assert_invariants();
-    simulation.set_faults(|faults| faults.partitioned.clear());
+    simulation.set_faults(|faults| faults.store_partitioned.clear());
     for controller in [&controller_a, &controller_b] {
         let confirmed = eventually(LEASE_S, async || {
             let status = query_status(controller, &id).await;
--- a/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
@@ -318,7 +318,7 @@
         let ids = fill_team_quotas(&simulation, &controller_a).await;
         let machines = simulation.booted_machines();
         simulation.set_faults(|faults| {
-            faults.partitioned.insert("n-a".into());
+            faults.store_partitioned.insert("n-a".into());
             for (n, machine) in machines.into_iter().enumerate() {
                 let controller = if n % 2 == 0 { "n-a" } else { "n-b" };
                 faults.exclusive_links.insert(machine, controller.into());
@@ -328,7 +328,7 @@
         cancel_until_confirmed(&simulation, &controller_b, &ids[0], 10.0).await;
         sleep_s(partition_s).await;
         simulation.set_faults(|faults| {
-            faults.partitioned.clear();
+            faults.store_partitioned.clear();
             faults.exclusive_links.clear();
         });
         sleep_s(CANCEL_TIMEOUT_S).await;
--- a/crates/tallygauge-sim/tests/message_faults.rs
+++ b/crates/tallygauge-sim/tests/message_faults.rs
@@ -145,7 +145,7 @@
     sleep_s(LEASE_S).await;
     assert_eq!(count_starts(&simulation), 2, "no lease ended");
     // It returns without effect; then the same with the other controller.
-    simulation.set_faults(|faults| faults.partitioned.clear());
+    simulation.set_faults(|faults| faults.store_partitioned.clear());
     sleep_s(5.0).await;
     simulation.set_store_partitioned("n-b", true);
     assert!(eventually(LEASE_S * 2.0, async || is_active_leader(&controller_a)).await);
