--- a/crates/tallygauge-sim/examples/load/main.rs
+++ b/crates/tallygauge-sim/examples/load/main.rs
@@ -137,7 +137,7 @@
 fn simulation_with_machines(arguments: &Arguments) -> Arc<Simulation> {
     let simulation = Simulation::new();
     let mut state = simulation.state.lock().unwrap();
-    state.team_cpus = arguments.total_cpus();
+    state.team_quota_cpus = arguments.total_cpus();
     state.add_booted_machines(arguments.machines);
     drop(state);
     simulation
--- a/crates/tallygauge-sim/src/command_execution.rs
+++ b/crates/tallygauge-sim/src/command_execution.rs
@@ -99,7 +99,7 @@
     /// Records a team whose tasks use more than its quota.
     fn check_team_quota(&mut self, now: f64, team: &str) {
         let used = self.team_usage(team);
-        if used > self.team_cpus + QUOTA_TOLERANCE_CPUS {
+        if used > self.team_quota_cpus + QUOTA_TOLERANCE_CPUS {
             let violation = format!("{now:.1}: the team {team} uses {used} CPUs");
             self.violations.push(violation);
         }
--- a/crates/tallygauge-sim/src/lib.rs
+++ b/crates/tallygauge-sim/src/lib.rs
@@ -65,7 +65,7 @@
 pub const CANCEL_TIMEOUT_S: f64 = 20.0;
 
 /// Quota of a team: CPUs that its tasks may use together.
-pub const TEAM_CPUS: f64 = 16.0;
+pub const TEAM_QUOTA_CPUS: f64 = 16.0;
 
 /// One simulation: controllers and the stand-ins around them.
 pub struct Simulation {
@@ -150,8 +150,8 @@
         "services": {"cloud": CLOUD_ADDRESS, "state": STORE_ADDRESS},
         "deployment": {
             "count": 2, "zones": ["a", "b"],
-            "teams": [{"name": "t", "cpus": 8.0, "cpus_max": TEAM_CPUS},
-                {"name": "u", "cpus": 8.0, "cpus_max": TEAM_CPUS}],
+            "teams": [{"name": "t", "cpus": 8.0, "cpus_max": TEAM_QUOTA_CPUS},
+                {"name": "u", "cpus": 8.0, "cpus_max": TEAM_QUOTA_CPUS}],
             "workers": {"report_s": HEARTBEAT_INTERVAL_S, "lease_s": LEASE_S, "cancel_s": CANCEL_TIMEOUT_S},
             "state": {"rps": 400.0, "write_rps": 200.0, "value_kb": 8.0, "txn_ops": 16},
             "cloud": {"rps": 8.0, "list_lag_s": 1.0},
--- a/crates/tallygauge-sim/src/machines.rs
+++ b/crates/tallygauge-sim/src/machines.rs
@@ -191,7 +191,7 @@
         let state = self.state.lock().unwrap();
         let shape = state.job_shapes[id];
         let is_waiting = !state.running_tasks().any(|(_, task)| task.job() == id);
-        let is_under_quota = state.team_usage(shape.team) + shape.cpus <= state.team_cpus;
+        let is_under_quota = state.team_usage(shape.team) + shape.cpus <= state.team_quota_cpus;
         is_waiting
             && is_under_quota
             && state
--- a/crates/tallygauge-sim/src/scenario.rs
+++ b/crates/tallygauge-sim/src/scenario.rs
@@ -10,8 +10,8 @@
 pub use checks::InjectedViolation;
 
 use crate::{
-    CANCEL_TIMEOUT_S, JobRequest, JobShape, RandomDelay, Simulation, TEAM_CPUS, is_active_leader,
-    sleep_s,
+    CANCEL_TIMEOUT_S, JobRequest, JobShape, RandomDelay, Simulation, TEAM_QUOTA_CPUS,
+    is_active_leader, sleep_s,
 };
 use jobs::TrackedJob;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -127,7 +127,7 @@
     let mut work_s = 0.0;
     for number in 1..=JOBS {
         let shape = scenario.draw_job_shape();
-        work_s += f64::from(shape.tasks) * shape.run_s * shape.cpus / TEAM_CPUS;
+        work_s += f64::from(shape.tasks) * shape.run_s * shape.cpus / TEAM_QUOTA_CPUS;
         let job = scenario.submit(number, shape).await;
         scenario.sleep_before_fault().await;
         let may_cancel = number > MIN_JOBS_BEFORE_CANCELLATION;
--- a/crates/tallygauge-sim/src/state.rs
+++ b/crates/tallygauge-sim/src/state.rs
@@ -2,7 +2,8 @@
 //! checkers have recorded.
 
 use crate::{
-    TEAM_CPUS, fault_settings::FaultSettings, machines::SimWorker, store::Store, users::JobShape,
+    TEAM_QUOTA_CPUS, fault_settings::FaultSettings, machines::SimWorker, store::Store,
+    users::JobShape,
 };
 use rand::{SeedableRng, rngs::StdRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -70,7 +71,7 @@
     /// Zones in which the cloud offers machines.
     pub zones: Vec<&'static str>,
     /// CPUs that the tasks of one team may use together.
-    pub team_cpus: f64,
+    pub team_quota_cpus: f64,
     /// Addresses at which workers accept direct commands; a worker that has none here is
     /// addressed by its name.
     pub endpoints: HashMap<String, String>,
@@ -111,7 +112,7 @@
             next_machine: 0,
             boot_time_s: DEFAULT_BOOT_TIME_S,
             zones: vec!["a"],
-            team_cpus: TEAM_CPUS,
+            team_quota_cpus: TEAM_QUOTA_CPUS,
             endpoints: HashMap::new(),
             delayed_commands: Vec::new(),
             delayed_heartbeats: Vec::new(),
