--- a/crates/tallygauge-sim/src/cloud.rs
+++ b/crates/tallygauge-sim/src/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud's stand-in: a catalogue with one machine type, the list of rented machines,
-//! and requests that rent and return machines.
+//! The simulated cloud: a catalogue with one machine type, the list of rented machines, and
+//! the rental and return of machines.
 
 use crate::{
     SimState, Simulation,
@@ -10,7 +10,7 @@
 use warp::http::Method;
 
 impl Simulation {
-    /// Answers a request as the cloud does.
+    /// Handles a request to the cloud.
     pub fn handle_cloud_request(&self, method: &Method, path: &str, body: &[u8]) -> Response {
         let now = self.now();
         let mut state = self.state.lock().unwrap();
@@ -29,13 +29,13 @@
 }
 
 impl SimState {
-    /// The machine types on offer.
+    /// The available machine types.
     fn catalogue(&self) -> Value {
         json!({"builds": [{"name": "c8", "cores": 8, "gpus": 0, "memGb": 32,
             "cacheGb": 20, "pullGbPerS": 10.0, "rate": 1.0, "lowPrice": 0.4, "readyS": 2.0, "sites": self.zones}]})
     }
 
-    /// The list of rented machines.
+    /// The list of all rented machines.
     fn list_machines(&self, now: f64) -> Value {
         let machines: Vec<Value> = self
             .machines
@@ -49,7 +49,7 @@
         json!({"benches": machines, "hasNext": false})
     }
 
-    /// Takes machines back and counts the tasks that were running on them.
+    /// Removes returned machines, and counts the tasks that were running on them.
     fn return_machines(&mut self, request: &Value) -> Value {
         for name in request["benches"].as_array().unwrap() {
             let name = name.as_str().unwrap();
@@ -62,7 +62,7 @@
         json!({"benches": []})
     }
 
-    /// Rents machines once for each request id; a repeated request gets the same machines.
+    /// Rents machines. Requests are idempotent: a repeated request id gets the same machines.
     fn rent_machines(&mut self, now: f64, request: &Value) -> Value {
         let request_id = request["booking"].as_str().unwrap().to_string();
         self.check_rental_request(now, &request_id, request.to_string());
@@ -75,7 +75,7 @@
         json!({"benches": self.rentals[&request_id]})
     }
 
-    /// Adds a machine that begins to boot now. Returns its name.
+    /// Adds a machine that starts to boot now. Returns its name.
     fn add_machine(&mut self, now: f64, zone: &str) -> String {
         let name = self.next_machine_name();
         let machine = RentedMachine {
@@ -86,12 +86,13 @@
         name
     }
 
-    /// Records a violation if a request id is used for another request.
+    /// Records a violation if a request id is reused for a different request.
     fn check_rental_request(&mut self, now: f64, request_id: &str, request: String) {
-        let first = self.rental_requests.entry(request_id.to_string());
-        if *first.or_insert_with(|| request.clone()) != request {
-            self.violations
-                .push(format!("{now:.1}: rental request {request_id} repeats"));
+        let first_request = self.rental_requests.entry(request_id.to_string());
+        if *first_request.or_insert_with(|| request.clone()) != request {
+            self.violations.push(format!(
+                "{now:.1}: id {request_id} is reused for a different rental request"
+            ));
         }
     }
 }
--- a/crates/tallygauge-sim/src/command_execution.rs
+++ b/crates/tallygauge-sim/src/command_execution.rs
@@ -1,4 +1,4 @@
-//! How workers execute commands, and the checkers that look at every task start.
+//! Execution of commands by simulated workers, and the invariant checks at every task start.
 
 use crate::{
     SimState, TaskStart,
@@ -6,11 +6,11 @@
 };
 use tallygauge_protocol::workers::Command;
 
-/// Rounding error up to which a team may exceed its quota, in CPUs.
+/// Tolerance of the quota check for rounding errors, in CPUs.
 const QUOTA_TOLERANCE_CPUS: f64 = 1e-6;
 
 impl SimState {
-    /// Executes commands on a worker, which must exist.
+    /// Executes commands on a worker; panics if it does not exist and there are commands.
     pub(crate) fn execute_commands(&mut self, now: f64, worker: &str, commands: &[Command]) {
         for command in commands {
             match command {
@@ -21,7 +21,8 @@
         }
     }
 
-    /// Starts an attempt of a task, unless the worker has it already.
+    /// Starts an attempt of a task and checks the invariants. Does nothing if the worker
+    /// already has this attempt.
     fn start_task(&mut self, now: f64, worker: &str, task: &str, attempt: u64) {
         let mut tasks = self.workers[worker].tasks.iter();
         if tasks.any(|t| t.is_attempt(task, attempt)) {
@@ -44,7 +45,7 @@
         self.check_team_quota(now, self.job_shapes[job_of_task(task)].team);
     }
 
-    /// Stops an attempt of a task, if it runs.
+    /// Stops an attempt of a task, if it is running.
     fn stop_task(&mut self, worker: &str, task: &str, attempt: u64) {
         let tasks = self.worker_mut(worker).tasks.iter_mut();
         for running in tasks.filter(|t| t.is_attempt(task, attempt) && t.is_running()) {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Forgets an attempt of a task that has ended.
+    /// Removes an attempt of a task from the worker, if it has ended.
     fn clear_task(&mut self, worker: &str, task: &str, attempt: u64) {
         let tasks = &mut self.worker_mut(worker).tasks;
         tasks.retain(|t| !t.is_attempt(task, attempt) || t.is_running());
@@ -62,25 +63,28 @@
         self.workers.get_mut(name).unwrap()
     }
 
-    /// Records a task that starts while it runs elsewhere, and an attempt that starts on a
-    /// second worker.
+    /// Records a violation if the task is already running, or if the attempt was already
+    /// started on another worker.
     fn check_single_start(&mut self, now: f64, worker: &str, task: &str, attempt: u64) {
         if self
             .running_tasks()
             .any(|(_, running)| running.name == task)
         {
-            self.violations
-                .push(format!("{now:.1}: {task} starts twice"));
+            self.violations.push(format!(
+                "{now:.1}: {task} starts twice: it is already running"
+            ));
         }
-        // An attempt's start may be sent twice, but only to one worker.
-        let first = self.attempt_workers.entry((task.to_string(), attempt));
-        if first.or_insert_with(|| worker.to_string()) != worker {
-            self.violations
-                .push(format!("{now:.1}: attempt {attempt} of {task} repeats"));
+        // The start of an attempt may be sent repeatedly, but only to the same worker.
+        let first_worker = self.attempt_workers.entry((task.to_string(), attempt));
+        if first_worker.or_insert_with(|| worker.to_string()) != worker {
+            self.violations.push(format!(
+                "{now:.1}: attempt {attempt} of {task} starts on a second worker"
+            ));
         }
     }
 
-    /// Records a start in a zone that the job does not allow.
+    /// Records a violation if the job does not allow the zone of the started task, or if the
+    /// job must run in one zone and already runs in another.
     fn check_zone(&mut self, now: f64, task: &str, worker: &str) {
         let job = job_of_task(task);
         let shape = self.job_shapes[job];
@@ -91,16 +95,17 @@
                 .running_tasks()
                 .any(|(other, running)| running.job() == job && other.zone != *zone);
         if !is_allowed || is_split {
-            let violation = format!("{now:.1}: {task} starts in a wrong place, {zone}");
+            let violation =
+                format!("{now:.1}: {task} starts in zone {zone}, which its job does not allow");
             self.violations.push(violation);
         }
     }
 
-    /// Records a team whose tasks use more than its quota.
+    /// Records a violation if the running tasks of a team exceed its quota.
     fn check_team_quota(&mut self, now: f64, team: &str) {
         let used = self.team_usage(team);
         if used > self.team_quota_cpus + QUOTA_TOLERANCE_CPUS {
-            let violation = format!("{now:.1}: the team {team} uses {used} CPUs");
+            let violation = format!("{now:.1}: team {team} exceeds its quota with {used} CPUs");
             self.violations.push(violation);
         }
     }
--- a/crates/tallygauge-sim/src/exchanges.rs
+++ b/crates/tallygauge-sim/src/exchanges.rs
@@ -1,8 +1,8 @@
-//! Records every message between controllers, store, cloud, workers and users, as the
-//! stand-ins receive and answer it, and computes a digest of them.
+//! Records the messages between controllers and the simulated store, cloud, workers and users,
+//! and computes a digest of them.
 //!
-//! The digest covers only what is on the wire, the simulated time and both ends, so that
-//! refactoring does not change it.
+//! The digest covers only the content of the messages, their simulated time, and their sender
+//! and receiver, so that refactoring does not change it.
 
 use crate::Simulation;
 use sha2::{Digest, Sha256};
@@ -15,36 +15,37 @@
 use tallygauge_store::http::HttpResult;
 use warp::http::Method;
 
-/// Status recorded for a request without a response.
+/// Status code recorded for a request that gets no response.
 const NO_RESPONSE: u16 = 0;
 
-/// One request, as the receiver sees it.
+/// A request as received.
 pub(crate) struct Request<'a> {
-    /// Who sends it.
+    /// Name of the sender.
     pub(crate) from: &'a str,
-    /// Who receives it.
+    /// Name or address of the receiver.
     pub(crate) to: &'a str,
     pub(crate) method: &'a str,
     pub(crate) path: &'a str,
     pub(crate) body: &'a [u8],
 }
 
-/// Number of a recorded request, to which its response refers.
+/// Number of a recorded request, by which its response refers to it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RequestNumber(u64);
 
-/// Requests and responses so far, in order.
+/// The requests and responses recorded so far.
 #[derive(Default)]
 pub(crate) struct Exchanges {
     hasher: Sha256,
     requests: u64,
-    /// Every message as text, if it is kept.
+    /// All messages as text, in order; `None` if text is not kept.
     text: Option<Vec<String>>,
 }
 
 impl Exchanges {
-    /// Adds fields of one message; their lengths keep them apart.
-    fn add(&mut self, fields: &[&[u8]]) {
+    /// Adds the fields of one message. The length of each field is hashed with it, so that
+    /// the boundaries between fields count.
+    fn add_message(&mut self, fields: &[&[u8]]) {
         if let Some(text) = &mut self.text {
             let shown = fields.iter().map(|field| String::from_utf8_lossy(field));
             text.push(shown.collect::<Vec<_>>().join(" "));
@@ -57,7 +58,7 @@
 }
 
 impl Simulation {
-    /// Starts to record messages; keeps them as text if `keep_text`.
+    /// Starts recording messages, and also keeps their text if `keep_text`.
     pub fn record_exchanges(&self, keep_text: bool) {
         *self.exchanges.lock().unwrap() = Some(Exchanges {
             text: keep_text.then(Vec::new),
@@ -65,15 +66,15 @@
         });
     }
 
-    /// The messages recorded so far as text, in order; empty if text is not kept.
+    /// The recorded messages as text, in order; empty if text is not kept.
     pub fn exchanged_text(&self) -> Vec<String> {
         let exchanges = self.exchanges.lock().unwrap();
         let text = exchanges.as_ref().and_then(|e| e.text.clone());
         text.unwrap_or_default()
     }
 
-    /// Digest of all messages since [`Simulation::record_exchanges`], in hexadecimal digits,
-    /// and the number of requests; `None` if nothing is recorded.
+    /// Hexadecimal digest of all messages since [`Simulation::record_exchanges`], and the
+    /// number of requests; `None` if messages are not recorded.
     pub fn exchange_digest(&self) -> Option<(String, u64)> {
         let exchanges = self.exchanges.lock().unwrap();
         let exchanges = exchanges.as_ref()?;
@@ -82,7 +83,7 @@
         Some((digits.collect(), exchanges.requests))
     }
 
-    /// Records a request when it is received.
+    /// Records a request at the time at which it is received.
     pub(crate) fn record_request(&self, request: &Request<'_>) -> RequestNumber {
         let nanos = self.started_at.elapsed().as_nanos().to_string();
         let mut exchanges = self.exchanges.lock().unwrap();
@@ -91,7 +92,7 @@
         };
         exchanges.requests += 1;
         let number = exchanges.requests;
-        exchanges.add(&[
+        exchanges.add_message(&[
             b"request",
             nanos.as_bytes(),
             number.to_string().as_bytes(),
@@ -110,7 +111,7 @@
         let mut exchanges = self.exchanges.lock().unwrap();
         if let Some(exchanges) = exchanges.as_mut() {
             let (number, status) = (to.0.to_string(), status.to_string());
-            exchanges.add(&[
+            exchanges.add_message(&[
                 b"answer",
                 nanos.as_bytes(),
                 number.as_bytes(),
@@ -120,15 +121,15 @@
         }
     }
 
-    /// Records the response of a stand-in, or that there is none.
-    pub(crate) fn record_outcome(&self, to: RequestNumber, answer: &HttpResult) {
-        match answer {
+    /// Records the response to a request, or that there is none.
+    pub(crate) fn record_outcome(&self, to: RequestNumber, result: &HttpResult) {
+        match result {
             Ok((status, body)) => self.record_response(to, status.as_u16(), body),
             Err(_) => self.record_response(to, NO_RESPONSE, b""),
         }
     }
 
-    /// Delivers a worker's heartbeat to a controller and returns its answer.
+    /// Delivers a worker's heartbeat to a controller and returns its reply.
     pub(crate) fn send_heartbeat(
         &self,
         controller: &Controller,
@@ -142,27 +143,27 @@
             path: "/checkin",
             body,
         });
-        let answer = handle_heartbeat(controller, body);
-        let (status, body) = status_and_body(&answer);
+        let reply = handle_heartbeat(controller, body);
+        let (status, body) = status_and_body(&reply);
         self.record_response(number, status, &body);
-        answer
+        reply
     }
 
-    /// Submits a user's job to a controller.
+    /// Submits a job to a controller as a user.
     pub async fn submit(&self, controller: &Arc<Controller>, body: &[u8]) -> Reply {
         let number = self.record_user_request(controller, &Method::POST, "", body);
         let reply = user_api::submit(controller, body).await;
         self.record_reply(number, reply)
     }
 
-    /// Requests the status of a user's job from a controller.
+    /// Requests the status of a job from a controller as a user.
     pub async fn request_status(&self, controller: &Arc<Controller>, id: &str) -> Reply {
         let number = self.record_user_request(controller, &Method::GET, id, b"");
         let reply = user_api::job_status(controller, id).await;
         self.record_reply(number, reply)
     }
 
-    /// Requests the cancellation of a user's job through a controller.
+    /// Requests the cancellation of a job from a controller as a user.
     pub async fn request_cancellation(&self, controller: &Arc<Controller>, id: &str) -> Reply {
         let number = self.record_user_request(controller, &Method::DELETE, id, b"");
         let reply = user_api::cancel(controller, id).await;
@@ -191,10 +192,10 @@
     }
 }
 
-/// Status and body of the answer to a heartbeat, without the text of an error.
-fn status_and_body(answer: &HeartbeatReply) -> (u16, Vec<u8>) {
-    match answer {
-        HeartbeatReply::Accepted(answer) => (200, serde_json::to_vec(answer).unwrap()),
+/// Status code and body of the reply to a heartbeat, without the text of an error.
+fn status_and_body(reply: &HeartbeatReply) -> (u16, Vec<u8>) {
+    match reply {
+        HeartbeatReply::Accepted(response) => (200, serde_json::to_vec(response).unwrap()),
         HeartbeatReply::Redirected(to) => (421, serde_json::to_vec(to).unwrap()),
         HeartbeatReply::Unavailable => (503, Vec::new()),
         HeartbeatReply::Malformed(_) => (400, Vec::new()),
--- a/crates/tallygauge-sim/src/fault_settings.rs
+++ b/crates/tallygauge-sim/src/fault_settings.rs
@@ -1,26 +1,27 @@
-//! What may be set to fail, and with which probability or delay.
+//! Settings of the faults to inject, with their probabilities and delays.
 
 use std::{
     collections::{BTreeSet, HashMap},
     task::Waker,
 };
 
-/// Seconds that a message takes each way unless a test sets another time.
+/// Default delay of a controller's request, in seconds.
 const DEFAULT_LINK_DELAY_S: f64 = 0.003;
 
-/// A request of a controller at which a fault is injected.
+/// The point before or after a controller's request at which a fault is injected once.
 pub struct FaultPoint {
     /// Name of the controller.
     pub controller: String,
-    /// What the request's method and path begin with.
+    /// Prefix of the request's method and path, such as `POST /multi`.
     pub request: &'static str,
-    /// Whether the fault comes at the next wait after the response was read, instead of
-    /// before the request is sent.
+    /// Whether the fault is injected after the response instead of before the request is
+    /// sent. A controller that is paused after a response still reads it, and stops when it
+    /// next waits.
     pub after_response: bool,
 }
 
 impl FaultPoint {
-    /// Just before a controller sends a request.
+    /// The point just before a controller sends a request.
     pub fn before_request(controller: &str, request: &'static str) -> Self {
         Self {
             controller: controller.to_string(),
@@ -29,7 +30,7 @@
         }
     }
 
-    /// At the next wait after a controller has read the response to a request.
+    /// The point after the response to a controller's request; see [`Self::after_response`].
     pub fn after_response(controller: &str, request: &'static str) -> Self {
         Self {
             controller: controller.to_string(),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Whether a request of a controller is at this point.
+    /// Whether the fault is to be injected at this point of a controller's request.
     pub(crate) fn matches(&self, controller: &str, request: &str, after_response: bool) -> bool {
         self.controller == controller
             && self.after_response == after_response
@@ -46,72 +47,74 @@
     }
 }
 
-/// A delay that strikes some of the messages of one kind.
+/// A random delay of a random part of the messages of one kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RandomDelay {
-    /// Probability that a message is struck.
+    /// Probability that a message is affected.
     pub probability: f64,
-    /// Longest delay, in seconds.
+    /// Maximum delay, in seconds.
     pub max_delay_s: f64,
 }
 
 impl RandomDelay {
-    /// No message is delayed.
+    /// No message is affected.
     pub const NONE: Self = Self {
         probability: 0.0,
         max_delay_s: 0.0,
     };
 }
 
-/// A transaction that gets no response and is executed late.
+/// Delays one transaction: it gets no response and is executed late.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DelayedWrite {
-    /// What one of the keys that it sets begins with.
+    /// Prefix of a key that the transaction sets.
     pub key_prefix: &'static str,
-    /// Seconds after which it is executed.
+    /// Delay until it is executed, in seconds.
     pub delay_s: f64,
 }
 
-/// Faults in force.
+/// Faults that are active or will be injected.
 pub struct FaultSettings {
-    /// Controllers whose requests to the store get no response.
+    /// Names of controllers whose requests to the store get no response.
     pub store_partitioned: BTreeSet<String>,
-    /// Controllers that the store answers 503, while it serves others.
+    /// Names of controllers whose requests the store answers with status 503.
     pub store_refused: BTreeSet<String>,
-    /// The store answers everybody 503.
+    /// Whether the store answers the requests of all controllers with status 503.
     pub store_down: bool,
-    /// Probability that a transaction gets no response and is executed 2 to 12 seconds
-    /// later.
+    /// Probability that a transaction with writes gets no response and is executed 2 to 12
+    /// seconds later.
     pub late_write_probability: f64,
-    /// Probability that a transaction is executed at once and gets no response.
+    /// Probability that a transaction is executed immediately but gets no response.
     pub lost_response_probability: f64,
-    /// How many of the next transactions with writes are executed while their connection
+    /// Number of upcoming transactions with writes that are executed but whose connection
     /// breaks before the response.
     pub lose_next_responses: u32,
-    /// Transactions that set a key with this prefix get no response and are never
-    /// executed.
+    /// Transactions that set a key with this prefix are never executed and get no response.
     pub hang_writes_with_prefix: Option<&'static str>,
-    /// The next transaction that matches gets no response and is executed late.
+    /// Delays the next transaction that matches.
     pub delay_next_write: Option<DelayedWrite>,
-    /// Watches of active jobs hang.
+    /// Whether watches of active jobs get no response.
     pub hang_job_watches: bool,
-    /// Responses of store and cloud are cut in half.
+    /// Whether responses to controllers are truncated to half their length.
     pub truncate_responses: bool,
-    /// Seconds that a message takes each way.
+    /// Delay of a controller's request to the store, the cloud or a worker, in seconds.
     pub link_delay_s: f64,
-    /// Workers that only one controller reaches, and that reach only that one.
+    /// Workers that are connected to a single controller, by name, and the name of that
+    /// controller.
     pub exclusive_links: HashMap<String, String>,
-    /// Direct commands that are delivered late.
+    /// Probability and delay with which direct commands are delivered late.
     pub delayed_commands: RandomDelay,
-    /// Heartbeats that are delivered once more, late.
+    /// Probability and delay with which a duplicate of a heartbeat is delivered to every
+    /// controller.
     pub duplicated_heartbeats: RandomDelay,
-    /// A copy of each heartbeat is kept for [`crate::Simulation::replay_captured_heartbeats`].
+    /// Whether a copy of each heartbeat is kept for
+    /// [`crate::Simulation::replay_captured_heartbeats`].
     pub capture_heartbeats: bool,
-    /// Where a controller will be paused.
+    /// The point at which a controller will be paused.
     pub pause_at: Option<FaultPoint>,
-    /// At which request of a controller the store begins to refuse everybody.
+    /// The point at which the store will start to refuse the requests of all controllers.
     pub store_down_at: Option<FaultPoint>,
-    /// Paused controllers, and the tasks to wake when they resume.
+    /// Names of paused controllers, with the wakers of the tasks that wait for their resume.
     pub(crate) paused: HashMap<String, Vec<Waker>>,
 }
 
@@ -141,7 +144,8 @@
 }
 
 impl FaultSettings {
-    /// Whether the store answers a controller 503; its open watches hang.
+    /// Whether the store answers a controller's requests with status 503. Watches that are
+    /// already open get no response meanwhile.
     pub(crate) fn store_refuses(&self, controller: &str) -> bool {
         self.store_down || self.store_refused.contains(controller)
     }
--- a/crates/tallygauge-sim/src/faults.rs
+++ b/crates/tallygauge-sim/src/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection: operations that make controllers, machines and their messages fail.
+//! Fault injection: operations that make controllers, machines and messages fail.
 
 use crate::{
     FaultPoint, FaultSettings, Simulation,
@@ -15,25 +15,25 @@
 use tallygauge_protocol::workers::Command;
 use tokio::task::JoinHandle;
 
-/// The sender of duplicated and replayed heartbeats in the record of messages.
+/// Sender of duplicated and replayed heartbeats, as recorded in the exchanged messages.
 const DUPLICATE_SENDER: &str = "copy";
 
 /// Faults of controllers.
 impl Simulation {
-    /// Changes the faults in force.
+    /// Changes the active faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut FaultSettings)) {
         change(&mut self.state.lock().unwrap().faults);
     }
 
-    /// Runs a future on a controller: it is not polled while the controller is paused,
-    /// though simulated time goes on.
+    /// Runs a future as part of a controller's process: it is not polled while the
+    /// controller is paused, although simulated time advances.
     pub fn run_on<F: Future>(
         self: &Arc<Self>,
         controller: &str,
-        work: F,
+        future: F,
     ) -> impl Future<Output = F::Output> + use<F> {
         let (simulation, controller) = (self.clone(), controller.to_string());
-        let mut work = Box::pin(work);
+        let mut future = Box::pin(future);
         let span = tracing::info_span!("controller", name = controller);
         std::future::poll_fn(move |context| {
             let _entered = span.enter();
@@ -43,7 +43,7 @@
                 return Poll::Pending;
             }
             drop(state);
-            work.as_mut().poll(context)
+            future.as_mut().poll(context)
         })
     }
 
@@ -57,11 +57,11 @@
             .or_default();
     }
 
-    /// Resumes a paused controller.
+    /// Resumes a paused controller's process.
     pub fn resume(&self, controller: &str) {
         let wakers = self.state.lock().unwrap().faults.paused.remove(controller);
         wakers.into_iter().flatten().for_each(Waker::wake);
-        self.resumed.notify_waiters();
+        self.controller_resumed.notify_waiters();
     }
 
     /// Whether a controller is paused.
@@ -70,21 +70,23 @@
         state.faults.paused.contains_key(controller)
     }
 
-    /// Injects the fault that is set for this request, if there is one, and waits while
-    /// the controller is paused. A request passes here on its way out and back.
+    /// Injects the faults that are set for this request, if any, and waits while the
+    /// controller is paused. Called for each request before it is handled and again after
+    /// its response.
     pub(crate) async fn wait_at_fault_point(
         &self,
         controller: &str,
         request: &str,
         after_response: bool,
     ) {
-        let paused_here = self.inject_fault(controller, request, after_response);
-        if paused_here && after_response {
-            // The response is read; the next poll of the controller's task waits.
+        let paused_now = self.inject_fault(controller, request, after_response);
+        if paused_now && after_response {
+            // The controller still reads the response: its process is paused from the next
+            // poll of its task on.
             return;
         }
         loop {
-            let resumed = self.resumed.notified();
+            let resumed = self.controller_resumed.notified();
             if !self.is_paused(controller) {
                 return;
             }
@@ -92,22 +94,23 @@
         }
     }
 
-    /// Injects the faults that are set for this request. Returns whether the controller
-    /// was paused by that.
+    /// Injects the faults that are set for this request. Returns whether they paused the
+    /// controller.
     fn inject_fault(&self, controller: &str, request: &str, after_response: bool) -> bool {
         let mut state = self.state.lock().unwrap();
         let faults = &mut state.faults;
-        let is_here = |point: &FaultPoint| point.matches(controller, request, after_response);
-        if faults.store_down_at.as_ref().is_some_and(is_here) {
+        let matches_request =
+            |point: &FaultPoint| point.matches(controller, request, after_response);
+        if faults.store_down_at.as_ref().is_some_and(matches_request) {
             faults.store_down_at = None;
             faults.store_down = true;
         }
-        let is_paused_here = faults.pause_at.as_ref().is_some_and(is_here);
-        if is_paused_here {
+        let is_paused_now = faults.pause_at.as_ref().is_some_and(matches_request);
+        if is_paused_now {
             faults.pause_at = None;
             faults.paused.entry(controller.to_string()).or_default();
         }
-        is_paused_here
+        is_paused_now
     }
 
     /// Crashes a controller: aborts its background task and disconnects its workers.
@@ -116,7 +119,7 @@
         self.disconnect_controller(name);
     }
 
-    /// Partitions a controller from all workers.
+    /// Partitions a controller from all workers, for good.
     pub fn disconnect_controller(&self, name: &str) {
         for slot in self.controllers.lock().unwrap().iter_mut() {
             if slot.as_ref().is_some_and(|c| c.settings.node_name == name) {
@@ -125,8 +128,8 @@
         }
     }
 
-    /// Partitions a controller from the store, or heals the partition: its requests get
-    /// no response.
+    /// Partitions a controller from the store, or heals the partition. The requests of a
+    /// partitioned controller get no response.
     pub fn set_store_partitioned(&self, controller: &str, partitioned: bool) {
         let mut state = self.state.lock().unwrap();
         if partitioned {
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Makes the store refuse one controller, or serve it again.
+    /// Makes the store refuse a controller with status 503, or serve it again.
     pub fn set_store_refuses(&self, controller: &str, refuses: bool) {
         let mut state = self.state.lock().unwrap();
         if refuses {
@@ -152,15 +155,15 @@
 
 /// Duplicated heartbeats.
 impl Simulation {
-    /// Keeps a copy of a heartbeat if copies are captured, and schedules a duplicate at
-    /// random.
+    /// Keeps a copy of a heartbeat if heartbeats are captured, and randomly schedules the
+    /// delivery of a duplicate.
     pub(crate) fn schedule_duplicate(&self, now: f64, body: &[u8]) {
         let mut state = self.state.lock().unwrap();
         if state.faults.capture_heartbeats {
             state.captured_heartbeats.push(body.to_vec());
         }
         let duplicates = state.faults.duplicated_heartbeats;
-        if state.strikes(duplicates.probability) {
+        if state.draw_occurrence(duplicates.probability) {
             let due_at = now + state.random.random::<f64>() * duplicates.max_delay_s;
             let body = body.to_vec();
             state
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Delivers duplicates that are due.
+    /// Delivers the duplicates that are due.
     pub(crate) fn deliver_delayed_heartbeats(&self, now: f64) {
         let due: Vec<Vec<u8>> = {
             let mut state = self.state.lock().unwrap();
@@ -180,16 +183,16 @@
         self.deliver_to_all_controllers(&due);
     }
 
-    /// Delivers the captured copies of heartbeats to every controller. Returns how many
-    /// there were.
+    /// Delivers the captured heartbeats to every connected controller that is not paused,
+    /// and discards them. Returns their number.
     pub fn replay_captured_heartbeats(&self) -> usize {
         let captured = std::mem::take(&mut self.state.lock().unwrap().captured_heartbeats);
         self.deliver_to_all_controllers(&captured);
         captured.len()
     }
 
-    /// Delivers heartbeats to every connected controller that is not paused; nobody reads
-    /// the answers.
+    /// Delivers heartbeats to every connected controller that is not paused, and ignores the
+    /// replies.
     fn deliver_to_all_controllers(&self, heartbeats: &[Vec<u8>]) {
         if heartbeats.is_empty() {
             return;
@@ -209,47 +212,50 @@
     }
 }
 
-/// Faults of machines. Each does nothing if the machine does not exist.
+/// Faults of machines. They have no effect if the machine does not exist.
 impl Simulation {
-    /// Blocks what is sent to a machine, or unblocks it: its heartbeats arrive, but neither
-    /// answers nor direct commands reach it.
+    /// Blocks messages to a machine, or unblocks them. While they are blocked, its heartbeats
+    /// arrive, but neither their replies nor direct commands reach it.
     pub fn set_inbound_blocked(&self, machine: &str, blocked: bool) {
         self.change_worker(machine, |worker| worker.inbound_blocked = blocked);
     }
 
-    /// Blocks a machine's heartbeats, or unblocks them; direct commands reach it.
+    /// Blocks a machine's heartbeats, or unblocks them. Direct commands still reach it.
     pub fn set_outbound_blocked(&self, machine: &str, blocked: bool) {
         self.change_worker(machine, |worker| worker.outbound_blocked = blocked);
     }
 
-    /// Partitions a machine from all controllers, or heals the partition; its tasks run on.
+    /// Partitions a machine from all controllers, or heals the partition. Its tasks keep
+    /// running.
     pub fn set_worker_partitioned(&self, machine: &str, partitioned: bool) {
         self.change_worker(machine, |worker| worker.partitioned = partitioned);
     }
 
-    /// Hangs a machine, or lets it go on: meanwhile its tasks make no progress and what is
-    /// sent to it waits.
+    /// Hangs a machine, or ends the hang. While it hangs, its tasks make no progress and
+    /// direct commands to it are delayed until the hang ends.
     pub fn set_hung(&self, machine: &str, hung: bool) {
         let now = self.now();
         self.state.lock().unwrap().advance(now);
-        self.change_worker(machine, |worker| worker.hung_since = hung.then_some(now));
+        self.change_worker(machine, |worker| {
+            worker.hang_accounted_until = hung.then_some(now)
+        });
     }
 
-    /// Restarts a machine's agent at once: its tasks are gone and it begins again with the
-    /// first incarnation.
+    /// Restarts a machine's agent without downtime: its tasks are lost and its incarnation
+    /// is 1 again.
     pub fn restart_agent(&self, machine: &str) {
         let now = self.now();
         self.change_worker(machine, |worker| worker.restart(now));
     }
 
-    /// Destroys a machine with its tasks; the cloud lists it no more.
+    /// Destroys a machine with its tasks. The cloud no longer lists it.
     pub fn destroy(&self, machine: &str) {
         let mut state = self.state.lock().unwrap();
         state.workers.remove(machine);
         state.machines.remove(machine);
     }
 
-    /// Changes a worker, unless its machine is gone.
+    /// Changes a worker, if it exists.
     fn change_worker(&self, machine: &str, change: impl FnOnce(&mut SimWorker)) {
         let mut state = self.state.lock().unwrap();
         if let Some(worker) = state.workers.get_mut(machine) {
@@ -258,14 +264,14 @@
     }
 }
 
-/// Random numbers, and violations that tests of the checkers inject.
+/// Random numbers, and violations that tests inject to verify the checkers.
 impl Simulation {
-    /// Seeds the random numbers of all faults that follow.
+    /// Seeds the random number generator of the simulation.
     pub fn seed(&self, seed: u64) {
         self.state.lock().unwrap().random = StdRng::seed_from_u64(seed);
     }
 
-    /// Starts a task on two machines, as no controller may.
+    /// Starts a task on two machines, which no controller may do.
     pub fn start_task_twice(&self, task: &str) {
         let now = self.now();
         let mut state = self.state.lock().unwrap();
@@ -275,14 +281,15 @@
         }
     }
 
-    /// Records that a user is told now that a job is cancelled.
+    /// Records that a user has now been told that a job is cancelled. Only the first time
+    /// counts.
     pub fn record_cancellation(&self, id: &str) {
         let now = self.now();
         let mut state = self.state.lock().unwrap();
         state.cancelled_at.entry(id.to_string()).or_insert(now);
     }
 
-    /// Forgets that tasks of a job completed, as if the job were called done too soon.
+    /// Forgets the completed tasks of a job, as if it had been reported done too early.
     pub fn forget_completions(&self, id: &str) {
         let mut state = self.state.lock().unwrap();
         state.completed_tasks.retain(|task| job_of_task(task) != id);
--- a/crates/tallygauge-sim/src/history.rs
+++ b/crates/tallygauge-sim/src/history.rs
@@ -1,14 +1,17 @@
-//! Checks that the job statuses that users read are linearizable.
+//! Checks that users' reads of job statuses are linearizable.
 //!
-//! A job's status goes from unknown to active to done or cancelled, and never back. Reads
-//! are linearizable exactly if none that began after another had ended returns an earlier
-//! status, and all final statuses agree. Reads that overlap may be ordered either way.
+//! The status of a job changes from unknown to active, then to done or cancelled, and never
+//! back. The reads of a job are linearizable if and only if
+//! - no read that began after another one had ended returns an earlier status, and
+//! - all final statuses agree.
+//!
+//! Reads that overlap in time may be ordered either way.
 
 use std::collections::BTreeMap;
 use tallygauge::user_api::{RelayedReply, Reply};
 use tallygauge_protocol::users::{JobResponse, JobStatus};
 
-/// A job's status as users read it, in the order in which a job goes through them.
+/// The status of a job as users can distinguish it, in the order of a job's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ObservedStatus {
     Unknown,
@@ -18,8 +21,9 @@
 }
 
 impl ObservedStatus {
-    /// Whether a read that began after one of this status had ended contradicts it.
-    fn is_contradicted_by(self, later: Self) -> bool {
+    /// Whether this status and the status returned by a later, not overlapping read are
+    /// inconsistent.
+    fn contradicts(self, later: Self) -> bool {
         let are_both_final = self >= Self::Done && later >= Self::Done;
         later < self || (are_both_final && later != self)
     }
@@ -28,22 +32,22 @@
 /// One read of a job's status.
 #[derive(Debug, Clone, Copy)]
 struct StatusRead {
-    /// When it was requested, in seconds of simulated time.
+    /// When the user sent the request, in seconds of simulated time.
     requested_at: f64,
-    /// When it was answered, in seconds of simulated time.
+    /// When the user got the reply, in seconds of simulated time.
     answered_at: f64,
     status: ObservedStatus,
 }
 
-/// Reads of jobs' statuses by users.
+/// The recorded status reads, by job id.
 #[derive(Debug, Default)]
 pub struct History {
     reads: BTreeMap<String, Vec<StatusRead>>,
 }
 
 impl History {
-    /// Records a reply about a job with the times of request and answer, in seconds of
-    /// simulated time. Replies that don't tell the job's status are ignored.
+    /// Records a reply about a job, with the times of request and reply in seconds of
+    /// simulated time. Replies that do not contain the job's status are ignored.
     pub fn record(&mut self, id: &str, requested_at: f64, answered_at: f64, reply: &Reply) {
         let Some(status) = observed_status(reply) else {
             return;
@@ -56,7 +60,7 @@
         self.reads.entry(id.to_string()).or_default().push(read);
     }
 
-    /// Number of reads recorded.
+    /// Number of recorded reads.
     pub fn len(&self) -> usize {
         self.reads.values().map(Vec::len).sum()
     }
@@ -66,22 +70,27 @@
         self.reads.is_empty()
     }
 
-    /// Describes each pair of reads of which the later one contradicts the earlier one.
+    /// Describes each pair of reads of a job in which the later read contradicts the earlier
+    /// one.
     pub fn stale_reads(&self) -> Vec<String> {
         let mut stale = Vec::new();
         for (id, reads) in &self.reads {
             for later in reads {
-                let earlier = reads.iter().filter(|e| e.answered_at <= later.requested_at);
+                let earlier = reads
+                    .iter()
+                    .filter(|read| read.answered_at <= later.requested_at);
                 let contradicted =
-                    earlier.filter(|earlier| earlier.status.is_contradicted_by(later.status));
-                stale.extend(contradicted.map(|e| format!("{id}: {e:?} and then {later:?}")));
+                    earlier.filter(|earlier| earlier.status.contradicts(later.status));
+                stale.extend(
+                    contradicted.map(|earlier| format!("{id}: {earlier:?}, then {later:?}")),
+                );
             }
         }
         stale
     }
 }
 
-/// The status that a reply tells, if it does.
+/// The status that a reply contains; `None` if it contains none.
 fn observed_status(reply: &Reply) -> Option<ObservedStatus> {
     let status = match reply {
         Reply::Job { response, .. } => response.status,
--- a/crates/tallygauge-sim/src/lib.rs
+++ b/crates/tallygauge-sim/src/lib.rs
@@ -1,19 +1,27 @@
-//! A deterministic simulation of everything around the controllers of tallygauge, with
-//! fault injection: stand-ins for the key-value store, the cloud, the workers and the
-//! users, in simulated time.
+//! Deterministic simulation testing for tallygauge's controllers, with fault injection. The
+//! controllers are the real ones; the key-value store, the cloud, the workers and the users
+//! are simulated, and so is time.
 //!
-//! The stand-ins follow the protocols alone. They track which task runs where and record a
-//! violation whenever an invariant breaks: a task that runs twice, a team over its quota,
-//! a wrong zone, a cancelled task that runs on, a name that is used again.
+//! The simulated components are written against the protocols and share no state with the
+//! controllers. They track which task runs where and record a violation whenever an
+//! invariant breaks:
+//! - a task runs twice at the same time;
+//! - a team exceeds its quota;
+//! - a task runs in a zone that its job does not allow;
+//! - a cancelled task keeps running;
+//! - a name (of an attempt, a rental request or a placement batch) is reused.
 //!
-//! Faults: controllers that are partitioned from the store, refused by it, paused, crashed
-//! or restarted at once; transactions without a response, some of which are executed late;
-//! workers that are silent, unreachable in one direction, hung or restarted; late and
-//! duplicated heartbeats and direct commands.
+//! Faults:
+//! - controllers: partitioned from the store, refused by the store, paused, crashed, or
+//!   restarted all at once;
+//! - transactions: no response, with some of them executed late;
+//! - workers: partitioned in both directions or in one, hung, or restarted;
+//! - messages: heartbeats that are delivered twice and late, direct commands that are
+//!   delivered late.
 
 #![allow(
     clippy::unwrap_used,
-    reason = "the simulation serves tests, which end on a value that they do not expect"
+    reason = "the simulation is used by tests, which should panic on an unexpected value"
 )]
 
 mod clock;
@@ -53,60 +61,62 @@
 use tokio::{sync::Notify, task::JoinHandle, time::Instant};
 use transport::{CLOUD_ADDRESS, STORE_ADDRESS, SimulatedTransport};
 
-/// Lease of a worker, in seconds: without an answer to its heartbeats for so long, it
-/// ends its tasks.
+/// Lease duration of a worker, in seconds. A worker whose heartbeats have had no accepted
+/// response for longer ends all its tasks.
 pub const LEASE_S: f64 = 10.0;
 
-/// Seconds between two heartbeats of a worker.
+/// Interval between the heartbeats of a worker, in seconds.
 pub const HEARTBEAT_INTERVAL_S: f64 = 1.0;
 
-/// Seconds within which the tasks of a job must have ended once its user is told that it
-/// is cancelled.
+/// Time limit for a cancellation, in seconds: once a user has been told that a job is
+/// cancelled, all its tasks must end within it.
 pub const CANCEL_TIMEOUT_S: f64 = 20.0;
 
-/// Quota of a team: CPUs that its tasks may use together.
+/// Quota of a team: total CPUs that its running tasks may use.
 pub const TEAM_QUOTA_CPUS: f64 = 16.0;
 
-/// One simulation: controllers and the stand-ins around them.
+/// A simulated cluster: controllers, and the simulated components that they talk to.
 pub struct Simulation {
-    /// State of the stand-ins and faults in force.
+    /// State of the simulated components, and the active faults.
     pub state: Mutex<SimState>,
-    /// Notified when the store changes.
-    changed: Notify,
+    /// Notified after each request that the store has executed.
+    store_changed: Notify,
     /// Notified when a paused controller resumes.
-    resumed: Notify,
+    controller_resumed: Notify,
     started_at: Instant,
-    /// Messages exchanged so far, if they are recorded.
+    /// Messages exchanged so far; `None` unless they are recorded.
     exchanges: Mutex<Option<Exchanges>>,
-    /// Controllers that workers can reach, in the order in which they were started; `None`
-    /// in place of one that is disconnected.
+    /// Controllers in the order in which they were started. A controller that is
+    /// disconnected from the workers is replaced by `None`.
     pub controllers: Mutex<Vec<Option<Arc<Controller>>>>,
 }
 
 impl Simulation {
-    /// A simulation without machines, jobs and controllers.
+    /// Creates a simulation without machines, jobs and controllers.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::default(),
-            changed: Notify::new(),
-            resumed: Notify::new(),
+            store_changed: Notify::new(),
+            controller_resumed: Notify::new(),
             started_at: Instant::now(),
             exchanges: Mutex::default(),
             controllers: Mutex::default(),
         })
     }
 
-    /// Seconds of simulated time since the simulation was made.
+    /// Simulated time in seconds since the simulation was created.
     pub fn now(&self) -> f64 {
         self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Starts a controller and its background task with default operator settings.
+    /// Starts a controller with default operator settings. Returns it and its background
+    /// task.
     pub fn start_controller(self: &Arc<Self>, name: &str) -> (Arc<Controller>, JoinHandle<()>) {
         self.start_controller_with(name, OperatorSettings::default())
     }
 
-    /// Starts a controller and its background task with the operator settings given.
+    /// Starts a controller with the given operator settings. Returns it and its background
+    /// task.
     pub fn start_controller_with(
         self: &Arc<Self>,
         name: &str,
@@ -133,16 +143,16 @@
         (controller, task)
     }
 
-    /// Asserts that no invariant was violated and that some task was started.
+    /// Panics if an invariant was violated or no task was ever started.
     pub fn assert_invariants(&self) {
         let state = self.state.lock().unwrap();
         let violations = state.all_violations();
         assert!(violations.is_empty(), "{violations:?}");
-        assert!(!state.starts.is_empty(), "nothing ran");
+        assert!(!state.starts.is_empty(), "no task was started");
     }
 }
 
-/// Settings of a controller in the simulation, as its settings file has them.
+/// Settings of a controller in the simulation, in the format of the settings file.
 fn controller_settings(name: &str) -> Value {
     json!({
         "node_name": name, "area": "a",
--- a/crates/tallygauge-sim/src/logging.rs
+++ b/crates/tallygauge-sim/src/logging.rs
@@ -1,9 +1,9 @@
-//! Shows the log of controllers with simulated time.
+//! Log output with simulated timestamps.
 
 use tokio::time::Instant;
 use tracing_subscriber::fmt::{format::Writer, time::FormatTime};
 
-/// Prefixes each log line with the seconds of simulated time since the start.
+/// Prefixes each log line with the simulated time since this value was created, in seconds.
 struct SimulatedTime(Instant);
 
 impl FormatTime for SimulatedTime {
@@ -12,9 +12,10 @@
     }
 }
 
-/// Shows what controllers log from here on, with simulated time and their names, at the
-/// level of the environment variable `LOG_LEVEL`. Meant for a process that runs one
-/// simulation, as the subscriber is global.
+/// Prints the log of the simulation and its controllers from now on, with simulated timestamps
+/// and the names of the controllers. The environment variable `LOG_LEVEL` sets the level
+/// (default: info). Use it only in a process that runs a single simulation, as the subscriber
+/// is global.
 pub fn show_log() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_default();
     let result = tracing_subscriber::fmt()
@@ -24,6 +25,6 @@
         .with_target(false)
         .try_init();
     if let Err(error) = result {
-        eprintln!("the log is not shown: {error}");
+        eprintln!("cannot show the log: {error}");
     }
 }
--- a/crates/tallygauge-sim/src/machines.rs
+++ b/crates/tallygauge-sim/src/machines.rs
@@ -1,30 +1,31 @@
-//! The lifecycle of machines and their workers: booting, hanging, lease expiry and the
-//! completion of tasks; and what tests ask about them.
+//! Simulated machines and their workers: booting, hangs, lease expiry and the completion of
+//! tasks, and queries about them for tests.
 
 use crate::{
     CANCEL_TIMEOUT_S, JobShape, LEASE_S, Simulation,
     state::{RentedMachine, SimState},
 };
 
-/// CPUs of a machine.
+/// CPUs of each machine.
 const MACHINE_CPUS: f64 = 8.0;
 
-/// When machines that a test adds were rented, so that they have booted already.
-const LONG_AGO_S: f64 = -60.0;
+/// Rental time of machines that a test adds as already booted, in seconds of simulated time:
+/// far enough before the start for them to have booted.
+const PAST_RENTAL_AT: f64 = -60.0;
 
-/// State of a task as a worker's heartbeat names it.
+/// State of a task on a worker, as heartbeats report it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TaskState {
-    /// The task runs.
+    /// The task is running.
     Running,
-    /// The task has completed.
+    /// The task has run to completion.
     Completed,
     /// The task was stopped by a command.
     Stopped,
 }
 
 impl TaskState {
-    /// The state's word in a heartbeat.
+    /// The task's status as written in a heartbeat.
     pub(crate) fn status(self) -> &'static str {
         match self {
             Self::Running => "running",
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Why the task ended, in the words of a heartbeat.
+    /// Why the task ended, as written in a heartbeat; `None` while it runs.
     pub(crate) fn cause(self) -> Option<&'static str> {
         match self {
             Self::Running => None,
@@ -47,22 +48,22 @@
     pub(crate) name: String,
     pub(crate) attempt: u64,
     pub(crate) state: TaskState,
-    /// When it started, moved forward by the time for which its machine hung.
+    /// When it started, in seconds of simulated time, moved forward by the time for which
+    /// its machine has hung since.
     pub(crate) started_at: f64,
 }
 
 impl SimTask {
-    /// Whether the task runs.
     pub(crate) fn is_running(&self) -> bool {
         self.state == TaskState::Running
     }
 
-    /// Whether this is the attempt of the task given.
+    /// Whether this is the given attempt of the given task.
     pub(crate) fn is_attempt(&self, task: &str, attempt: u64) -> bool {
         self.name == task && self.attempt == attempt
     }
 
-    /// The job that the task belongs to.
+    /// Id of the job that the task belongs to.
     pub(crate) fn job(&self) -> &str {
         job_of_task(&self.name)
     }
@@ -71,29 +72,33 @@
 /// The worker on a booted machine.
 pub(crate) struct SimWorker {
     pub(crate) zone: String,
-    /// Agent incarnation: counts up when the lease expires.
+    /// Incarnation of the agent: incremented when the lease expires, 1 after a restart.
     pub(crate) incarnation: u64,
-    /// Number of the last message that it sent.
+    /// Sequence number of the last message that it sent.
     pub(crate) sequence: u64,
     /// Highest fencing token that it has seen.
     pub(crate) fencing_token: u64,
-    /// When the last heartbeat that was answered was sent; the lease counts from there.
+    /// When the last heartbeat that got an accepted response was sent, in seconds of
+    /// simulated time; the lease runs from then.
     pub(crate) lease_renewed_at: f64,
     pub(crate) tasks: Vec<SimTask>,
-    /// Neither sends heartbeats nor accepts commands, but runs its tasks.
+    /// Partitioned from all controllers: neither sends heartbeats nor receives commands, but
+    /// keeps running its tasks.
     pub(crate) partitioned: bool,
-    /// Its heartbeats arrive; answers and direct commands don't reach it.
+    /// Its heartbeats arrive, but responses and direct commands do not reach it.
     pub(crate) inbound_blocked: bool,
-    /// Its heartbeats don't arrive; direct commands reach it.
+    /// Its heartbeats do not arrive, but direct commands reach it.
     pub(crate) outbound_blocked: bool,
-    /// Index, modulo their number, of the controller to which it sends heartbeats.
+    /// Index of the controller to which it sends heartbeats, modulo the number of
+    /// controllers.
     pub(crate) controller_index: usize,
-    /// Until when its hang is accounted for in its tasks, if the machine hangs.
-    pub(crate) hung_since: Option<f64>,
+    /// While the machine hangs: the time up to which the hang is already added to the start
+    /// times of its tasks, in seconds of simulated time.
+    pub(crate) hang_accounted_until: Option<f64>,
 }
 
 impl SimWorker {
-    /// The worker of a machine that has just booted.
+    /// Creates the worker of a machine that has just booted.
     fn new(zone: String, now: f64) -> Self {
         Self {
             zone,
@@ -106,11 +111,12 @@
             inbound_blocked: false,
             outbound_blocked: false,
             controller_index: 0,
-            hung_since: None,
+            hang_accounted_until: None,
         }
     }
 
-    /// Restarts the agent: its tasks are gone and it counts from the beginning.
+    /// Restarts the agent: its tasks are lost, and its incarnation, sequence number and
+    /// fencing token are reset.
     pub(crate) fn restart(&mut self, now: f64) {
         self.tasks.clear();
         self.incarnation = 1;
@@ -119,37 +125,37 @@
         self.lease_renewed_at = now;
     }
 
-    /// Whether the machine hangs.
+    /// Whether the machine is hung.
     pub(crate) fn is_hung(&self) -> bool {
-        self.hung_since.is_some()
+        self.hang_accounted_until.is_some()
     }
 
-    /// Whether its heartbeats reach controllers.
+    /// Whether its heartbeats can reach controllers.
     pub(crate) fn can_send(&self) -> bool {
         !self.partitioned && !self.outbound_blocked && !self.is_hung()
     }
 
-    /// Whether nothing blocks messages to or from it.
+    /// Whether messages to and from it are delivered.
     fn is_connected(&self) -> bool {
         self.can_send() && !self.inbound_blocked
     }
 
-    /// Tasks that run.
     pub(crate) fn running_tasks(&self) -> impl Iterator<Item = &SimTask> {
         self.tasks.iter().filter(|task| task.is_running())
     }
 
-    /// Adds the time for which the machine hung to its tasks: they make no progress.
+    /// Moves the start times of all tasks forward by the time for which the machine has
+    /// hung, as they make no progress meanwhile.
     fn account_for_hang(&mut self, now: f64) {
-        if let Some(hung_since) = &mut self.hung_since {
+        if let Some(accounted_until) = &mut self.hang_accounted_until {
             for task in &mut self.tasks {
-                task.started_at += now - *hung_since;
+                task.started_at += now - *accounted_until;
             }
-            *hung_since = now;
+            *accounted_until = now;
         }
     }
 
-    /// Ends the incarnation with all tasks if the lease has expired.
+    /// If the lease has expired, ends all tasks and starts a new incarnation.
     fn expire_lease(&mut self, now: f64) {
         if now - self.lease_renewed_at > LEASE_S {
             self.tasks.clear();
@@ -159,24 +165,24 @@
     }
 }
 
-/// The job that a task belongs to, by its name.
+/// Id of the job that the task with this name belongs to.
 pub(crate) fn job_of_task(task: &str) -> &str {
     task.split('/').next().unwrap_or_default()
 }
 
 impl Simulation {
-    /// Names of machines that have booted.
+    /// Names of all machines that have booted.
     pub fn booted_machines(&self) -> Vec<String> {
         self.state.lock().unwrap().worker_names()
     }
 
-    /// Whether all tasks of a job completed.
+    /// Whether all tasks of a job have completed; `tasks` is their number.
     pub fn all_tasks_completed(&self, id: &str, tasks: u32) -> bool {
         let state = self.state.lock().unwrap();
         (0..tasks).all(|n| state.completed_tasks.contains(&format!("{id}/{n}")))
     }
 
-    /// How many tasks of a job run.
+    /// Number of running tasks of a job.
     pub fn running_task_count(&self, id: &str) -> usize {
         let state = self.state.lock().unwrap();
         state
@@ -185,29 +191,29 @@
             .count()
     }
 
-    /// Whether a task of a job could start now: none of its tasks runs, its team is under
-    /// its quota, and a connected machine in an allowed zone has capacity.
+    /// Whether a task of a job could start now: none of the job's tasks is running, its
+    /// team's quota allows it, and a connected machine in an allowed zone has capacity.
     pub fn has_startable_task(&self, id: &str) -> bool {
         let state = self.state.lock().unwrap();
         let shape = state.job_shapes[id];
-        let is_waiting = !state.running_tasks().any(|(_, task)| task.job() == id);
+        let has_no_running_task = !state.running_tasks().any(|(_, task)| task.job() == id);
         let is_under_quota = state.team_usage(shape.team) + shape.cpus <= state.team_quota_cpus;
-        is_waiting
+        has_no_running_task
             && is_under_quota
             && state
                 .workers
                 .values()
-                .any(|w| state.has_capacity(w, &shape))
+                .any(|worker| state.has_capacity(worker, &shape))
     }
 }
 
 impl SimState {
-    /// Adds machines that were rented long ago and have booted.
+    /// Adds machines that have already booted.
     pub fn add_booted_machines(&mut self, count: u32) {
         for _ in 0..count {
             let name = self.next_machine_name();
             let machine = RentedMachine {
-                rented_at: LONG_AGO_S,
+                rented_at: PAST_RENTAL_AT,
                 zone: "a".into(),
             };
             self.machines.insert(name, machine);
@@ -215,13 +221,14 @@
         self.advance(0.0);
     }
 
-    /// Names of workers, which are those of their machines.
+    /// Names of all workers. A worker has the name of its machine.
     pub fn worker_names(&self) -> Vec<String> {
         self.workers.keys().cloned().collect()
     }
 
-    /// Advances machines to a time: they boot, leases expire and tasks complete. Records a
-    /// violation for each attempt that runs on after its job's cancellation timeout.
+    /// Advances all machines to the given time: machines boot, leases expire and tasks
+    /// complete. Records a violation for each attempt that is still running
+    /// [`CANCEL_TIMEOUT_S`] after a user was told that its job is cancelled.
     pub fn advance(&mut self, now: f64) {
         self.boot_machines(now);
         for worker in self.workers.values_mut() {
@@ -235,8 +242,11 @@
                     self.completed_tasks.insert(task.name.clone());
                 }
                 if cancelled_at.is_some_and(|at| now - at > CANCEL_TIMEOUT_S) {
-                    // Recorded once for each attempt.
-                    let violation = format!("{}#{} still runs", task.name, task.attempt);
+                    // Each attempt is recorded only once.
+                    let violation = format!(
+                        "{} (attempt {}) still runs after its cancellation",
+                        task.name, task.attempt
+                    );
                     if !self.violations.contains(&violation) {
                         self.violations.push(violation);
                     }
@@ -256,13 +266,13 @@
         }
     }
 
-    /// Tasks that run, and their workers.
+    /// All running tasks with their workers.
     pub(crate) fn running_tasks(&self) -> impl Iterator<Item = (&SimWorker, &SimTask)> {
         let workers = self.workers.values();
         workers.flat_map(|worker| worker.running_tasks().map(move |task| (worker, task)))
     }
 
-    /// CPUs that the tasks of a team use.
+    /// Total CPUs of a team's running tasks.
     pub(crate) fn team_usage(&self, team: &str) -> f64 {
         self.running_tasks()
             .map(|(_, task)| self.job_shapes[task.job()])
@@ -271,7 +281,8 @@
             .sum()
     }
 
-    /// Whether a worker is connected and has capacity for a task of this shape.
+    /// Whether a worker is connected, in a zone that the job allows, and has capacity for
+    /// one of the job's tasks.
     fn has_capacity(&self, worker: &SimWorker, shape: &JobShape) -> bool {
         let tasks = worker.running_tasks();
         let used: f64 = tasks.map(|task| self.job_shapes[task.job()].cpus).sum();
--- a/crates/tallygauge-sim/src/scenario.rs
+++ b/crates/tallygauge-sim/src/scenario.rs
@@ -1,6 +1,6 @@
-//! Scenarios drawn from a seed: jobs arrive at three controllers while random faults of
-//! every kind are injected, one over the other; then the faults end, and every job must be
-//! answered for and complete. The seed determines each scenario.
+//! Randomized scenarios. Jobs are submitted to three controllers while random faults of
+//! every kind, which may overlap, are injected. Then the faults end, and every job must
+//! reach a final status that its user is told. A scenario is fully determined by its seed.
 
 mod checks;
 mod faults;
@@ -26,60 +26,62 @@
 use tallygauge::controller::Controller;
 use tokio::task::JoinHandle;
 
-/// Controllers of a scenario.
-const CONTROLLERS: usize = 3;
+/// Number of controllers in a scenario.
+const CONTROLLER_COUNT: usize = 3;
 
-/// Jobs that are submitted while faults are injected.
-const JOBS: u32 = 14;
+/// Number of jobs that are submitted while faults are injected.
+const JOB_COUNT: u32 = 14;
 
-/// Jobs are cancelled only after more submissions than these.
-const MIN_JOBS_BEFORE_CANCELLATION: u32 = 3;
+/// The fault kinds `CancelJob` and `CancelManyJobs` take effect only after more submissions
+/// than this.
+const JOBS_BEFORE_CANCELLATION: u32 = 3;
 
-/// Seconds before the first job, in which a leader is elected.
+/// Seconds before the first submission, in which a leader is elected.
 const STARTUP_S: f64 = 5.0;
 
-/// Seconds for which a user tries to submit a job.
+/// How long a user retries the submission of a job.
 const SUBMISSION_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// A scenario that runs.
+/// A scenario in progress.
 struct Scenario {
     simulation: Arc<Simulation>,
     /// Controllers and their background tasks.
     controllers: Vec<(Arc<Controller>, JoinHandle<()>)>,
-    /// Jobs that were accepted.
+    /// Accepted jobs.
     jobs: Vec<TrackedJob>,
-    /// What was wrong so far with the answers that users got.
+    /// Violations found by the checks of the scenario: incorrect or missing replies to
+    /// users, and jobs that are not started although there is capacity.
     violations: Vec<String>,
     random: StdRng,
 }
 
-/// Runs the scenario of a seed with a violation injected at its end. Returns all violations
-/// that were found.
+/// Runs the scenario with this seed and injects a violation after its faults have ended.
+/// Returns all violations found.
 pub async fn run_scenario(seed: u64, injected: InjectedViolation) -> Vec<String> {
-    run_in(Simulation::new(), seed, injected).await
+    run_scenario_in(Simulation::new(), seed, injected).await
 }
 
-/// Runs the scenario of a seed. Returns a digest of all messages exchanged, in hexadecimal
-/// digits, and the number of requests.
+/// Runs the scenario with this seed. Returns the hexadecimal digest of all messages
+/// exchanged and the number of requests.
 pub async fn scenario_digest(seed: u64) -> (String, u64) {
     let simulation = Simulation::new();
     simulation.record_exchanges(false);
-    run_in(simulation.clone(), seed, InjectedViolation::None).await;
+    run_scenario_in(simulation.clone(), seed, InjectedViolation::None).await;
     simulation
         .exchange_digest()
         .expect("exchanges are recorded")
 }
 
-/// Runs the scenario of a seed. Returns every message exchanged as text.
+/// Runs the scenario with this seed. Returns all messages exchanged as text.
 pub async fn scenario_messages(seed: u64) -> Vec<String> {
     let simulation = Simulation::new();
     simulation.record_exchanges(true);
-    run_in(simulation.clone(), seed, InjectedViolation::None).await;
+    run_scenario_in(simulation.clone(), seed, InjectedViolation::None).await;
     simulation.exchanged_text()
 }
 
-/// Runs something for each seed, each on a runtime of its own in simulated time, on so many
-/// threads. Returns the results with their seeds, in the order of the seeds.
+/// Calls `run` for each seed on a pool of `threads` threads. Each call gets its own runtime
+/// in simulated time. Returns the results with their seeds, sorted by seed.
 pub fn run_each_seed<T: Send, F: Future<Output = T>>(
     seeds: RangeInclusive<u64>,
     threads: usize,
@@ -106,7 +108,7 @@
     results
 }
 
-/// Runs a future to its end on a runtime of its own in simulated time.
+/// Runs a future to completion on its own runtime in simulated time.
 fn block_on_simulated_time<F: Future>(future: F) -> F::Output {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -116,39 +118,39 @@
         .block_on(future)
 }
 
-/// Runs a scenario in a simulation of its own. Returns all violations that were found.
-async fn run_in(
+/// Runs the scenario with this seed in a new simulation. Returns all violations found.
+async fn run_scenario_in(
     simulation: Arc<Simulation>,
     seed: u64,
     injected: InjectedViolation,
 ) -> Vec<String> {
     let mut scenario = Scenario::start(simulation, seed);
     sleep_s(STARTUP_S).await;
-    let mut work_s = 0.0;
-    for number in 1..=JOBS {
+    let mut min_run_time_s = 0.0;
+    for number in 1..=JOB_COUNT {
         let shape = scenario.draw_job_shape();
-        work_s += f64::from(shape.tasks) * shape.run_s * shape.cpus / TEAM_QUOTA_CPUS;
+        min_run_time_s += f64::from(shape.tasks) * shape.run_s * shape.cpus / TEAM_QUOTA_CPUS;
         let job = scenario.submit(number, shape).await;
         scenario.sleep_before_fault().await;
-        let may_cancel = number > MIN_JOBS_BEFORE_CANCELLATION;
+        let may_cancel = number > JOBS_BEFORE_CANCELLATION;
         scenario.inject_random_fault(&job, may_cancel).await;
         scenario.poll_some_jobs().await;
     }
     scenario.end_faults();
     scenario.inject_violation(injected).await;
-    scenario.check_until_done(work_s, injected).await;
+    scenario.check_until_done(min_run_time_s, injected).await;
     scenario.into_violations()
 }
 
 impl Scenario {
-    /// Starts controllers and workers.
+    /// Starts the controllers and the workers.
     fn start(simulation: Arc<Simulation>, seed: u64) -> Self {
         let random = StdRng::seed_from_u64(seed);
         simulation.seed(seed);
         simulation.state.lock().unwrap().zones = vec!["a", "b"];
         tokio::spawn(simulation.clone().run_workers());
-        let controllers = (0..CONTROLLERS)
-            .map(|n| simulation.start_controller(&Self::name(n)))
+        let controllers = (0..CONTROLLER_COUNT)
+            .map(|n| simulation.start_controller(&Self::controller_name(n)))
             .collect();
         Self {
             simulation,
@@ -159,14 +161,14 @@
         }
     }
 
-    /// Name of a controller.
-    fn name(controller: usize) -> String {
+    /// Name of the controller with this index.
+    fn controller_name(controller: usize) -> String {
         format!("n-{controller}")
     }
 
-    /// The controller that leads.
+    /// Index of the active leader.
     fn leader(&self) -> Option<usize> {
-        (0..CONTROLLERS).find(|n| is_active_leader(&self.controllers[*n].0))
+        (0..CONTROLLER_COUNT).find(|n| is_active_leader(&self.controllers[*n].0))
     }
 
     /// Ids of all accepted jobs.
@@ -174,19 +176,21 @@
         self.jobs.iter().map(|job| job.id.clone()).collect()
     }
 
-    /// Starts a controller that crashed again.
+    /// Starts a crashed controller again, under the same name.
     fn restart(&mut self, controller: usize) {
-        self.controllers[controller] = self.simulation.start_controller(&Self::name(controller));
+        self.controllers[controller] = self
+            .simulation
+            .start_controller(&Self::controller_name(controller));
     }
 
-    /// Crashes a controller.
     fn crash(&mut self, controller: usize) {
         let background = &self.controllers[controller].1;
         self.simulation
-            .crash_controller(&Self::name(controller), background);
+            .crash_controller(&Self::controller_name(controller), background);
     }
 
-    /// Draws what the next job looks like. A quarter of the jobs may outlast an outage.
+    /// Draws the shape of the next job. A quarter of the jobs may run longer than an outage
+    /// lasts.
     fn draw_job_shape(&mut self) -> JobShape {
         let random = &mut self.random;
         let tasks = random.random_range(1..5);
@@ -208,10 +212,10 @@
         }
     }
 
-    /// Submits a job through a random controller and tracks it if it is accepted.
+    /// Submits a job through a random controller, and tracks it if it is accepted in time.
     async fn submit(&mut self, number: u32, shape: JobShape) -> JobRequest {
         let job = self.simulation.job_with_shape(number, shape);
-        let controller = self.random.random_range(0..CONTROLLERS);
+        let controller = self.random.random_range(0..CONTROLLER_COUNT);
         let submission = self.submit_until_accepted(controller, &job.body);
         let result = tokio::time::timeout(SUBMISSION_TIMEOUT, submission).await;
         if result.is_ok() {
@@ -220,29 +224,30 @@
         job
     }
 
-    /// Waits before the next fault, which may follow at once on the one before.
+    /// Waits a random time before the next fault. Half of the waits are so short
+    /// that the fault immediately follows the previous one.
     async fn sleep_before_fault(&mut self) {
         let max_s = [0.2, 5.0][self.random.random_range(0..2)];
         self.sleep_between(0.0, max_s).await;
     }
 
-    /// Sleeps for a random number of seconds.
+    /// Sleeps for a random time between `min_s` and `max_s` seconds.
     async fn sleep_between(&mut self, min_s: f64, max_s: f64) {
         let seconds = self.random.random_range(min_s..max_s);
         sleep_s(seconds).await;
     }
 
-    /// Users poll some jobs through random controllers.
+    /// Polls about a third of the jobs, each through a random controller.
     async fn poll_some_jobs(&mut self) {
         for job in 0..self.jobs.len() {
             if self.random.random_range(0..3) == 0 {
-                let controller = self.random.random_range(0..CONTROLLERS);
+                let controller = self.random.random_range(0..CONTROLLER_COUNT);
                 self.poll(controller, job).await;
             }
         }
     }
 
-    /// Ends all faults that would keep jobs from completing.
+    /// Ends all faults that could keep jobs from completing.
     fn end_faults(&self) {
         {
             let faults = &mut self.simulation.state.lock().unwrap().faults;
--- a/crates/tallygauge-sim/src/scenario/faults.rs
+++ b/crates/tallygauge-sim/src/scenario/faults.rs
@@ -1,11 +1,12 @@
-//! Random faults of a scenario.
+//! Random fault injection for scenarios.
 
-use super::{CONTROLLERS, Scenario};
+use super::{CONTROLLER_COUNT, Scenario};
 use crate::{CANCEL_TIMEOUT_S, FaultPoint, JobRequest, LEASE_S, RandomDelay};
 use rand::RngExt;
 use std::time::Duration;
 
-/// Kinds of faults; one is drawn after each submission.
+/// Kinds of faults. After each submission one is drawn and injected; some kinds end earlier
+/// faults instead.
 #[derive(Debug, Clone, Copy)]
 enum FaultKind {
     RestartController,
@@ -16,7 +17,7 @@
     BlockInbound,
     UnblockInbound,
     RestartAgent,
-    SilenceMachine,
+    PartitionMachine,
     LoseNextResponse,
     DuplicateHeartbeats,
     CancelJob,
@@ -39,42 +40,41 @@
     InvalidRequests,
 }
 
-use FaultKind as K;
-
-/// All kinds, by the number that is drawn.
+/// All kinds of faults; the index is drawn.
 const FAULT_KINDS: [FaultKind; 29] = [
-    K::RestartController,
-    K::RestartAllControllers,
-    K::PartitionFromStore,
-    K::HealStorePartitions,
-    K::StoreOutage,
-    K::BlockInbound,
-    K::UnblockInbound,
-    K::RestartAgent,
-    K::SilenceMachine,
-    K::LoseNextResponse,
-    K::DuplicateHeartbeats,
-    K::CancelJob,
-    K::RefuseController,
-    K::ServeAllControllers,
-    K::StartLateWrites,
-    K::EndLateWrites,
-    K::DelayCommands,
-    K::HangMachine,
-    K::CancelBeforeStoreOutage,
-    K::PauseController,
-    K::FaultAtRequest,
-    K::CancelManyJobs,
-    K::StartLosingResponses,
-    K::EndLosingResponses,
-    K::BlockOutbound,
-    K::UnblockOutbound,
-    K::ReplayHeartbeats,
-    K::DestroyMachine,
-    K::InvalidRequests,
+    FaultKind::RestartController,
+    FaultKind::RestartAllControllers,
+    FaultKind::PartitionFromStore,
+    FaultKind::HealStorePartitions,
+    FaultKind::StoreOutage,
+    FaultKind::BlockInbound,
+    FaultKind::UnblockInbound,
+    FaultKind::RestartAgent,
+    FaultKind::PartitionMachine,
+    FaultKind::LoseNextResponse,
+    FaultKind::DuplicateHeartbeats,
+    FaultKind::CancelJob,
+    FaultKind::RefuseController,
+    FaultKind::ServeAllControllers,
+    FaultKind::StartLateWrites,
+    FaultKind::EndLateWrites,
+    FaultKind::DelayCommands,
+    FaultKind::HangMachine,
+    FaultKind::CancelBeforeStoreOutage,
+    FaultKind::PauseController,
+    FaultKind::FaultAtRequest,
+    FaultKind::CancelManyJobs,
+    FaultKind::StartLosingResponses,
+    FaultKind::EndLosingResponses,
+    FaultKind::BlockOutbound,
+    FaultKind::UnblockOutbound,
+    FaultKind::ReplayHeartbeats,
+    FaultKind::DestroyMachine,
+    FaultKind::InvalidRequests,
 ];
 
-/// Requests of controllers at which faults are injected.
+/// Prefixes of controllers' requests (method and path) before or after which faults are
+/// injected.
 const FAULT_REQUESTS: [&str; 10] = [
     "POST /multi",
     "POST /orders",
@@ -88,27 +88,28 @@
     "GET /store?starts=t/",
 ];
 
-/// Probability of a late write while there are any.
+/// Probability that a transaction is executed late while that fault is active.
 const LATE_WRITE_PROBABILITY: f64 = 0.3;
 
-/// Probability of a lost response while there are any.
+/// Probability that the response to a transaction is lost while that fault is active.
 const LOST_RESPONSE_PROBABILITY: f64 = 0.4;
 
-/// Heartbeats that are duplicated while there are any.
+/// Probability and delay of duplicated heartbeats while that fault is active.
 const DUPLICATED_HEARTBEATS: RandomDelay = RandomDelay {
     probability: 0.3,
     max_delay_s: LEASE_S * 2.0,
 };
 
-/// Direct commands that are delayed while there are any.
+/// Probability and delay of delayed direct commands while that fault is active.
 const DELAYED_COMMANDS: RandomDelay = RandomDelay {
     probability: 0.5,
     max_delay_s: 8.0,
 };
 
 impl Scenario {
-    /// Draws a fault and what it strikes, and injects it; `latest` is the job submitted last.
-    /// Faults that cancel jobs do nothing unless `may_cancel`.
+    /// Draws a fault with the controller and the machine that it affects, and injects it.
+    /// `latest` is the most recently submitted job. `CancelJob` and
+    /// `CancelManyJobs` have no effect unless `may_cancel`.
     pub(super) async fn inject_random_fault(&mut self, latest: &JobRequest, may_cancel: bool) {
         let machine = self.draw_machine();
         let controller = self.draw_controller();
@@ -124,12 +125,12 @@
         if may_cancel {
             self.cancel_jobs(kind, controller, latest).await;
         }
-        if let K::InvalidRequests = kind {
+        if let FaultKind::InvalidRequests = kind {
             self.send_invalid_requests(controller, latest).await;
         }
     }
 
-    /// Draws a booted machine, if there is one.
+    /// Draws a booted machine; `None` if there is none.
     fn draw_machine(&mut self) -> Option<String> {
         let machines = self.simulation.booted_machines();
         if machines.is_empty() {
@@ -139,9 +140,9 @@
         Some(machines[index].clone())
     }
 
-    /// Draws a controller; half of the draws choose the leader, if there is one.
+    /// Draws a controller. Half of the draws pick the leader, if there is one.
     fn draw_controller(&mut self) -> usize {
-        let controller = self.random.random_range(0..CONTROLLERS);
+        let controller = self.random.random_range(0..CONTROLLER_COUNT);
         if self.random.random()
             && let Some(leader) = self.leader()
         {
@@ -150,35 +151,38 @@
         controller
     }
 
-    /// Sets or ends faults of messages; does nothing for other kinds.
+    /// Starts or ends faults that affect messages or the store's service; no effect for
+    /// other kinds.
     fn inject_message_fault(&self, kind: FaultKind) {
         let faults = &mut self.simulation.state.lock().unwrap().faults;
         match kind {
-            K::LoseNextResponse => faults.lose_next_responses = 1,
-            K::StartLosingResponses => faults.lost_response_probability = LOST_RESPONSE_PROBABILITY,
-            K::EndLosingResponses => faults.lost_response_probability = 0.0,
-            K::StartLateWrites => faults.late_write_probability = LATE_WRITE_PROBABILITY,
-            K::EndLateWrites => faults.late_write_probability = 0.0,
-            K::DuplicateHeartbeats => faults.duplicated_heartbeats = DUPLICATED_HEARTBEATS,
-            K::DelayCommands => faults.delayed_commands = DELAYED_COMMANDS,
-            K::HealStorePartitions => faults.store_partitioned.clear(),
-            K::ServeAllControllers => faults.store_refused.clear(),
+            FaultKind::LoseNextResponse => faults.lose_next_responses = 1,
+            FaultKind::StartLosingResponses => {
+                faults.lost_response_probability = LOST_RESPONSE_PROBABILITY
+            }
+            FaultKind::EndLosingResponses => faults.lost_response_probability = 0.0,
+            FaultKind::StartLateWrites => faults.late_write_probability = LATE_WRITE_PROBABILITY,
+            FaultKind::EndLateWrites => faults.late_write_probability = 0.0,
+            FaultKind::DuplicateHeartbeats => faults.duplicated_heartbeats = DUPLICATED_HEARTBEATS,
+            FaultKind::DelayCommands => faults.delayed_commands = DELAYED_COMMANDS,
+            FaultKind::HealStorePartitions => faults.store_partitioned.clear(),
+            FaultKind::ServeAllControllers => faults.store_refused.clear(),
             _ => {}
         }
     }
 
-    /// Injects faults between controllers and store; does nothing for other kinds.
+    /// Injects faults between controllers and the store; no effect for other kinds.
     async fn inject_store_fault(&mut self, kind: FaultKind, controller: usize) {
-        let name = Self::name(controller);
+        let name = Self::controller_name(controller);
         match kind {
-            K::PartitionFromStore => self.simulation.set_store_partitioned(&name, true),
-            K::RefuseController => self.simulation.set_store_refuses(&name, true),
-            K::StoreOutage => {
+            FaultKind::PartitionFromStore => self.simulation.set_store_partitioned(&name, true),
+            FaultKind::RefuseController => self.simulation.set_store_refuses(&name, true),
+            FaultKind::StoreOutage => {
                 self.simulation.set_store_down(true);
                 self.sleep_between(1.0, 8.0).await;
                 self.simulation.set_store_down(false);
             }
-            K::CancelBeforeStoreOutage => {
+            FaultKind::CancelBeforeStoreOutage => {
                 let leader = self.leader().unwrap_or(controller);
                 self.cancel_before_store_outage(leader).await;
             }
@@ -186,42 +190,42 @@
         }
     }
 
-    /// Injects faults of controllers' processes; does nothing for other kinds.
+    /// Injects faults of controller processes; no effect for other kinds.
     async fn inject_controller_fault(&mut self, kind: FaultKind, controller: usize) {
         match kind {
-            K::RestartController => {
+            FaultKind::RestartController => {
                 self.crash(controller);
                 let downtime_ms = self.random.random_range(10..900);
                 tokio::time::sleep(Duration::from_millis(downtime_ms)).await;
                 self.restart(controller);
             }
-            K::RestartAllControllers => {
-                (0..CONTROLLERS).for_each(|n| self.crash(n));
+            FaultKind::RestartAllControllers => {
+                (0..CONTROLLER_COUNT).for_each(|n| self.crash(n));
                 self.sleep_between(0.01, 9.0).await;
-                (0..CONTROLLERS).for_each(|n| self.restart(n));
+                (0..CONTROLLER_COUNT).for_each(|n| self.restart(n));
             }
-            K::PauseController => {
-                self.simulation.pause(&Self::name(controller));
+            FaultKind::PauseController => {
+                self.simulation.pause(&Self::controller_name(controller));
                 self.sleep_between(1.0, 20.0).await;
-                self.simulation.resume(&Self::name(controller));
+                self.simulation.resume(&Self::controller_name(controller));
             }
-            K::FaultAtRequest => self.inject_fault_at_request(controller).await,
-            K::ReplayHeartbeats => self.replay_heartbeats_at_failover(controller).await,
+            FaultKind::FaultAtRequest => self.inject_fault_at_request(controller).await,
+            FaultKind::ReplayHeartbeats => self.replay_heartbeats_at_failover(controller).await,
             _ => {}
         }
     }
 
-    /// Injects faults of a machine; does nothing for other kinds.
+    /// Injects or ends faults of a machine; no effect for other kinds.
     async fn inject_machine_fault(&mut self, kind: FaultKind, machine: &str) {
         match kind {
-            K::BlockInbound => self.simulation.set_inbound_blocked(machine, true),
-            K::UnblockInbound => self.simulation.set_inbound_blocked(machine, false),
-            K::BlockOutbound => self.simulation.set_outbound_blocked(machine, true),
-            K::UnblockOutbound => self.simulation.set_outbound_blocked(machine, false),
-            K::RestartAgent => self.simulation.restart_agent(machine),
-            K::SilenceMachine => self.simulation.set_worker_partitioned(machine, true),
-            K::DestroyMachine => self.simulation.destroy(machine),
-            K::HangMachine => {
+            FaultKind::BlockInbound => self.simulation.set_inbound_blocked(machine, true),
+            FaultKind::UnblockInbound => self.simulation.set_inbound_blocked(machine, false),
+            FaultKind::BlockOutbound => self.simulation.set_outbound_blocked(machine, true),
+            FaultKind::UnblockOutbound => self.simulation.set_outbound_blocked(machine, false),
+            FaultKind::RestartAgent => self.simulation.restart_agent(machine),
+            FaultKind::PartitionMachine => self.simulation.set_worker_partitioned(machine, true),
+            FaultKind::DestroyMachine => self.simulation.destroy(machine),
+            FaultKind::HangMachine => {
                 self.simulation.set_hung(machine, true);
                 self.sleep_between(0.5, LEASE_S * 1.5).await;
                 self.simulation.set_hung(machine, false);
@@ -230,11 +234,11 @@
         }
     }
 
-    /// Cancels the latest job or a third of all jobs; does nothing for other kinds.
+    /// Cancels the latest job, or about a third of all jobs; no effect for other kinds.
     async fn cancel_jobs(&mut self, kind: FaultKind, controller: usize, latest: &JobRequest) {
         match kind {
-            K::CancelJob => self.cancel(controller, &latest.id).await,
-            K::CancelManyJobs => {
+            FaultKind::CancelJob => self.cancel(controller, &latest.id).await,
+            FaultKind::CancelManyJobs => {
                 for id in self.job_ids() {
                     if self.random.random_range(0..3) == 0 {
                         self.cancel(controller, &id).await;
@@ -245,23 +249,24 @@
         }
     }
 
-    /// Draws another boot time and sends invalid submissions.
+    /// Draws a new boot time for machines, and sends invalid submissions.
     async fn send_invalid_requests(&mut self, controller: usize, latest: &JobRequest) {
         let boot_time_s = [0.1, 2.0][self.random.random_range(0..2)];
         self.simulation.state.lock().unwrap().boot_time_s = boot_time_s;
         self.submit_invalid_jobs(controller, &latest.body).await;
     }
 
-    /// The store refuses the leader alone; jobs are cancelled through another controller;
-    /// then the store refuses everybody for about as long as a cancellation may take.
+    /// Cancels about half of the jobs through another controller while the store refuses
+    /// only the leader. Then the store refuses all controllers for 0.5 to 1.5 times
+    /// [`CANCEL_TIMEOUT_S`]. Whether it still refuses the leader afterwards is drawn.
     async fn cancel_before_store_outage(&mut self, leader: usize) {
-        let leader_name = Self::name(leader);
+        let leader_name = Self::controller_name(leader);
         self.simulation.set_store_refuses(&leader_name, true);
         self.sleep_between(0.1, 4.0).await;
         for id in self.job_ids() {
             if self.random.random::<bool>() {
-                let other = (leader + 1) % CONTROLLERS;
-                self.cancel(other, &id).await;
+                let follower = (leader + 1) % CONTROLLER_COUNT;
+                self.cancel(follower, &id).await;
             }
         }
         self.simulation.set_store_down(true);
@@ -272,11 +277,12 @@
         self.simulation.set_store_down(false);
     }
 
-    /// Just before or after a request of a controller, its process is paused or the store
-    /// begins to refuse everybody; at times the leader restarts meanwhile.
+    /// Injects a fault just before or after the controller's next request of a random kind:
+    /// either the controller is paused, or the store starts to refuse all controllers. In
+    /// half of the cases the leader is restarted right after the fault is set.
     async fn inject_fault_at_request(&mut self, controller: usize) {
         let point = FaultPoint {
-            controller: Self::name(controller),
+            controller: Self::controller_name(controller),
             request: FAULT_REQUESTS[self.random.random_range(0..FAULT_REQUESTS.len())],
             after_response: self.random.random(),
         };
@@ -303,12 +309,12 @@
         if is_outage {
             self.simulation.set_store_down(false);
         } else {
-            self.simulation.resume(&Self::name(controller));
+            self.simulation.resume(&Self::controller_name(controller));
         }
     }
 
-    /// Captures heartbeats for a while, crashes the leader and replays them before it
-    /// restarts.
+    /// Captures heartbeats for some time, crashes the leader, and replays the heartbeats to
+    /// the other controllers before it restarts.
     async fn replay_heartbeats_at_failover(&mut self, controller: usize) {
         self.set_capture_heartbeats(true);
         self.sleep_between(1.0, 12.0).await;
--- a/crates/tallygauge-sim/src/scenario/user_requests.rs
+++ b/crates/tallygauge-sim/src/scenario/user_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of users to the controllers of a scenario.
+//! Requests of simulated users to the controllers of a scenario.
 
 use super::Scenario;
 use crate::{eventually, reply_status};
@@ -7,34 +7,40 @@
 use tallygauge::user_api::Reply;
 use tallygauge_protocol::users::POLL_TIMEOUT_S;
 
-/// How long users wait for answers other than to polls.
+/// How long users wait for a reply to a cancellation or an invalid submission.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Seconds within which a controller that serves must accept a job.
+/// Time limit for the retried submission of a job, in seconds.
 const ACCEPTANCE_TIMEOUT_S: f64 = 30.0;
 
-/// Id of jobs that no controller may accept.
+/// Id of the invalid jobs, which every controller must reject.
 const INVALID_JOB_ID: &str = "req-900000";
 
 impl Scenario {
-    /// Submits a job through one controller until it is accepted.
+    /// Submits a job to a controller, and retries until it is accepted; panics after
+    /// [`ACCEPTANCE_TIMEOUT_S`].
     pub(super) async fn submit_until_accepted(&self, controller: usize, body: &[u8]) {
         let controller = &self.controllers[controller].0;
         let accepted = eventually(ACCEPTANCE_TIMEOUT_S, async || {
             let reply = self.simulation.submit(controller, body).await;
             matches!(reply.status(), 200 | 201)
         });
-        assert!(accepted.await, "not accepted");
+        assert!(
+            accepted.await,
+            "job was not accepted within {ACCEPTANCE_TIMEOUT_S} s"
+        );
     }
 
-    /// Requests the cancellation of a job through one controller.
+    /// Requests the cancellation of a job from a controller and checks the reply.
     pub(super) async fn cancel(&mut self, controller: usize, id: &str) {
         let reply = self
             .simulation
             .request_cancellation(&self.controllers[controller].0, id);
-        let reply = self.on_controller(controller, REQUEST_TIMEOUT, reply).await;
+        let reply = self
+            .request_with_timeout(controller, REQUEST_TIMEOUT, reply)
+            .await;
         if let Some(job) = self.jobs.iter_mut().find(|job| job.id == id) {
-            // The job may be cancelled even though the request got no answer.
+            // A request that timed out may still have cancelled the job.
             job.cancel_requested = true;
             if let Some(reply) = reply {
                 let violation = job.record_reply(&self.simulation, &reply);
@@ -43,14 +49,15 @@
         }
     }
 
-    /// Polls a job through one controller. Returns whether the user was told its status.
+    /// Polls a job through a controller and checks the reply. Returns whether the reply
+    /// contained the job's status.
     pub(super) async fn poll(&mut self, controller: usize, job: usize) -> bool {
         let id = self.jobs[job].id.clone();
         let reply = self
             .simulation
             .request_status(&self.controllers[controller].0, &id);
         let timeout = Duration::from_secs_f64(POLL_TIMEOUT_S);
-        let Some(reply) = self.on_controller(controller, timeout, reply).await else {
+        let Some(reply) = self.request_with_timeout(controller, timeout, reply).await else {
             return false;
         };
         let violation = self.jobs[job].record_reply(&self.simulation, &reply);
@@ -58,23 +65,24 @@
         reply_status(&reply).is_some()
     }
 
-    /// Submits invalid jobs and a repetition of a valid one, each of which must be answered
-    /// accordingly.
+    /// Submits several invalid jobs and a duplicate of the valid job in `body`, and records a
+    /// violation for each reply with an unexpected status code. Every submission may also get
+    /// 503.
     pub(super) async fn submit_invalid_jobs(&mut self, controller: usize, body: &[u8]) {
         let job: Value = serde_json::from_slice(body).unwrap();
-        let changed = |field: &str, value: Value| {
+        let invalid_job = |field: &str, value: Value| {
             let mut invalid = job.clone();
             invalid["nameId"] = INVALID_JOB_ID.into();
             invalid[field] = value;
             invalid
         };
-        let mut incomplete = changed("cores", 1.0.into());
+        let mut incomplete = invalid_job("cores", 1.0.into());
         incomplete.as_object_mut().unwrap().remove("bundle");
         for (submitted, expected) in [
-            (changed("cores", 900.0.into()), &[422, 503][..]),
-            (changed("owner", "nobody".into()), &[422, 503]),
-            (changed("site", "nowhere".into()), &[422, 503]),
-            (changed("pieces", 0.into()), &[400, 503]),
+            (invalid_job("cores", 900.0.into()), &[422, 503][..]),
+            (invalid_job("owner", "nobody".into()), &[422, 503]),
+            (invalid_job("site", "nowhere".into()), &[422, 503]),
+            (invalid_job("pieces", 0.into()), &[400, 503]),
             (incomplete, &[400, 503]),
             (job.clone(), &[200, 201, 503]),
         ] {
@@ -82,24 +90,30 @@
             let reply = self
                 .simulation
                 .submit(&self.controllers[controller].0, &body);
-            let reply = self.on_controller(controller, REQUEST_TIMEOUT, reply).await;
+            let reply = self
+                .request_with_timeout(controller, REQUEST_TIMEOUT, reply)
+                .await;
             if let Some(reply) = reply
                 && !expected.contains(&reply.status())
             {
-                let violation = format!("{submitted} is answered {}", reply.status());
+                let violation =
+                    format!("unexpected reply to {submitted}: status {}", reply.status());
                 self.violations.push(violation);
             }
         }
     }
 
-    /// Runs a request on a controller; `None` if it is not answered in time.
-    async fn on_controller(
+    /// Runs a request on a controller, which may be paused meanwhile; `None` if there is no
+    /// reply in time.
+    async fn request_with_timeout(
         &self,
         controller: usize,
         timeout: Duration,
         reply: impl Future<Output = Reply>,
     ) -> Option<Reply> {
-        let reply = self.simulation.run_on(&Self::name(controller), reply);
+        let reply = self
+            .simulation
+            .run_on(&Self::controller_name(controller), reply);
         tokio::time::timeout(timeout, reply).await.ok()
     }
 }
--- a/crates/tallygauge-sim/src/state.rs
+++ b/crates/tallygauge-sim/src/state.rs
@@ -1,5 +1,5 @@
-//! The state that all stand-ins share: machines, jobs, faults in force and what the
-//! checkers have recorded.
+//! State shared by all simulated components: machines, jobs, active faults, and the records
+//! of the checkers.
 
 use crate::{
     TEAM_QUOTA_CPUS, fault_settings::FaultSettings, machines::SimWorker, store::Store,
@@ -8,40 +8,40 @@
 use rand::{SeedableRng, rngs::StdRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Seconds that a machine takes to boot unless a test sets another time.
+/// Default boot time of a machine, in seconds.
 const DEFAULT_BOOT_TIME_S: f64 = 2.0;
 
-/// Seed of the random numbers unless a test sets another one.
+/// Default seed of the random number generator.
 const DEFAULT_SEED: u64 = 1;
 
-/// A machine that was rented from the cloud.
+/// A machine rented from the cloud.
 pub(crate) struct RentedMachine {
     /// When it was rented, in seconds of simulated time.
     pub(crate) rented_at: f64,
-    /// The zone in which it is.
+    /// Zone of the machine.
     pub(crate) zone: String,
 }
 
-/// A task that was started on a worker.
+/// The start of a task on a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskStart {
     /// When it started, in seconds of simulated time.
     pub started_at: f64,
-    /// Name of the task: the job's id, a slash and the task's number.
+    /// Name of the task: `<job id>/<task number>`.
     pub task: String,
     /// Name of the worker.
     pub worker: String,
 }
 
-/// A message that will be delivered later.
+/// A message whose delivery is delayed.
 pub(crate) struct DelayedMessage {
-    /// When it is due, in seconds of simulated time.
+    /// When it is delivered, in seconds of simulated time.
     pub(crate) due_at: f64,
-    /// The message.
+    /// Body of the message.
     pub(crate) body: Vec<u8>,
 }
 
-/// Direct commands that will be delivered to a worker later.
+/// Direct commands to a worker whose delivery is delayed.
 pub(crate) struct DelayedCommands {
     /// Name of the worker.
     pub(crate) worker: String,
@@ -49,53 +49,56 @@
     pub(crate) message: DelayedMessage,
 }
 
-/// What is known to the stand-ins of store, cloud, workers and users, and to the
-/// checkers.
+/// State of the simulated store, cloud, workers and users, and of the checkers.
 pub struct SimState {
-    /// Faults in force. Tests set them.
+    /// Active faults, which tests set.
     pub faults: FaultSettings,
     pub(crate) store: Store,
-    /// Rented machines by name, booted or not.
+    /// Rented machines by name, including those that are still booting.
     pub(crate) machines: BTreeMap<String, RentedMachine>,
-    /// Workers of booted machines, by the machine's name.
+    /// Workers on booted machines, by name of the machine.
     pub(crate) workers: BTreeMap<String, SimWorker>,
-    /// Shapes of jobs by the job's id.
+    /// Shapes of jobs, by job id.
     pub(crate) job_shapes: HashMap<String, JobShape>,
-    /// Names of the machines that each rental request rented.
+    /// Names of the rented machines, by id of the rental request.
     pub(crate) rentals: HashMap<String, Vec<String>>,
-    /// The first request made under each request id.
+    /// The first rental request made under each request id.
     pub(crate) rental_requests: HashMap<String, String>,
-    pub(crate) next_machine: u32,
-    /// Seconds that a machine takes to boot.
+    /// Number of the next machine.
+    pub(crate) next_machine_number: u32,
+    /// Boot time of a machine, in seconds.
     pub boot_time_s: f64,
     /// Zones in which the cloud offers machines.
     pub zones: Vec<&'static str>,
-    /// CPUs that the tasks of one team may use together.
+    /// Quota of each team: total CPUs that its running tasks may use.
     pub team_quota_cpus: f64,
-    /// Addresses at which workers accept direct commands; a worker that has none here is
-    /// addressed by its name.
+    /// Addresses at which workers accept direct commands, by worker; a worker without an
+    /// entry is addressed by its name.
     pub endpoints: HashMap<String, String>,
-    /// Direct commands on their way.
+    /// Direct commands that are not delivered yet.
     pub(crate) delayed_commands: Vec<DelayedCommands>,
-    /// Copies of heartbeats on their way.
+    /// Duplicates of heartbeats that are not delivered yet.
     pub(crate) delayed_heartbeats: Vec<DelayedMessage>,
-    /// Copies kept for [`crate::Simulation::replay_captured_heartbeats`].
+    /// Copies of heartbeats for [`crate::Simulation::replay_captured_heartbeats`].
     pub(crate) captured_heartbeats: Vec<Vec<u8>>,
-    /// When users were first told that a job is cancelled, by the job's id.
+    /// When users were first told that a job is cancelled, by job id, in seconds of
+    /// simulated time.
     pub(crate) cancelled_at: HashMap<String, f64>,
-    /// Tasks that completed.
+    /// Names of completed tasks.
     pub(crate) completed_tasks: BTreeSet<String>,
-    /// The worker that each attempt, by task and number, was started on.
+    /// The worker on which an attempt was first started, by task and attempt number.
     pub(crate) attempt_workers: HashMap<(String, u64), String>,
-    /// Task starts so far, in order.
+    /// All task starts so far, in order.
     pub starts: Vec<TaskStart>,
-    /// Tasks that were running on machines when these were returned to the cloud.
+    /// Number of tasks that were running on machines when these were returned to the cloud.
     pub returned_running_tasks: u32,
-    /// Direct commands that workers rejected for an old fencing token or incarnation.
+    /// Number of direct command requests that workers rejected because of an old fencing
+    /// token or another incarnation.
     pub rejected_commands: u32,
-    /// Invariants that were violated, in words.
+    /// Descriptions of the violations of invariants found so far, except those that the
+    /// store found.
     pub violations: Vec<String>,
-    /// Random numbers for faults and for the controllers' seeds.
+    /// Random number generator for faults and for the controllers' seeds.
     pub(crate) random: StdRng,
 }
 
@@ -109,7 +112,7 @@
             job_shapes: HashMap::new(),
             rentals: HashMap::new(),
             rental_requests: HashMap::new(),
-            next_machine: 0,
+            next_machine_number: 0,
             boot_time_s: DEFAULT_BOOT_TIME_S,
             zones: vec!["a"],
             team_quota_cpus: TEAM_QUOTA_CPUS,
@@ -130,23 +133,23 @@
 }
 
 impl SimState {
-    /// Violations found by all checkers: those of workers and cloud, and keys of the
-    /// store that were used twice.
+    /// Violations found by all checkers: those of the workers and the cloud, and the
+    /// placement batches that the store found to be written incorrectly.
     pub fn all_violations(&self) -> Vec<String> {
-        let reused = self.store.reused_keys.iter();
-        let reused = reused.map(|key| format!("{key} is written anew"));
-        self.violations.iter().cloned().chain(reused).collect()
+        let batches = self.store.invalid_batches.iter();
+        let batches = batches.map(|batch| format!("placement batch {batch}"));
+        self.violations.iter().cloned().chain(batches).collect()
     }
 
-    /// The address at which a worker accepts direct commands.
+    /// Address at which a worker accepts direct commands.
     pub(crate) fn endpoint<'a>(&'a self, worker: &'a str) -> &'a str {
         self.endpoints.get(worker).map_or(worker, String::as_str)
     }
 
-    /// Names the next machine.
+    /// Returns the name for a new machine.
     pub(crate) fn next_machine_name(&mut self) -> String {
-        let name = format!("host-{:06}", self.next_machine);
-        self.next_machine += 1;
+        let name = format!("host-{:06}", self.next_machine_number);
+        self.next_machine_number += 1;
         name
     }
 }
--- a/crates/tallygauge-sim/src/store.rs
+++ b/crates/tallygauge-sim/src/store.rs
@@ -1,5 +1,5 @@
-//! The data of the key-value store's stand-in: keys with revisions, leases, and
-//! transactions on conditions. It answers requests as the store's protocol says.
+//! Data of the simulated key-value store: keys with revisions, leases, and conditional
+//! transactions. Requests are handled according to the store's protocol.
 
 use crate::transport::{Response, ok, status};
 use serde_json::{Value, json};
@@ -7,44 +7,44 @@
 use tallygauge_protocol::state::{Transaction, Write};
 use warp::http::Method;
 
-/// Path of transactions.
+/// Request path of transactions.
 pub(crate) const TRANSACTION_PATH: &str = "/multi";
 
-/// Most writes of a transaction.
+/// Maximum number of writes in a transaction.
 const MAX_WRITES: usize = 16;
 
-/// Most conditions of a transaction.
+/// Maximum number of conditions in a transaction.
 const MAX_CONDITIONS: usize = 64;
 
-/// Largest body of a transaction, in bytes.
+/// Maximum size of a transaction's body, in bytes.
 const MAX_BODY_BYTES: usize = 65_536;
 
-/// Largest value of a key, in bytes.
+/// Maximum size of a value, in bytes.
 const MAX_VALUE_BYTES: usize = 8_192;
 
-/// Prefix of the keys of placement batches; the leader's term follows it.
+/// Prefix of the keys of placement batches; it is followed by the leader's term and a `-`.
 const BATCH_PREFIX: &str = "p/";
 
-/// Key of the leader's term.
+/// Key of the current leader's term.
 const TERM_KEY: &str = "t/term";
 
-/// A key's value.
+/// The value of a key and its metadata.
 struct Row {
     value: Value,
     /// Revision of the last write to the key.
     version: u64,
-    /// Lease with which the key is deleted, if any.
+    /// The lease that the key is attached to, if any; the key is deleted when it ends.
     lease: Option<u64>,
 }
 
-/// A lease.
+/// A lease that keys can be attached to.
 struct Lease {
     /// When it expires, in seconds of simulated time.
     expires_at: f64,
     ttl_s: f64,
 }
 
-/// A change of a key, as watches see it.
+/// A change of a key, as returned by watches.
 pub(crate) struct Change {
     pub(crate) key: String,
     /// The new value; `None` if the key was deleted.
@@ -52,15 +52,15 @@
     pub(crate) revision: u64,
 }
 
-/// A transaction that was not answered and is executed later.
+/// A transaction that got no response and is executed late.
 pub(crate) struct LateWrite {
     /// When it is executed, in seconds of simulated time.
     pub(crate) due_at: f64,
-    /// The transaction.
+    /// Body of the transaction request.
     pub(crate) body: Vec<u8>,
 }
 
-/// Keys, leases and changes.
+/// The keys, the leases and the history of changes.
 #[derive(Default)]
 pub(crate) struct Store {
     rows: BTreeMap<String, Row>,
@@ -68,18 +68,19 @@
     /// All changes so far, in order of their revisions.
     changes: Vec<Change>,
     leases: BTreeMap<u64, Lease>,
+    /// Id of the last lease granted.
     last_lease: u64,
-    /// Transactions to be executed late.
+    /// Transactions that are still to be executed late.
     pub(crate) late_writes: Vec<LateWrite>,
-    /// The first value of each placement batch.
+    /// The first value written for each placement batch, by key.
     batches: BTreeMap<String, Value>,
-    /// Placement batches that were written again with another value, or under the term of
-    /// another leader.
-    pub(crate) reused_keys: Vec<String>,
+    /// Descriptions of placement batches that were written again with another value, or
+    /// whose key does not contain the current term.
+    pub(crate) invalid_batches: Vec<String>,
 }
 
 impl Store {
-    /// Answers a request other than a watch.
+    /// Handles a request other than a watch.
     pub(crate) fn handle_request(
         &mut self,
         now: f64,
@@ -107,7 +108,6 @@
         self.transact(body)
     }
 
-    /// The current revision.
     pub(crate) fn revision(&self) -> u64 {
         self.revision
     }
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Gives all leases their full time from now on, as after an outage.
+    /// Renews all leases for their full duration from now on, as the store does after an
+    /// outage.
     pub(crate) fn renew_all_leases(&mut self, now: f64) {
         for lease in self.leases.values_mut() {
             lease.expires_at = now + lease.ttl_s;
@@ -191,14 +192,15 @@
         }
     }
 
-    /// Executes a transaction, if its conditions and leases hold.
+    /// Executes a transaction if all its conditions hold and the leases of its writes exist.
     fn transact(&mut self, body: &[u8]) -> Response {
         let transaction: Transaction = serde_json::from_slice(body).unwrap();
         assert!(transaction.writes.len() <= MAX_WRITES);
         assert!(transaction.conditions.len() <= MAX_CONDITIONS && body.len() <= MAX_BODY_BYTES);
         let mut conditions = transaction.conditions.iter();
         if let Some(failed) = conditions.find(|c| self.version(&c.key) != c.version) {
-            // Only the first is named, as the protocol does not promise all.
+            // Only the first failed condition is returned, as the protocol does not guarantee
+            // that all are.
             return status(409, json!({"failed": [failed.key], "epoch": self.revision}));
         }
         if transaction.writes.iter().any(|w| self.has_expired_lease(w)) {
@@ -221,7 +223,7 @@
         self.rows.get(key).map_or(0, |row| row.version)
     }
 
-    /// Whether a write is bound to a lease that does not exist any more.
+    /// Whether a write is attached to a lease that no longer exists.
     fn has_expired_lease(&self, write: &Write) -> bool {
         match write {
             Write::Set { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
@@ -229,7 +231,7 @@
         }
     }
 
-    /// Sets a key at the current revision.
+    /// Sets a key, with the current revision as its version.
     fn set(&mut self, key: String, value: Value, lease: Option<u64>) {
         assert!(value.to_string().len() <= MAX_VALUE_BYTES);
         self.check_batch(&key, &value);
@@ -247,7 +249,7 @@
         self.rows.insert(key, row);
     }
 
-    /// Deletes a key, if it exists, at the current revision.
+    /// Deletes a key, if it exists, and records the change at the current revision.
     fn delete(&mut self, key: String) {
         if self.rows.remove(&key).is_some() {
             self.changes.push(Change {
@@ -258,8 +260,8 @@
         }
     }
 
-    /// Records a placement batch whose key is used again, or that is written under another
-    /// term than its key names.
+    /// Records a violation if a placement batch is written again with another value, or if
+    /// the term in its key is not the current term.
     fn check_batch(&mut self, key: &str, value: &Value) {
         let Some(batch) = key.strip_prefix(BATCH_PREFIX) else {
             return;
@@ -267,17 +269,17 @@
         let term = batch.split('-').next().unwrap_or_default();
         let current_term = &self.rows[TERM_KEY].value["term"];
         if current_term.as_u64() != term.parse().ok() {
-            let violation = format!("{key}, in term {current_term},");
-            self.reused_keys.push(violation);
+            let violation = format!("{key} is written in term {current_term}");
+            self.invalid_batches.push(violation);
         }
-        let first = self.batches.entry(key.to_string());
-        if first.or_insert_with(|| value.clone()) != value {
-            self.reused_keys.push(key.to_string());
+        let first_value = self.batches.entry(key.to_string());
+        if first_value.or_insert_with(|| value.clone()) != value {
+            self.invalid_batches.push(key.to_string());
         }
     }
 }
 
-/// The value of a query's parameter; `name` includes the equals sign.
+/// Value of a query parameter. `name` includes the equals sign.
 pub(crate) fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
--- a/crates/tallygauge-sim/src/store_requests.rs
+++ b/crates/tallygauge-sim/src/store_requests.rs
@@ -1,5 +1,5 @@
-//! Requests of controllers to the key-value store's stand-in, with the faults that are set:
-//! refusals, partitions, lost responses and late writes.
+//! Requests of controllers to the simulated key-value store, and the faults that affect
+//! them: refusals, partitions, lost responses and late writes.
 
 use crate::{
     SimState, Simulation,
@@ -13,33 +13,33 @@
 use tokio::time::Instant;
 use warp::http::Method;
 
-/// Seconds after which a late write is executed.
+/// Range of the random delay after which a late write is executed, in seconds.
 const LATE_WRITE_DELAY_S: Range<f64> = 2.0..12.0;
 
 /// Prefix of the records of active jobs.
 const ACTIVE_JOB_PREFIX: &str = "o/";
 
-/// Longest time after which a watch looks again for changes.
+/// Maximum interval between two checks of a watch for changes.
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What goes wrong with a request.
+/// The fault that affects a request.
 enum RequestFault {
     None,
-    /// It is never executed and gets no response.
+    /// The request is not executed and gets no response.
     Hang,
-    /// It is executed late and gets no response.
+    /// The request gets no response and is executed after a delay.
     Late {
         delay_s: f64,
     },
-    /// It is executed and gets no response.
+    /// The request is executed but gets no response.
     LoseResponse,
-    /// It is executed, and the connection breaks before the response.
+    /// The request is executed, but the connection breaks before the response.
     BreakConnection,
 }
 
 impl Simulation {
-    /// Makes the store refuse everybody, or serve again: then all leases get their full
-    /// time back.
+    /// Makes the store refuse the requests of all controllers, or serve them again. In both
+    /// cases all leases are renewed for their full duration.
     pub fn set_store_down(&self, down: bool) {
         let now = self.now();
         let mut state = self.state.lock().unwrap();
@@ -47,7 +47,7 @@
         state.store.renew_all_leases(now);
     }
 
-    /// Counts the changes so far of keys that begin with a prefix.
+    /// Number of changes so far to keys that begin with a prefix.
     pub fn count_changes(&self, prefix: &str) -> usize {
         let state = self.state.lock().unwrap();
         let changes = state.store.changes_after(0).iter();
@@ -56,15 +56,15 @@
             .count()
     }
 
-    /// Counts the keys that begin with a prefix.
+    /// Number of keys that begin with a prefix.
     pub fn count_keys(&self, prefix: &str) -> usize {
         self.state.lock().unwrap().store.keys(prefix).count()
     }
 
-    /// Answers a controller's request as the store does.
+    /// Handles a controller's request to the store.
     ///
     /// # Errors
-    /// When an injected fault loses the request or its response.
+    /// If an injected fault drops the request or its response.
     pub async fn handle_store_request(
         &self,
         controller: &str,
@@ -86,14 +86,15 @@
             let mut state = self.state.lock().unwrap();
             state.execute_store_request(now, method, path, body)
         };
-        self.changed.notify_waiters();
+        self.store_changed.notify_waiters();
         match result {
             Some(result) => result,
             None => hang().await,
         }
     }
 
-    /// Executes late writes that are due, in the order in which they are.
+    /// Executes the late writes that are due, in the order of their due times. While the
+    /// store is down they wait.
     pub(crate) fn apply_late_writes(&self, now: f64) {
         let mut state = self.state.lock().unwrap();
         if state.faults.store_down {
@@ -110,7 +111,7 @@
         }
         drop(state);
         if !due.is_empty() {
-            self.changed.notify_waiters();
+            self.store_changed.notify_waiters();
         }
     }
 
@@ -119,7 +120,7 @@
         state.faults.store_partitioned.contains(controller)
     }
 
-    /// Answers a watch as soon as there are changes, or when its time is over.
+    /// Responds to a watch as soon as there are changes, or when it times out.
     async fn watch(&self, controller: &str, query: &str) -> Response {
         let parameter = |name| query_parameter(query, name).unwrap_or_default();
         let prefix = parameter("starts=");
@@ -127,22 +128,23 @@
         let timeout = Duration::from_millis(parameter("blockMs=").parse().unwrap());
         let deadline = Instant::now() + timeout;
         loop {
-            let is_over = Instant::now() >= deadline;
-            if let Some(response) = self.poll_watch(controller, prefix, since, is_over) {
+            let has_timed_out = Instant::now() >= deadline;
+            if let Some(response) = self.poll_watch(controller, prefix, since, has_timed_out) {
                 return response;
             }
-            let next = Instant::now() + WATCH_POLL_INTERVAL;
-            let _ = tokio::time::timeout_at(next, self.changed.notified()).await;
+            let next_poll_at = Instant::now() + WATCH_POLL_INTERVAL;
+            let _ = tokio::time::timeout_at(next_poll_at, self.store_changed.notified()).await;
         }
     }
 
-    /// The response to a watch, if there are changes or its time is over.
+    /// Returns the response to a watch if there are changes or it has timed out; `None` if
+    /// the watch keeps waiting.
     fn poll_watch(
         &self,
         controller: &str,
         prefix: &str,
         since: u64,
-        is_over: bool,
+        has_timed_out: bool,
     ) -> Option<Response> {
         let now = self.now();
         let mut state = self.state.lock().unwrap();
@@ -154,9 +156,9 @@
             .filter(|change| change.key.starts_with(prefix))
             .map(change_message)
             .collect();
-        let hangs = state.faults.store_refuses(controller)
+        let is_held_back = state.faults.store_refuses(controller)
             || (state.faults.hang_job_watches && prefix == ACTIVE_JOB_PREFIX);
-        if hangs || (changes.is_empty() && !is_over) {
+        if is_held_back || (changes.is_empty() && !has_timed_out) {
             return None;
         }
         Some(ok(
@@ -166,7 +168,7 @@
 }
 
 impl SimState {
-    /// Executes a request with the fault that strikes it; `None` if there is no response.
+    /// Executes a request with the fault drawn for it; `None` if it gets no response.
     fn execute_store_request(
         &mut self,
         now: f64,
@@ -195,21 +197,22 @@
         }
     }
 
-    /// Draws the fault that strikes a request.
+    /// Draws the fault that affects a request.
     fn draw_request_fault(&mut self, path: &str, body: &[u8]) -> RequestFault {
         let text = String::from_utf8_lossy(body);
         let is_transaction = path == TRANSACTION_PATH;
         let has_writes = is_transaction && text.contains("\"writes\"");
         let sets_key = |prefix: &str| text.contains(&format!("\"set\":\"{prefix}"));
         let mut delay_s = None;
-        if has_writes && self.strikes(self.faults.late_write_probability) {
+        if has_writes && self.draw_occurrence(self.faults.late_write_probability) {
             delay_s = Some(self.random.random_range(LATE_WRITE_DELAY_S));
         }
         let delayed = &mut self.faults.delay_next_write;
         if let Some(write) = delayed.take_if(|write| sets_key(write.key_prefix)) {
             delay_s = Some(write.delay_s);
         }
-        let is_lost = is_transaction && self.strikes(self.faults.lost_response_probability);
+        let is_response_lost =
+            is_transaction && self.draw_occurrence(self.faults.lost_response_probability);
         if self.faults.hang_writes_with_prefix.is_some_and(sets_key) {
             RequestFault::Hang
         } else if let Some(delay_s) = delay_s {
@@ -217,20 +220,21 @@
         } else if has_writes && self.faults.lose_next_responses > 0 {
             self.faults.lose_next_responses -= 1;
             RequestFault::BreakConnection
-        } else if is_lost {
+        } else if is_response_lost {
             RequestFault::LoseResponse
         } else {
             RequestFault::None
         }
     }
 
-    /// Draws whether a fault of this probability strikes; draws nothing if it is 0.
-    pub(crate) fn strikes(&mut self, probability: f64) -> bool {
+    /// Draws whether a fault with this probability occurs. If the probability is 0, no random
+    /// number is drawn.
+    pub(crate) fn draw_occurrence(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.random.random::<f64>() < probability
     }
 }
 
-/// A change as the response to a watch has it.
+/// A change in the format of a response to a watch.
 fn change_message(change: &Change) -> Value {
     match &change.value {
         Some(value) => json!({"set": change.key, "value": value, "stamp": change.revision}),
--- a/crates/tallygauge-sim/src/transport.rs
+++ b/crates/tallygauge-sim/src/transport.rs
@@ -1,5 +1,5 @@
-//! The network between a controller and the stand-ins: delivers each request after the
-//! link's delay, with the faults that are set.
+//! The simulated network between a controller and the simulated store, cloud and workers:
+//! delivers each request after the link delay, and injects the faults that are set.
 
 use crate::{Simulation, exchanges::Request};
 use serde_json::Value;
@@ -7,20 +7,20 @@
 use tallygauge_store::http::{HttpResult, RequestError, Transport};
 use warp::http::{Method, StatusCode};
 
-/// Address of the store's stand-in in the settings of controllers.
+/// Address of the simulated store in the settings of controllers.
 pub(crate) const STORE_ADDRESS: &str = "127.0.0.1:7002";
 
-/// Address of the cloud's stand-in in the settings of controllers.
+/// Address of the simulated cloud in the settings of controllers.
 pub(crate) const CLOUD_ADDRESS: &str = "127.0.0.1:7001";
 
-/// How long a request without a response hangs: longer than every client waits.
+/// How long a request that gets no response hangs: longer than any client's timeout.
 const HANG_TIME: Duration = Duration::from_secs(3600);
 
-/// An HTTP response of a stand-in.
+/// An HTTP response of a simulated component: status code and body.
 pub(crate) type Response = (StatusCode, bytes::Bytes);
 
-/// Transport of one controller's HTTP client; hosts that are neither store nor cloud are
-/// workers.
+/// Transport of a controller's HTTP client. Requests to any host other than the store and the
+/// cloud are direct commands to the worker at that address.
 pub(crate) struct SimulatedTransport {
     pub(crate) simulation: Arc<Simulation>,
     /// Name of the controller that sends the requests.
@@ -39,7 +39,7 @@
     }
 }
 
-/// Delivers a request to the stand-in that its URL names and returns the response.
+/// Delivers a request to the store, cloud or worker in its URL and returns the response.
 async fn deliver(
     simulation: &Simulation,
     controller: &str,
@@ -90,7 +90,7 @@
     })
 }
 
-/// Hangs until every client has timed out, as a request without a response does.
+/// Hangs until any client has timed out, like a request that gets no response.
 pub(crate) async fn hang() -> HttpResult {
     tokio::time::sleep(HANG_TIME).await;
     Err(RequestError::NoResponse)
@@ -101,7 +101,7 @@
     status(200, body)
 }
 
-/// A response with another status.
+/// A response with this status code.
 pub(crate) fn status(code: u16, body: Value) -> Response {
     (
         StatusCode::from_u16(code).unwrap(),
--- a/crates/tallygauge-sim/src/users.rs
+++ b/crates/tallygauge-sim/src/users.rs
@@ -1,5 +1,5 @@
-//! The stand-in for users, who submit jobs, read their status and cancel them, and helpers
-//! for tests.
+//! Simulated users, who submit jobs, query their status and cancel them, and helpers for
+//! tests.
 
 use crate::{LEASE_S, Simulation};
 use serde_json::json;
@@ -12,14 +12,14 @@
 use tokio::{task::JoinHandle, time::Instant};
 use warp::http::Method;
 
-/// A job to submit, as far as jobs differ in the simulation.
+/// The properties of a job that vary in the simulation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct JobShape {
     /// Number of tasks.
     pub tasks: u32,
     /// CPUs of each task.
     pub cpus: f64,
-    /// Seconds that each task runs.
+    /// Run time of each task, in seconds.
     pub run_s: f64,
     /// Team that owns the job.
     pub team: &'static str,
@@ -31,7 +31,7 @@
     pub one_zone: bool,
 }
 
-/// A job's submission as its user sends it.
+/// The request with which a user submits a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobRequest {
     /// Id of the job.
@@ -55,7 +55,8 @@
 }
 
 impl Simulation {
-    /// A job of team `t` whose tasks run for `run_s` seconds.
+    /// Creates the submission of a job of team `t` with default priority, and registers its
+    /// shape.
     pub fn job(&self, number: u32, tasks: u32, cpus: f64, run_s: f64) -> JobRequest {
         let shape = JobShape {
             tasks,
@@ -66,7 +67,7 @@
         self.job_with_shape(number, shape)
     }
 
-    /// A job of any shape.
+    /// Creates the submission of a job with the given shape, and registers the shape.
     pub fn job_with_shape(&self, number: u32, shape: JobShape) -> JobRequest {
         let id = format!("req-{number:06}");
         self.state
@@ -88,7 +89,7 @@
     }
 }
 
-/// Checks a condition every 100 ms of simulated time until it holds, for so many seconds.
+/// Checks a condition every 100 ms of simulated time until it holds or `seconds` have passed.
 /// Returns whether it held.
 pub async fn eventually(seconds: f64, mut holds: impl AsyncFnMut() -> bool) -> bool {
     let end = Instant::now() + Duration::from_secs_f64(seconds);
@@ -101,12 +102,12 @@
     false
 }
 
-/// Sleeps for so many seconds of simulated time.
+/// Sleeps for this number of seconds of simulated time.
 pub async fn sleep_s(seconds: f64) {
     tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
 }
 
-/// The status of a job in a reply, if it has one.
+/// The job status in a reply; `None` if it contains none.
 pub fn reply_status(reply: &Reply) -> Option<JobStatus> {
     match reply {
         Reply::Job { response, .. } => Some(response.status),
@@ -114,21 +115,22 @@
     }
 }
 
-/// Reads a job's status from a controller; `None` if it doesn't answer with one.
+/// Queries a job's status from a controller; `None` if the reply does not contain it.
 pub async fn query_status(controller: &Controller, id: &str) -> Option<JobStatus> {
     reply_status(&user_api::job_status(controller, id).await)
 }
 
-/// Submits a job to a controller until it is accepted; panics after 30 seconds.
+/// Submits a job to a controller, and retries until it is accepted; panics after 30 seconds.
 pub async fn submit_until_accepted(controller: &Arc<Controller>, body: &[u8]) {
     let accepted = eventually(30.0, async || {
         matches!(user_api::submit(controller, body).await.status(), 200 | 201)
     })
     .await;
-    assert!(accepted, "not accepted");
+    assert!(accepted, "job was not accepted within 30 s");
 }
 
-/// Submits a job of team `t` to a controller until it is accepted. Returns its id.
+/// Submits a job of team `t` to a controller, and retries until it is accepted. Returns its
+/// id.
 pub async fn submit_job(
     simulation: &Simulation,
     controller: &Arc<Controller>,
@@ -142,7 +144,8 @@
     id
 }
 
-/// Submits a job of any shape to a controller until it is accepted. Returns its id.
+/// Submits a job with the given shape to a controller, and retries until it is accepted.
+/// Returns its id.
 pub async fn submit_job_with_shape(
     simulation: &Simulation,
     controller: &Arc<Controller>,
@@ -154,8 +157,8 @@
     id
 }
 
-/// Cancels a job through a controller until that confirms it; panics after `within_s`
-/// seconds.
+/// Requests the cancellation of a job from a controller, and retries until the controller
+/// confirms it; panics after `within_s` seconds.
 pub async fn cancel_until_confirmed(
     simulation: &Simulation,
     controller: &Arc<Controller>,
@@ -165,11 +168,15 @@
     let confirmed = eventually(within_s, async || {
         reply_status(&user_api::cancel(controller, id).await) == Some(JobStatus::Cancelled)
     });
-    assert!(confirmed.await, "{id} can't be cancelled");
+    assert!(
+        confirmed.await,
+        "cancellation of {id} was not confirmed within {within_s} s"
+    );
     simulation.record_cancellation(id);
 }
 
-/// Waits until a controller calls a job done. Returns whether it did within thirty leases.
+/// Waits until a controller reports a job done. Returns whether it did so within 30 times
+/// [`LEASE_S`].
 pub async fn wait_until_done(controller: &Arc<Controller>, id: &str) -> bool {
     eventually(LEASE_S * 30.0, async || {
         query_status(controller, id).await == Some(JobStatus::Done)
@@ -177,7 +184,7 @@
     .await
 }
 
-/// Starts a simulation with one controller, `n-a`, and waits until that leads.
+/// Starts a simulation with one controller, `n-a`, and waits until it is the active leader.
 pub async fn start_with_leader() -> (Arc<Simulation>, Arc<Controller>, JoinHandle<()>) {
     let simulation = Simulation::new();
     tokio::spawn(simulation.clone().run_workers());
@@ -186,12 +193,12 @@
     (simulation, controller, task)
 }
 
-/// Number of task starts so far.
+/// Total number of task starts so far.
 pub fn count_starts(simulation: &Simulation) -> usize {
     simulation.state.lock().unwrap().starts.len()
 }
 
-/// Whether a controller leads and has recovered the cluster state.
+/// Whether a controller is the leader and has recovered the cluster state.
 pub fn is_active_leader(controller: &Controller) -> bool {
     controller
         .leadership
@@ -200,7 +207,7 @@
         .is_some_and(|leadership| leadership.cluster.is_some())
 }
 
-/// Relays requests of users to one other controller, as the peer service does.
+/// Relays user requests directly to another controller, in place of the peer service.
 pub struct RelayTo(pub Arc<Controller>);
 
 impl Relay for RelayTo {
--- a/crates/tallygauge-sim/src/worker_agent.rs
+++ b/crates/tallygauge-sim/src/worker_agent.rs
@@ -1,5 +1,5 @@
-//! The agents of workers: they send heartbeats to controllers, look for another one when
-//! they get no answer, and accept direct commands of the highest fencing token.
+//! Simulated worker agents. They send heartbeats to a controller, switch to the next one if
+//! the heartbeat is not accepted, and reject direct commands with an outdated fencing token.
 
 use crate::{
     HEARTBEAT_INTERVAL_S, SimState, Simulation,
@@ -14,27 +14,27 @@
 use tallygauge_protocol::workers::{DirectCommands, HeartbeatResponse};
 use tallygauge_store::http::HttpResult;
 
-/// Time between two steps of all machines.
-const STEP: Duration = Duration::from_millis(50);
+/// Interval between the steps in which all machines and workers advance.
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Shortest delay of direct commands that are delivered late, in seconds.
+/// Minimum delay of direct commands that are delivered late, in seconds.
 const MIN_COMMAND_DELAY_S: f64 = 0.5;
 
-/// A heartbeat to be sent.
+/// A heartbeat that is about to be sent.
 struct OutgoingHeartbeat {
     worker: String,
-    /// Index, modulo their number, of the controller that gets it.
+    /// Index of the receiving controller, modulo the number of controllers.
     controller_index: usize,
     body: Vec<u8>,
 }
 
 impl Simulation {
-    /// Runs machines and workers for ever: machines boot, tasks complete, heartbeats are
-    /// sent and delayed messages delivered.
+    /// Runs all machines and workers indefinitely: machines boot, tasks complete, heartbeats
+    /// are sent, late writes executed and delayed messages delivered.
     pub async fn run_workers(self: Arc<Self>) {
         let mut next_heartbeat_at = HashMap::new();
         loop {
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(STEP_INTERVAL).await;
             let now = self.now();
             let heartbeats = {
                 let mut state = self.state.lock().unwrap();
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Sends a heartbeat to the worker's controller; the worker applies the answer, or
-    /// turns to the next controller.
+    /// Sends a heartbeat to the worker's controller. The worker applies the response if the
+    /// heartbeat is accepted, and switches to the next controller otherwise.
     fn exchange_heartbeat(&self, now: f64, heartbeat: &OutgoingHeartbeat) {
         let worker = &heartbeat.worker;
         let controller = self.reachable_controller(worker, heartbeat.controller_index);
@@ -68,8 +68,8 @@
         }
     }
 
-    /// The controller with this index, if it is connected, not paused and the worker can
-    /// reach it.
+    /// The controller with this index (modulo their number), if it is connected, not paused
+    /// and the worker can reach it.
     fn reachable_controller(&self, worker: &str, index: usize) -> Option<Arc<Controller>> {
         let controller = {
             let controllers = self.controllers.lock().unwrap();
@@ -82,11 +82,11 @@
         is_reachable.then_some(controller)
     }
 
-    /// Delivers a controller's direct commands to a worker and returns its answer. Commands
-    /// that are delayed, or whose machine hangs, get no response and are executed later.
+    /// Delivers a controller's direct commands to a worker and returns its response. Commands
+    /// that are delayed, or whose machine is hung, get no response and are delivered later.
     ///
     /// # Errors
-    /// When an injected fault loses the request or its response.
+    /// If an injected fault drops the request or its response.
     pub async fn deliver_direct_commands(
         &self,
         controller: &str,
@@ -97,7 +97,7 @@
             let now = self.now();
             let mut state = self.state.lock().unwrap();
             let delays = state.faults.delayed_commands;
-            let is_delayed = state.strikes(delays.probability);
+            let is_delayed = state.draw_occurrence(delays.probability);
             if !state.has_link(worker, controller) {
                 None
             } else if is_delayed || state.is_hung(worker) {
@@ -120,11 +120,11 @@
         }
     }
 
-    /// Delivers delayed direct commands that are due, except to machines that hang.
+    /// Delivers the delayed direct commands that are due, except those to hung machines.
     fn deliver_delayed_commands(&self, now: f64) {
         let mut state = self.state.lock().unwrap();
-        let waiting = std::mem::take(&mut state.delayed_commands);
-        for commands in waiting {
+        let delayed = std::mem::take(&mut state.delayed_commands);
+        for commands in delayed {
             if commands.message.due_at > now || state.is_hung(&commands.worker) {
                 state.delayed_commands.push(commands);
             } else {
@@ -135,7 +135,8 @@
 }
 
 impl SimState {
-    /// The heartbeats that are due, and when the next ones will be.
+    /// Returns the heartbeats that are due, and sets in `next_heartbeat_at` when the next
+    /// ones of their workers are.
     fn due_heartbeats(
         &mut self,
         now: f64,
@@ -159,7 +160,8 @@
         senders.into_iter().map(heartbeat_of).collect()
     }
 
-    /// The next heartbeat of a worker; `None` if it is silent or gone.
+    /// Returns the next heartbeat of a worker; `None` if it is partitioned or no longer
+    /// exists.
     pub fn next_heartbeat(&mut self, name: &str) -> Option<Value> {
         let worker = self
             .workers
@@ -169,7 +171,7 @@
         Some(self.heartbeat(name))
     }
 
-    /// A worker's heartbeat with its current sequence number.
+    /// Body of a worker's heartbeat with its current sequence number.
     fn heartbeat(&self, name: &str) -> Value {
         let worker = &self.workers[name];
         let tasks: Vec<Value> = worker.tasks.iter().map(task_status).collect();
@@ -177,9 +179,9 @@
             "shift": worker.incarnation, "tick": worker.sequence, "baton": worker.fencing_token, "recallS": null, "pieces": tasks})
     }
 
-    /// A worker applies the answer to a heartbeat that it sent at `sent_at`: its lease
-    /// counts from there. Answers that don't reach it, or have an old fencing token, are
-    /// ignored.
+    /// Applies the response to a heartbeat that a worker sent at `sent_at`: renews its lease
+    /// from that time on and executes the commands. Responses that do not reach the worker,
+    /// or that have an outdated fencing token, are ignored.
     pub fn apply_heartbeat_response(
         &mut self,
         sent_at: f64,
@@ -198,8 +200,9 @@
         self.execute_commands(sent_at, name, &response.commands);
     }
 
-    /// A worker applies direct commands and answers with its status; `None` if they don't
-    /// reach it. Commands of an old fencing token or another incarnation are rejected.
+    /// Applies direct commands to a worker and returns its response, which contains its
+    /// status; `None` if the commands do not reach it. Commands with an outdated fencing token
+    /// or for another incarnation are rejected.
     fn apply_direct_commands(&mut self, now: f64, name: &str, body: &[u8]) -> Option<Response> {
         let request: DirectCommands = serde_json::from_slice(body).unwrap();
         self.advance(now);
@@ -217,7 +220,7 @@
         Some(ok(self.heartbeat(name)))
     }
 
-    /// Schedules direct commands for a later delivery.
+    /// Schedules direct commands for delivery at `due_at`.
     fn delay_commands(&mut self, worker: &str, due_at: f64, body: Vec<u8>) {
         self.delayed_commands.push(DelayedCommands {
             worker: worker.to_string(),
@@ -225,21 +228,22 @@
         });
     }
 
-    /// Whether a worker's machine hangs.
+    /// Whether a worker's machine is hung.
     fn is_hung(&self, worker: &str) -> bool {
         self.workers
             .get(worker)
             .is_some_and(|worker| worker.is_hung())
     }
 
-    /// Whether a worker and a controller can reach each other.
+    /// Whether a worker and a controller are connected as far as
+    /// [`exclusive_links`](crate::FaultSettings::exclusive_links) go.
     fn has_link(&self, worker: &str, controller: &str) -> bool {
-        let only = self.faults.exclusive_links.get(worker);
-        only.is_none_or(|only| only == controller)
+        let exclusive = self.faults.exclusive_links.get(worker);
+        exclusive.is_none_or(|exclusive| exclusive == controller)
     }
 }
 
-/// A task as a heartbeat lists it.
+/// The entry of a task in a heartbeat.
 fn task_status(task: &SimTask) -> Value {
     json!({"piece": task.name, "try": task.attempt, "status": task.state.status(), "cause": task.state.cause()})
 }
