--- a/crates/tallygauge-sim/examples/digest_days.rs
+++ b/crates/tallygauge-sim/examples/digest_days.rs
@@ -1,6 +1,6 @@
-//! Runs drawn scenarios and prints for each a digest of all messages between controllers,
-//! store, cloud, workers and users. Two revisions that print the same lines behave alike in
-//! these scenarios.
+//! Runs randomized scenarios and prints for each a digest of all messages exchanged between
+//! controllers, store, cloud, workers and users. Two revisions that print the same lines
+//! behave identically in these scenarios.
 //!
 //! `cargo run --release -p tallygauge-sim --example digest_days -- --first-seed 1
 //! --seeds 200`
@@ -34,7 +34,7 @@
     }
 }
 
-/// Prints every message of one scenario.
+/// Prints every message of the scenario with this seed.
 fn print_messages(seed: u64) {
     let scenarios = run_each_seed(seed..=seed, 1, scenario_messages);
     for (_, messages) in scenarios {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Prints a line with seed, digest and number of requests for each scenario.
+/// Prints the seed, the digest and the number of requests of each scenario, one per line.
 fn print_digests(options: &Options) {
     let processors = std::thread::available_parallelism().map_or(4, usize::from);
     let threads = options.threads.unwrap_or(processors).max(1);
--- a/crates/tallygauge-sim/examples/draw_days.rs
+++ b/crates/tallygauge-sim/examples/draw_days.rs
@@ -1,5 +1,5 @@
-//! Draws scenarios for the operators' bench in which faults coincide: clusters of a few
-//! faults within two seconds of each other. The seed determines every scenario.
+//! Generates random scenarios with coinciding faults for the operators' benchmark: clusters of
+//! a few faults that begin within two seconds. Each scenario is fully determined by its seed.
 //!
 //! `cargo run --release -p tallygauge-sim --example draw_days -- --seed 1
 //! --count 20 --zone seoul-rack --class exam-rush --out days`
@@ -8,26 +8,26 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::{fmt::Write as _, ops::Range, path::PathBuf, process::ExitCode};
 
-/// Seconds within which the faults of one cluster begin.
+/// Time within which the faults of a cluster begin, in seconds.
 const CLUSTER_S: f64 = 2.0;
 
-/// Seconds of the scenario before the first cluster.
-const QUIET_S: f64 = 50.0;
+/// Time before the first cluster of faults, in seconds.
+const FAULT_FREE_START_S: f64 = 50.0;
 
-/// Seconds that most faults last.
+/// Duration of most faults, in seconds.
 const DURATION_S: Range<f64> = 8.0..65.0;
 
-/// Seconds that faults last which stop a controller or a machine.
+/// Duration of faults that stop a controller or a machine, in seconds.
 const SHORT_DURATION_S: Range<f64> = 4.0..30.0;
 
-/// What partitions do to connections, in the bench's words.
+/// How partitions treat connections, in the benchmark's terms.
 const PARTITION_MODES: [&str; 2] = ["hold", "reset"];
 
-/// How the bench selects the leader.
-const LEADER: &str = "count = 1, busiest = true";
+/// Fields of a fault that make the benchmark select the leader.
+const LEADER_SELECTOR: &str = "count = 1, busiest = true";
 
-/// Kinds of faults.
-const FAULT_KINDS: i32 = 24;
+/// Number of kinds of faults.
+const FAULT_KIND_COUNT: i32 = 24;
 
 #[derive(Parser)]
 #[command(about = "Draws days on which troubles meet, as TOML files")]
@@ -59,19 +59,19 @@
     out: PathBuf,
 }
 
-/// Parameters of a fault, drawn before its kind.
+/// Parameters of a fault. All are drawn before the fault's kind, whichever of them it uses.
 struct FaultParameters<'a> {
-    /// How long most faults last, in seconds.
+    /// Duration of most faults, in seconds.
     duration_s: f64,
-    /// How long faults last which stop a controller or a machine, in seconds.
+    /// Duration of faults that stop a controller or a machine, in seconds.
     short_duration_s: f64,
-    /// Share of the messages or machines that are struck.
+    /// Fraction of the messages or machines that are affected.
     share: f64,
-    /// Machines that are struck.
+    /// Number of machines that are affected.
     machines: i32,
-    /// What a partition does to connections.
+    /// How a partition treats connections; one of [`PARTITION_MODES`].
     mode: &'static str,
-    /// A zone that is struck.
+    /// The zone that is affected.
     zone: &'a str,
 }
 
@@ -88,10 +88,10 @@
     }
 }
 
-/// Draws a fault as the bench's TOML has it, without the time at which it begins.
+/// Draws a fault in the benchmark's TOML format, without the time at which it begins.
 fn draw_fault(random: &mut StdRng, zone: &str) -> String {
     let parameters = FaultParameters::draw(random, zone);
-    match random.random_range(0..FAULT_KINDS) {
+    match random.random_range(0..FAULT_KIND_COUNT) {
         kind @ 0..4 => message_fault(kind, &parameters),
         kind @ 4..8 => machine_partition(kind, &parameters),
         kind @ 8..11 => controller_partition(kind, &parameters),
@@ -100,7 +100,7 @@
     }
 }
 
-/// Writes or heartbeats that arrive late.
+/// Writes or heartbeats are delivered late.
 fn message_fault(kind: i32, parameters: &FaultParameters) -> String {
     let FaultParameters {
         duration_s, share, ..
@@ -117,7 +117,7 @@
     }
 }
 
-/// Machines that are partitioned in one direction.
+/// Machines are partitioned in one direction.
 fn machine_partition(kind: i32, parameters: &FaultParameters) -> String {
     let FaultParameters {
         duration_s,
@@ -144,18 +144,19 @@
     } = parameters;
     match kind {
         8 => format!(
-            r#"kind = "node_cut", {LEADER}, from_state = true, from_peers = true, for_s = {duration_s:.1}, mode = "{mode}""#
+            r#"kind = "node_cut", {LEADER_SELECTOR}, from_state = true, from_peers = true, for_s = {duration_s:.1}, mode = "{mode}""#
         ),
         9 => format!(
-            r#"kind = "node_cut", {LEADER}, from_state = true, for_s = {short_duration_s:.1}, mode = "refuse""#
+            r#"kind = "node_cut", {LEADER_SELECTOR}, from_state = true, for_s = {short_duration_s:.1}, mode = "refuse""#
         ),
         _ => format!(
-            r#"kind = "node_cut", {LEADER}, from_workers = true, for_s = {duration_s:.1}, mode = "{mode}""#
+            r#"kind = "node_cut", {LEADER_SELECTOR}, from_workers = true, for_s = {duration_s:.1}, mode = "{mode}""#
         ),
     }
 }
 
-/// Cancellations, invalid requests, frequent polls and late direct commands.
+/// Jobs are cancelled, users send invalid requests or frequent polls, or direct commands are
+/// delivered late.
 fn request_fault(kind: i32, parameters: &FaultParameters, random: &mut StdRng) -> String {
     let FaultParameters {
         duration_s, share, ..
@@ -176,7 +177,8 @@
     }
 }
 
-/// Crashes, pauses and outages of controllers, store, zones and machines.
+/// Controllers crash, pause or restart one after the other, the store is down, a zone is
+/// partitioned, or machines hang.
 fn outage(kind: i32, parameters: &FaultParameters, random: &mut StdRng) -> String {
     let FaultParameters {
         duration_s,
@@ -187,9 +189,9 @@
         ..
     } = parameters;
     match kind {
-        17 => format!(r#"kind = "node_crash", {LEADER}"#),
+        17 => format!(r#"kind = "node_crash", {LEADER_SELECTOR}"#),
         18 => r#"kind = "node_crash", count = 9, busiest = true"#.to_string(),
-        19 => format!(r#"kind = "node_freeze", {LEADER}, for_s = {short_duration_s:.1}"#),
+        19 => format!(r#"kind = "node_freeze", {LEADER_SELECTOR}, for_s = {short_duration_s:.1}"#),
         20 => format!(r#"kind = "state_outage", for_s = {duration_s:.1}"#),
         21 => format!(
             r#"kind = "zone_cut", zone = "{zone}", for_s = {duration_s:.1}, mode = "{mode}""#
@@ -204,7 +206,7 @@
     }
 }
 
-/// Draws a scenario as a TOML file.
+/// Draws a scenario and returns it as the text of a TOML file.
 fn draw_scenario(options: &Options, seed: u64) -> String {
     let mut random = StdRng::seed_from_u64(seed);
     let mut text = format!(
@@ -220,13 +222,14 @@
         );
     }
     text.push_str("faults = [\n");
-    let step = (options.duration - QUIET_S) / f64::from(options.clusters);
+    let cluster_interval_s = (options.duration - FAULT_FREE_START_S) / f64::from(options.clusters);
     for cluster in 0..options.clusters {
-        let cluster_at = QUIET_S + step * (f64::from(cluster) + random.random_range(0.0..0.4));
+        let cluster_at_s = FAULT_FREE_START_S
+            + cluster_interval_s * (f64::from(cluster) + random.random_range(0.0..0.4));
         for _ in 0..random.random_range(1..=options.most) {
-            let fault_at = cluster_at + random.random_range(0.0..CLUSTER_S);
+            let fault_at_s = cluster_at_s + random.random_range(0.0..CLUSTER_S);
             let fault = draw_fault(&mut random, &options.zone);
-            let _ = writeln!(text, "  {{ at_s = {fault_at:.2}, {fault} }},");
+            let _ = writeln!(text, "  {{ at_s = {fault_at_s:.2}, {fault} }},");
         }
     }
     text.push_str("]\n");
@@ -235,8 +238,8 @@
 
 fn main() -> ExitCode {
     let options = Options::parse();
-    if options.duration <= QUIET_S {
-        eprintln!("draw_days: --duration must be more than {QUIET_S} seconds");
+    if options.duration <= FAULT_FREE_START_S {
+        eprintln!("draw_days: --duration must be more than {FAULT_FREE_START_S} seconds");
         return ExitCode::from(2);
     }
     for seed in options.seed..options.seed + options.count {
--- a/crates/tallygauge-sim/examples/load/http.rs
+++ b/crates/tallygauge-sim/examples/load/http.rs
@@ -1,4 +1,4 @@
-//! Servers of the stand-ins, and the client of workers and users.
+//! HTTP servers of the simulated components, and the HTTP client of workers and users.
 
 use bytes::Buf;
 use std::time::Duration;
@@ -8,8 +8,9 @@
 
 type Response = warp::http::Response<bytes::Bytes>;
 
-/// Serves a stand-in: every request, with its path and query, goes to `answer`.
-pub fn serve<F, R>(listener: TcpListener, answer: F)
+/// Serves a simulated component: `handle` is called with the method, the path with its query,
+/// and the body of every request.
+pub fn serve<F, R>(listener: TcpListener, handle: F)
 where
     F: Fn(Method, String, Vec<u8>) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = HttpResult> + Send,
@@ -25,21 +26,21 @@
                     true => path.as_str().to_string(),
                     false => format!("{}?{query}", path.as_str()),
                 };
-                let result = answer(method, path, bytes_of(&mut body));
+                let result = handle(method, path, bytes_of(&mut body));
                 async move { response(result.await) }
             },
         );
     tokio::spawn(warp::serve(routes).incoming(listener).run());
 }
 
-/// Listens at a free local port. Returns the listener and its address.
+/// Listens on a free local port. Returns the listener and its address.
 pub async fn listen() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address").to_string();
     (listener, address)
 }
 
-/// A client for requests to the program.
+/// Creates a client for requests to the program.
 pub fn client() -> HttpClient {
     HttpClient::new(Duration::from_secs(1), Duration::from_secs(60), 1 << 20)
 }
--- a/crates/tallygauge-sim/examples/load/main.rs
+++ b/crates/tallygauge-sim/examples/load/main.rs
@@ -1,17 +1,20 @@
-//! Measures the processor time and memory of a controller: the real program over real HTTP,
-//! with stand-ins for store, cloud and workers.
+//! Measures the CPU time and memory of a controller process under load. The process talks real
+//! HTTP to a simulated store, a simulated cloud and simulated workers.
 //!
 //!     cargo build --release
 //!     cargo run --release -p tallygauge-sim --example load -- --machines 600
 //!
-//! Phases: workers send their first heartbeats and tasks start on all machines; all of
-//! these complete and others start; a steady time in which heartbeats report no change; a
-//! restart of the process with all machines at work. Times are the process's own, as the
-//! kernel counts them.
+//! Phases:
+//! 1. workers send their first heartbeats, and tasks start on all machines;
+//! 2. all these tasks complete, and others start;
+//! 3. a steady phase, in which heartbeats report no changes;
+//! 4. a restart of the process while all machines run tasks.
+//!
+//! CPU times are those of the process, as counted by the kernel.
 
 #![allow(
     clippy::unwrap_used,
-    reason = "a load test ends on a value that it does not expect"
+    reason = "a load test should panic on an unexpected value"
 )]
 
 mod http;
@@ -33,20 +36,22 @@
 use warp::http::Method;
 use worker::Worker;
 
-/// CPUs of a machine.
+/// CPUs of each machine.
 const MACHINE_CPUS: f64 = 8.0;
 
 /// Name of the controller in its settings.
-const CONTROLLER: &str = "n0";
+const CONTROLLER_NAME: &str = "n0";
 
-/// Seconds that the tasks of the second job run: longer than the measurement.
-const ENDLESS_S: f64 = 1e6;
+/// Run time of the second job's tasks, in seconds: longer than the measurement.
+const ENDLESS_RUN_S: f64 = 1e6;
 
-/// How long the program is given to start its servers.
-const STARTUP: Duration = Duration::from_secs(1);
+/// Time that the program gets to start its servers.
+const STARTUP_TIME: Duration = Duration::from_secs(1);
 
-/// Time between two checks of a condition, and how often it is checked at most.
+/// Interval between checks of a condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Maximum number of checks of a condition.
 const MAX_CHECKS: u32 = 3000;
 
 /// Measures a controller under the load of stand-in workers.
@@ -70,17 +75,17 @@
 }
 
 impl Arguments {
-    /// Tasks that fill all machines.
+    /// Number of tasks that fill all machines.
     fn total_tasks(&self) -> u32 {
         self.machines * self.tasks
     }
 
-    /// CPUs of all machines.
+    /// Total CPUs of all machines.
     fn total_cpus(&self) -> f64 {
         f64::from(self.machines) * MACHINE_CPUS
     }
 
-    /// CPUs of a task.
+    /// CPUs of each task.
     fn task_cpus(&self) -> f64 {
         MACHINE_CPUS / f64::from(self.tasks)
     }
@@ -91,7 +96,7 @@
     }
 }
 
-/// Addresses of stand-ins and program.
+/// Addresses of the simulated store and cloud, and of the program's user and peer APIs.
 struct Addresses {
     store: String,
     cloud: String,
@@ -99,7 +104,7 @@
     peers: String,
 }
 
-/// What all phases work with.
+/// State shared by all phases of the measurement.
 struct Measurement {
     arguments: Arguments,
     simulation: Arc<Simulation>,
@@ -133,7 +138,7 @@
     assert!(state.violations.is_empty(), "{:?}", state.violations);
 }
 
-/// A simulation with booted machines and a team that may use all of them.
+/// Creates a simulation with booted machines and a team quota that covers all of them.
 fn simulation_with_machines(arguments: &Arguments) -> Arc<Simulation> {
     let simulation = Simulation::new();
     let mut state = simulation.state.lock().unwrap();
@@ -143,7 +148,7 @@
     simulation
 }
 
-/// Serves the store's stand-in over HTTP. Returns its address.
+/// Serves the simulated store over HTTP. Returns its address.
 async fn serve_store(simulation: &Arc<Simulation>, counts: &Arc<RequestCounts>) -> String {
     let (listener, address) = listen().await;
     let (simulation, counts) = (simulation.clone(), counts.clone());
@@ -152,14 +157,14 @@
         counts.store.fetch_add(1, Relaxed);
         async move {
             simulation
-                .handle_store_request(CONTROLLER, &method, &path, &body)
+                .handle_store_request(CONTROLLER_NAME, &method, &path, &body)
                 .await
         }
     });
     address
 }
 
-/// Serves the cloud's stand-in over HTTP. Returns its address.
+/// Serves the simulated cloud over HTTP. Returns its address.
 async fn serve_cloud(simulation: &Arc<Simulation>, counts: &Arc<RequestCounts>) -> String {
     let (listener, address) = listen().await;
     let (simulation, counts) = (simulation.clone(), counts.clone());
@@ -172,11 +177,11 @@
     address
 }
 
-/// The program's settings, as its settings file has them.
+/// The program's settings, in the format of the settings file.
 fn settings(arguments: &Arguments, addresses: &Addresses) -> Value {
     let cpus = arguments.total_cpus();
     json!({
-        "node_name": CONTROLLER, "area": "a",
+        "node_name": CONTROLLER_NAME, "area": "a",
         "client_listen": addresses.users, "back": addresses.peers, "seeds": [],
         "services": {"cloud": addresses.cloud, "state": addresses.store},
         "deployment": {
@@ -207,16 +212,16 @@
         tokio::spawn(advance_machines(self.simulation.clone()));
     }
 
-    /// Runs all phases and prints a row of a table for each.
+    /// Runs all phases and prints a table row for each.
     async fn run_phases(&self, config: &ProgramConfig) {
         let (all, task_cpus) = (self.arguments.total_tasks(), self.arguments.task_cpus());
         let settling_time = self.arguments.settling_time();
         print_header();
 
-        // Idle machines would be returned: there is work from the first moment.
+        // A job is submitted right after the start, as idle machines would be returned.
         let phase = Phase::start(Usage::default(), &self.counts);
         let program = Program::start(config);
-        tokio::time::sleep(STARTUP).await;
+        tokio::time::sleep(STARTUP_TIME).await;
         let run_s = settling_time.as_secs_f64() * 2.0;
         self.submit(1, all, task_cpus, run_s).await;
         self.wait_for_starts("all started", all).await;
@@ -224,7 +229,7 @@
         phase.print(&name, &program, &self.counts);
 
         let phase = Phase::start(program.usage(), &self.counts);
-        self.submit(2, all, task_cpus, ENDLESS_S).await;
+        self.submit(2, all, task_cpus, ENDLESS_RUN_S).await;
         self.wait_for_starts("all replaced", all * 2).await;
         tokio::time::sleep(settling_time).await;
         phase.print(&format!("{all} end, {all} start"), &program, &self.counts);
@@ -252,19 +257,20 @@
         assert!(accepted, "a job was not accepted");
     }
 
-    /// Waits until so many tasks have started; panics with `what` after a minute.
-    async fn wait_for_starts(&self, what: &str, tasks: u32) {
+    /// Waits until `tasks` tasks have started since the beginning; panics after a minute.
+    /// `condition` describes this state in the panic message.
+    async fn wait_for_starts(&self, condition: &str, tasks: u32) {
         for _ in 0..MAX_CHECKS {
             if self.simulation.state.lock().unwrap().starts.len() >= tasks as usize {
                 return;
             }
             tokio::time::sleep(CHECK_INTERVAL).await;
         }
-        panic!("{what} did not come about");
+        panic!("{condition} did not come about");
     }
 }
 
-/// Advances machines and their tasks for ever.
+/// Advances all machines and their tasks indefinitely.
 async fn advance_machines(simulation: Arc<Simulation>) {
     loop {
         let now = simulation.now();
--- a/crates/tallygauge-sim/examples/load/phase.rs
+++ b/crates/tallygauge-sim/examples/load/phase.rs
@@ -1,4 +1,4 @@
-//! Phases of the measurement and their rows in the table.
+//! Phases of the measurement, and the table in which they are printed.
 
 use crate::program::{Program, Usage};
 use std::{
@@ -6,7 +6,7 @@
     time::Instant,
 };
 
-/// Requests between the program and the stand-ins so far.
+/// Numbers of requests so far between the program and the simulated components.
 #[derive(Default)]
 pub struct RequestCounts {
     pub heartbeats: AtomicU64,
@@ -28,7 +28,7 @@
     }
 }
 
-/// What was used and counted when a phase started.
+/// Resource usage, request counts and time at the start of a phase.
 pub struct Phase {
     usage: Usage,
     counts: [u64; 4],
@@ -36,7 +36,7 @@
 }
 
 impl Phase {
-    /// Starts a phase; `usage` is what the program has used so far.
+    /// Starts a phase; `usage` is the program's resource usage so far.
     pub fn start(usage: Usage, counts: &RequestCounts) -> Self {
         Self {
             usage,
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Prints the phase's row: what was used and counted since it started.
+    /// Prints the table row of the phase: CPU time and requests since its start, and the
+    /// current memory.
     pub fn print(&self, name: &str, program: &Program, counts: &RequestCounts) {
         let usage = program.usage();
         let user_s = usage.user_s - self.usage.user_s;
--- a/crates/tallygauge-sim/examples/load/program.rs
+++ b/crates/tallygauge-sim/examples/load/program.rs
@@ -7,14 +7,17 @@
     sync::Mutex,
 };
 
-/// Clock ticks per second in `/proc`.
+/// Clock ticks per second, the unit of CPU times in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
 
-/// Fields of `/proc/<pid>/stat`, counted after the process's name.
+/// Index of the user time in `/proc/<pid>/stat`, counted from the field after the process's
+/// name.
 const USER_TIME_FIELD: usize = 11;
+
+/// Index of the system time, counted in the same way.
 const SYSTEM_TIME_FIELD: usize = 12;
 
-/// The process under measurement, so that a panic does not leave it behind.
+/// The process under measurement. It is kept here so that the panic hook can kill it.
 static PROCESS: Mutex<Option<Child>> = Mutex::new(None);
 
 /// The program's path and its settings file, which is deleted on drop.
@@ -42,19 +45,19 @@
     }
 }
 
-/// A process of the program; it is killed on drop.
+/// A running process of the program, which is killed on drop.
 pub struct Program {
     process_id: u32,
 }
 
-/// Processor time and memory of a process.
+/// CPU time and memory of a process.
 #[derive(Clone, Copy, Default)]
 pub struct Usage {
-    /// Processor time in user mode, in seconds.
+    /// CPU time in user mode, in seconds.
     pub user_s: f64,
-    /// Processor time in system mode, in seconds.
+    /// CPU time in kernel mode, in seconds.
     pub system_s: f64,
-    /// Resident memory, in MB.
+    /// Resident memory, in MiB.
     pub memory_mb: f64,
 }
 
@@ -74,7 +77,7 @@
         Self { process_id }
     }
 
-    /// What the process has used so far, as the kernel counts it.
+    /// Resource usage of the process so far, as counted by the kernel.
     pub fn usage(&self) -> Usage {
         let id = self.process_id;
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("stat");
@@ -100,9 +103,9 @@
 
 /// Kills the program when this process panics.
 pub fn kill_on_panic() {
-    let report = std::panic::take_hook();
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
-        report(info);
+        default_hook(info);
         kill_process();
     }));
 }
--- a/crates/tallygauge-sim/examples/load/worker.rs
+++ b/crates/tallygauge-sim/examples/load/worker.rs
@@ -1,4 +1,4 @@
-//! The agent of a stand-in worker: accepts direct commands and sends heartbeats over HTTP.
+//! Simulated worker agents that accept direct commands and send heartbeats over HTTP.
 
 use crate::{
     http::{client, listen, serve},
@@ -14,19 +14,19 @@
 use tokio::{net::TcpListener, sync::Notify};
 use warp::http::Method;
 
-/// How long a worker waits for the answer to a heartbeat.
+/// How long a worker waits for the response to a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Shortest time between two heartbeats.
+/// Minimum interval between heartbeats.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Seconds until the next heartbeat after an answer with commands.
+/// Interval until the next heartbeat after a response with commands, in seconds.
 const INTERVAL_AFTER_COMMANDS_S: f64 = 0.5;
 
-/// Seconds until the next heartbeat after one without an answer.
+/// Interval until the next heartbeat after one that got no successful response, in seconds.
 const RETRY_INTERVAL_S: f64 = 1.0;
 
-/// A stand-in worker.
+/// A simulated worker.
 pub struct Worker {
     pub simulation: Arc<Simulation>,
     pub counts: Arc<RequestCounts>,
@@ -34,13 +34,13 @@
     pub name: String,
     /// URL to which it sends heartbeats.
     pub url: String,
-    /// Mean seconds between two heartbeats while nothing changes.
+    /// Mean interval between heartbeats while nothing changes, in seconds.
     pub heartbeat_interval_s: f64,
 }
 
 impl Worker {
-    /// Runs the agent until its machine is returned: sends heartbeats at the interval, and
-    /// soon after a change.
+    /// Runs the agent until its machine is returned. It sends heartbeats at the interval, and
+    /// earlier after commands.
     pub async fn run(self) {
         let client = client();
         let (listener, address) = listen().await;
@@ -61,7 +61,7 @@
         state.endpoints.insert(self.name.clone(), address);
     }
 
-    /// Accepts direct commands and notifies of each.
+    /// Serves requests with direct commands, and notifies `commanded` of each.
     fn serve_direct_commands(&self, listener: TcpListener, commanded: Arc<Notify>) {
         let (simulation, name) = (self.simulation.clone(), self.name.clone());
         let counts = self.counts.clone();
@@ -73,8 +73,8 @@
         });
     }
 
-    /// Sends a heartbeat and applies the answer. Returns the seconds until the next one;
-    /// `None` if the machine was returned.
+    /// Sends a heartbeat and applies the response. Returns the interval until the next one, in
+    /// seconds; `None` if the machine was returned.
     async fn exchange_heartbeat(&self, client: &HttpClient) -> Option<f64> {
         let sent_at = self.simulation.now();
         let heartbeat = {
--- a/crates/tallygauge-sim/src/faults.rs
+++ b/crates/tallygauge-sim/src/faults.rs
@@ -236,9 +236,7 @@
     pub fn set_hung(&self, machine: &str, hung: bool) {
         let now = self.now();
         self.state.lock().unwrap().advance(now);
-        self.change_worker(machine, |worker| {
-            worker.hang_accounted_until = hung.then_some(now)
-        });
+        self.change_worker(machine, |worker| worker.hung_since = hung.then_some(now));
     }
 
     /// Restarts a machine's agent without downtime: its tasks are lost and its incarnation
--- a/crates/tallygauge-sim/src/machines.rs
+++ b/crates/tallygauge-sim/src/machines.rs
@@ -94,7 +94,7 @@
     pub(crate) controller_index: usize,
     /// While the machine hangs: the time up to which the hang is already added to the start
     /// times of its tasks, in seconds of simulated time.
-    pub(crate) hang_accounted_until: Option<f64>,
+    pub(crate) hung_since: Option<f64>,
 }
 
 impl SimWorker {
@@ -111,7 +111,7 @@
             inbound_blocked: false,
             outbound_blocked: false,
             controller_index: 0,
-            hang_accounted_until: None,
+            hung_since: None,
         }
     }
 
@@ -127,7 +127,7 @@
 
     /// Whether the machine is hung.
     pub(crate) fn is_hung(&self) -> bool {
-        self.hang_accounted_until.is_some()
+        self.hung_since.is_some()
     }
 
     /// Whether its heartbeats can reach controllers.
@@ -147,7 +147,7 @@
     /// Moves the start times of all tasks forward by the time for which the machine has
     /// hung, as they make no progress meanwhile.
     fn account_for_hang(&mut self, now: f64) {
-        if let Some(accounted_until) = &mut self.hang_accounted_until {
+        if let Some(accounted_until) = &mut self.hung_since {
             for task in &mut self.tasks {
                 task.started_at += now - *accounted_until;
             }
--- a/crates/tallygauge-sim/src/scenario/faults.rs
+++ b/crates/tallygauge-sim/src/scenario/faults.rs
@@ -92,7 +92,7 @@
 const LATE_WRITE_PROBABILITY: f64 = 0.3;
 
 /// Probability that the response to a transaction is lost while that fault is active.
-const LOST_RESPONSE_PROBABILITY: f64 = 0.4;
+const LOSS_PROBABILITY: f64 = 0.4;
 
 /// Probability and delay of duplicated heartbeats while that fault is active.
 const DUPLICATED_HEARTBEATS: RandomDelay = RandomDelay {
@@ -157,9 +157,7 @@
         let faults = &mut self.simulation.state.lock().unwrap().faults;
         match kind {
             FaultKind::LoseNextResponse => faults.lose_next_responses = 1,
-            FaultKind::StartLosingResponses => {
-                faults.lost_response_probability = LOST_RESPONSE_PROBABILITY
-            }
+            FaultKind::StartLosingResponses => faults.lost_response_probability = LOSS_PROBABILITY,
             FaultKind::EndLosingResponses => faults.lost_response_probability = 0.0,
             FaultKind::StartLateWrites => faults.late_write_probability = LATE_WRITE_PROBABILITY,
             FaultKind::EndLateWrites => faults.late_write_probability = 0.0,
