--- a/crates/tallygauge-scheduler/src/completion_pages.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages.rs
@@ -148,7 +148,7 @@
             let target = self.choose_page(chunk, source, bytes);
             // A chunk that moves is removed from its page in the same transaction.
             let touched: BTreeSet<u32> = source.into_iter().chain([target]).collect();
-            if self.is_any_in_doubt(&touched) || !self.try_reserve(&mut budget, &touched, bytes) {
+            if self.is_any_indeterminate(&touched) || !self.try_reserve(&mut budget, &touched, bytes) {
                 continue;
             }
             if let Some(from_page) = source.filter(|page| *page != target) {
@@ -184,7 +184,7 @@
             .or_else(|| {
                 let mut pages = self.pages.iter();
                 let has_space =
-                    |(_, page): &(&u32, &CompletionPage)| !page.in_doubt && fits(page, 0);
+                    |(_, page): &(&u32, &CompletionPage)| !page.indeterminate && fits(page, 0);
                 pages.find(has_space).map(|(number, _)| *number)
             })
             .unwrap_or_else(|| self.first_unused_page())
@@ -196,10 +196,10 @@
             .unwrap_or(0)
     }
 
-    fn is_any_in_doubt(&self, pages: &BTreeSet<u32>) -> bool {
+    fn is_any_indeterminate(&self, pages: &BTreeSet<u32>) -> bool {
         pages
             .iter()
-            .any(|number| self.pages.get(number).is_some_and(|page| page.in_doubt))
+            .any(|number| self.pages.get(number).is_some_and(|page| page.indeterminate))
     }
 
     /// Adds the pages that a chunk touches to a flush, if its limits allow.
@@ -292,7 +292,7 @@
     pub fn empty_pages(&self, limit: usize) -> Vec<PageWrite> {
         self.pages
             .iter()
-            .filter(|(_, page)| page.chunks.is_empty() && page.version > 0 && !page.in_doubt)
+            .filter(|(_, page)| page.chunks.is_empty() && page.version > 0 && !page.indeterminate)
             .take(limit)
             .map(|(number, _)| self.page_write(*number))
             .collect()
@@ -320,16 +320,16 @@
     }
 
     /// A flush failed: the chunks that it moved go back to their pages. If it is
-    /// `in_doubt` (it may have succeeded, or failed for a page's version) they are
+    /// `indeterminate` (it may have succeeded, or failed for a page's version) they are
     /// kept on both pages, so that the next write of neither drops what the other
     /// does not have.
-    pub fn mark_flush_failed(&mut self, flush: &PageFlush, in_doubt: bool) {
+    pub fn mark_flush_failed(&mut self, flush: &PageFlush, indeterminate: bool) {
         for moved in &flush.moved {
             let chunk = &moved.chunk;
             if !self.page_by_chunk.contains_key(chunk) {
                 continue;
             }
-            if in_doubt {
+            if indeterminate {
                 let page = self.pages.entry(moved.from_page).or_default();
                 page.insert_chunk(chunk, moved.completed.clone());
                 self.possible_pages
@@ -340,26 +340,26 @@
                 self.place_chunk(chunk, moved.from_page, moved.completed.clone());
             }
         }
-        if in_doubt {
-            self.mark_in_doubt(&flush.writes);
+        if indeterminate {
+            self.mark_indeterminate(&flush.writes);
         }
     }
 
     /// These writes may have succeeded, or failed for a page's version.
-    pub fn mark_in_doubt(&mut self, writes: &[PageWrite]) {
+    pub fn mark_indeterminate(&mut self, writes: &[PageWrite]) {
         for write in writes {
             if let Some(page) = self.pages.get_mut(&write.page) {
-                page.in_doubt = true;
+                page.indeterminate = true;
             }
         }
     }
 
     /// Pages whose version must be read.
     #[must_use]
-    pub fn pages_in_doubt(&self) -> Vec<u32> {
+    pub fn indeterminate_pages(&self) -> Vec<u32> {
         self.pages
             .iter()
-            .filter(|(_, page)| page.in_doubt)
+            .filter(|(_, page)| page.indeterminate)
             .map(|(number, _)| *number)
             .collect()
     }
@@ -369,7 +369,7 @@
     pub fn resolve_version(&mut self, page: u32, version: u64) {
         if let Some(page) = self.pages.get_mut(&page) {
             page.version = version;
-            page.in_doubt = false;
+            page.indeterminate = false;
         }
     }
 }
--- a/crates/tallygauge-scheduler/src/completion_pages/page.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages/page.rs
@@ -44,7 +44,7 @@
     pub(super) version: u64,
     /// A write whose result is unknown may have changed it: its version must be
     /// read before the next write.
-    pub(super) in_doubt: bool,
+    pub(super) indeterminate: bool,
     /// Chunks with the content they had when they were last placed here. A write
     /// includes chunks that it does not change, and those must have the size that
     /// was accounted for.
--- a/crates/tallygauge-scheduler/src/completion_pages/tests.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages/tests.rs
@@ -33,7 +33,7 @@
     // several parts, also when not all that has changed is written at once: with
     // an array of 25,000 tasks a page was too large for the key-value store.
     #[test]
-    fn durable_completions_survive_failed_and_in_doubt_flushes(steps in prop::collection::vec((0usize..6, 0u32..60, 0u8..5), 1..80)) {
+    fn durable_completions_survive_failed_and_indeterminate_flushes(steps in prop::collection::vec((0usize..6, 0u32..60, 0u8..5), 1..80)) {
         let mut pages = CompletionPages::new(LIMIT);
         let mut stored = StoredPages::new();
         let mut finished: BTreeMap<ChunkId, RangeSet> = BTreeMap::new();
@@ -62,7 +62,7 @@
                 0 => pages.mark_flush_failed(&flush, false),
                 1 => {
                     pages.mark_flush_failed(&flush, true);
-                    for page in pages.pages_in_doubt() {
+                    for page in pages.indeterminate_pages() {
                         let version = stored.get(&page).map_or(0, |k| k.1);
                         pages.resolve_version(page, version);
                     }
--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -97,7 +97,7 @@
         }
         Ok(TransactionOutcome::Conflict { .. })
         | Err(StoreError::InDoubt { .. } | StoreError::Malformed { .. }) => {
-            cluster.completion_pages.mark_in_doubt(&obsolete.pages)
+            cluster.completion_pages.mark_indeterminate(&obsolete.pages)
         }
         Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => {}
     });
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -78,7 +78,7 @@
     let max_writes = max_writes(controller);
     loop {
         tokio::time::sleep(pause).await;
-        resolve_pages_in_doubt(controller).await;
+        resolve_indeterminate_pages(controller).await;
         let flush = controller
             .with_cluster(|cluster| cluster.next_flush(max_writes, VALUE_BYTES))
             .flatten();
@@ -210,10 +210,10 @@
     });
 }
 
-/// Reads the versions of pages that a write in doubt may have changed.
-async fn resolve_pages_in_doubt(controller: &Controller) {
+/// Reads the versions of pages that a write with an indeterminate outcome may have changed.
+async fn resolve_indeterminate_pages(controller: &Controller) {
     let pages = controller
-        .with_cluster(|cluster| cluster.completion_pages.pages_in_doubt())
+        .with_cluster(|cluster| cluster.completion_pages.indeterminate_pages())
         .unwrap_or_default();
     for page in pages {
         let key = completion_page_key(page);
