--- a/crates/tallygauge-scheduler/src/model/job.rs
+++ b/crates/tallygauge-scheduler/src/model/job.rs
@@ -102,7 +102,7 @@
     ) -> Self {
         let mut pending = RangeSet::first(spec.tasks);
         let mut known_completed = RangeSet::default();
-        known_completed.extend(completed, spec.tasks);
+        known_completed.insert_all_below(completed, spec.tasks);
         for task in known_completed.iter() {
             pending.remove(task);
         }
--- a/crates/tallygauge-scheduler/src/range_set.rs
+++ b/crates/tallygauge-scheduler/src/range_set.rs
@@ -116,7 +116,7 @@
     }
 
     /// Adds the numbers of another set that are below `end`.
-    pub fn extend(&mut self, other: &Self, end: u32) {
+    pub fn insert_all_below(&mut self, other: &Self, end: u32) {
         for n in other.iter().take_while(|n| *n < end) {
             self.insert(n);
         }
--- a/crates/tallygauge-scheduler/src/tests/recovery.rs
+++ b/crates/tallygauge-scheduler/src/tests/recovery.rs
@@ -53,7 +53,9 @@
             .completion_pages
             .restore(page, version, value(&record))
         {
-            done.entry(chunk.job).or_default().extend(&ranges, u32::MAX);
+            done.entry(chunk.job)
+                .or_default()
+                .insert_all_below(&ranges, u32::MAX);
         }
     }
     for (id, version, record) in rows("o/") {
--- a/crates/tallygauge/src/leader/recovery.rs
+++ b/crates/tallygauge/src/leader/recovery.rs
@@ -146,7 +146,7 @@
             completed
                 .entry(chunk.job)
                 .or_default()
-                .extend(&tasks, u32::MAX);
+                .insert_all_below(&tasks, u32::MAX);
         }
     }
     Ok(completed)
