--- a/crates/tallygauge-scheduler/src/completion_pages.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages.rs
@@ -143,12 +143,14 @@
         let mut budget = FlushBudget::new(max_pages, max_bytes);
         for chunk in changed {
             let content = completed(chunk);
-            let bytes = chunk.encoded_len(&content);
+            let bytes = chunk.max_encoded_len(&content);
             let source = self.page_by_chunk.get(chunk).copied();
             let target = self.choose_page(chunk, source, bytes);
             // A chunk that moves is removed from its page in the same transaction.
             let touched: BTreeSet<u32> = source.into_iter().chain([target]).collect();
-            if self.is_any_indeterminate(&touched) || !self.try_reserve(&mut budget, &touched, bytes) {
+            if self.is_any_indeterminate(&touched)
+                || !self.try_reserve(&mut budget, &touched, bytes)
+            {
                 continue;
             }
             if let Some(from_page) = source.filter(|page| *page != target) {
@@ -177,7 +179,7 @@
         };
         let can_stay = |number: &u32| {
             let page = &self.pages[number];
-            fits(page, chunk.encoded_len(&page.chunks[chunk])) || page.chunks.len() == 1
+            fits(page, chunk.max_encoded_len(&page.chunks[chunk])) || page.chunks.len() == 1
         };
         source
             .filter(can_stay)
@@ -197,9 +199,11 @@
     }
 
     fn is_any_indeterminate(&self, pages: &BTreeSet<u32>) -> bool {
-        pages
-            .iter()
-            .any(|number| self.pages.get(number).is_some_and(|page| page.indeterminate))
+        pages.iter().any(|number| {
+            self.pages
+                .get(number)
+                .is_some_and(|page| page.indeterminate)
+        })
     }
 
     /// Adds the pages that a chunk touches to a flush, if its limits allow.
@@ -289,7 +293,7 @@
 
     /// Writes that remove pages without chunks, at most `limit`.
     #[must_use]
-    pub fn empty_pages(&self, limit: usize) -> Vec<PageWrite> {
+    pub fn empty_page_removals(&self, limit: usize) -> Vec<PageWrite> {
         self.pages
             .iter()
             .filter(|(_, page)| page.chunks.is_empty() && page.version > 0 && !page.indeterminate)
--- a/crates/tallygauge-scheduler/src/completion_pages/page.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages/page.rs
@@ -28,9 +28,9 @@
     }
 
     /// Upper bound of the bytes that the chunk takes in a page's record.
-    pub(super) fn encoded_len(&self, completed: &RangeSet) -> usize {
+    pub(super) fn max_encoded_len(&self, completed: &RangeSet) -> usize {
         // Quotes, colon and comma; every range two numbers in brackets.
-        self.job.len() + 16 + completed.encoded_len()
+        self.job.len() + 16 + completed.max_encoded_len()
     }
 }
 
@@ -57,13 +57,13 @@
     /// Puts a chunk with this content here, in place of what it had.
     pub(super) fn insert_chunk(&mut self, chunk: &ChunkId, completed: RangeSet) {
         self.remove_chunk(chunk);
-        self.bytes += chunk.encoded_len(&completed);
+        self.bytes += chunk.max_encoded_len(&completed);
         self.chunks.insert(chunk.clone(), completed);
     }
 
     pub(super) fn remove_chunk(&mut self, chunk: &ChunkId) {
         if let Some(completed) = self.chunks.remove(chunk) {
-            self.bytes -= chunk.encoded_len(&completed);
+            self.bytes -= chunk.max_encoded_len(&completed);
         }
     }
 
--- a/crates/tallygauge-scheduler/src/completion_pages/tests.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages/tests.rs
@@ -76,7 +76,7 @@
                 }
             }
             for page in pages.pages.values() {
-                let bytes: usize = page.chunks.iter().map(|(p, r)| p.encoded_len(r)).sum();
+                let bytes: usize = page.chunks.iter().map(|(p, r)| p.max_encoded_len(r)).sum();
                 prop_assert_eq!(page.bytes, bytes);
             }
             let there = union(&stored);
@@ -96,10 +96,10 @@
     };
     let flush = pages.prepare_flush(std::slice::from_ref(&part), 3, 1000, |_| RangeSet::first(3));
     pages.mark_written(&flush.writes[0], 7);
-    assert!(pages.empty_pages(9).is_empty());
+    assert!(pages.empty_page_removals(9).is_empty());
     pages.forget_job("req-1", 1);
-    let empty = pages.empty_pages(9);
+    let empty = pages.empty_page_removals(9);
     assert_eq!((empty.len(), empty[0].version), (1, 7));
     pages.mark_written(&empty[0], 8);
-    assert!(pages.empty_pages(9).is_empty());
+    assert!(pages.empty_page_removals(9).is_empty());
 }
--- a/crates/tallygauge-scheduler/src/range_set.rs
+++ b/crates/tallygauge-scheduler/src/range_set.rs
@@ -92,7 +92,7 @@
 
     /// Upper bound of the bytes that the set takes as JSON.
     #[must_use]
-    pub fn encoded_len(&self) -> usize {
+    pub fn max_encoded_len(&self) -> usize {
         let digits = |n: u32| n.checked_ilog10().unwrap_or(0) as usize + 1;
         let one = |r: &(u32, u32)| digits(r.0) + digits(r.1) + 4;
         2 + self.0.iter().map(one).sum::<usize>()
--- a/crates/tallygauge-scheduler/src/range_set/tests.rs
+++ b/crates/tallygauge-scheduler/src/range_set/tests.rs
@@ -19,7 +19,7 @@
             prop_assert_eq!(real.len() as usize, plain.len());
             prop_assert_eq!(real.within(10, 20).iter().collect::<Vec<_>>(), plain.range(10..20).copied().collect::<Vec<_>>());
             prop_assert_eq!(real.nth(n), plain.iter().nth(n as usize).copied());
-            prop_assert!(serde_json::to_string(&real).unwrap().len() <= real.encoded_len());
+            prop_assert!(serde_json::to_string(&real).unwrap().len() <= real.max_encoded_len());
             prop_assert_eq!(real.contains(n), plain.contains(&n));
         }
     }
--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -66,7 +66,7 @@
             .collect();
         let pages = cluster
             .completion_pages
-            .empty_pages(max_records - batches.len());
+            .empty_page_removals(max_records - batches.len());
         ObsoleteRecords { batches, pages }
     })
 }
