--- a/crates/tallygauge-scheduler/examples/overload/day/machines.rs
+++ b/crates/tallygauge-scheduler/examples/overload/day/machines.rs
@@ -1,28 +1,32 @@
-//! Simulated machines: what their agents run and report.
+//! Simulated machines: the attempts that their agents run, and the heartbeats that they
+//! send.
 
-use super::{Facts, HEARTBEAT_INTERVAL_S, LEASE_S, settings::machine_type};
+use super::{HEARTBEAT_INTERVAL_S, LEASE_S, SubmittedJob, settings::machine_type};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tallygauge_protocol::workers::{Command, EndCause, Heartbeat, TaskState, TaskStatus};
 
-/// Saved run time by task.
+/// Run time that the last checkpoint of a task saved, in seconds, by task name.
 pub(super) type Checkpoints = HashMap<String, f64>;
 
-/// An attempt on a machine.
+/// An attempt on a machine, from its start until the cluster state clears it.
 struct RunningTask {
     status: TaskStatus,
     job: String,
-    /// When the state it is in ends.
+    /// Time at which its present state ends.
     state_ends_at: f64,
+    /// Time at which it started to fetch its image, then time at which it started to run.
     started_at: f64,
+    /// Run time that an earlier attempt saved.
     checkpointed_s: f64,
+    /// Run time of the whole task.
     run_s: f64,
 }
 
-/// A time from which and until which a machine can't be reached.
+/// Period in which a machine can't be reached.
 #[derive(Clone, Copy)]
 pub(super) struct Partition {
-    pub(super) from: f64,
-    pub(super) until: f64,
+    pub(super) starts_at: f64,
+    pub(super) ends_at: f64,
 }
 
 pub(super) struct Machine {
@@ -33,11 +37,11 @@
     tasks: Vec<RunningTask>,
     images: BTreeSet<String>,
     next_heartbeat_at: f64,
-    last_answer_at: f64,
+    last_response_at: f64,
     partition: Option<Partition>,
 }
 
-/// How many attempts a batch of commands started and stopped.
+/// Numbers of attempts that a list of commands started and stopped.
 #[derive(Default)]
 pub(super) struct Executed {
     pub(super) started: usize,
@@ -54,7 +58,7 @@
             tasks: Vec::new(),
             images: BTreeSet::new(),
             next_heartbeat_at: number as f64 % 10.0 * 0.5,
-            last_answer_at: 0.0,
+            last_response_at: 0.0,
             partition,
         }
     }
@@ -62,26 +66,27 @@
     pub(super) fn is_reachable(&self, now: f64) -> bool {
         !self
             .partition
-            .is_some_and(|p| now >= p.from && now < p.until)
+            .is_some_and(|partition| now >= partition.starts_at && now < partition.ends_at)
     }
 
     pub(super) fn is_heartbeat_due(&self, now: f64) -> bool {
         self.next_heartbeat_at <= now
     }
 
-    /// The next heartbeat, if the machine can be reached. An agent without an answer for
-    /// a lease has ended its tasks and starts over.
+    /// The heartbeat that is due, or `None` if the machine can't be reached. An agent that
+    /// got no response for the duration of its lease has ended its tasks and restarts with
+    /// a new incarnation.
     pub(super) fn periodic_heartbeat(&mut self, now: f64) -> Option<Heartbeat> {
         self.next_heartbeat_at = now + HEARTBEAT_INTERVAL_S;
-        if now - self.last_answer_at > LEASE_S && self.last_answer_at > 0.0 {
+        if now - self.last_response_at > LEASE_S && self.last_response_at > 0.0 {
             self.incarnation += 1;
             self.tasks.clear();
-            self.last_answer_at = now;
+            self.last_response_at = now;
         }
         if !self.is_reachable(now) {
             return None;
         }
-        self.last_answer_at = now;
+        self.last_response_at = now;
         Some(self.heartbeat())
     }
 
@@ -101,7 +106,8 @@
         }
     }
 
-    /// Advances tasks whose state has ended. Returns whether any has.
+    /// Advances the attempts whose present state has ended. Returns whether any changed its
+    /// state.
     pub(super) fn advance_tasks(&mut self, checkpoints: &mut Checkpoints, now: f64) -> bool {
         let mut changed = false;
         for task in &mut self.tasks {
@@ -115,7 +121,7 @@
     pub(super) fn execute(
         &mut self,
         commands: Vec<Command>,
-        jobs: &BTreeMap<String, Facts>,
+        jobs: &BTreeMap<String, SubmittedJob>,
         checkpoints: &Checkpoints,
         now: f64,
     ) -> Executed {
@@ -131,10 +137,10 @@
                 Command::Stop {
                     attempt, grace_s, ..
                 } => {
-                    let running = self.tasks.iter_mut().filter(|t| {
+                    let unended = self.tasks.iter_mut().filter(|t| {
                         t.status.attempt == attempt && t.status.state != TaskState::Ended
                     });
-                    for task in running {
+                    for task in unended {
                         task.stop(jobs, grace_s, now);
                         executed.stopped += 1;
                     }
@@ -151,23 +157,25 @@
         &mut self,
         task: String,
         attempt: u64,
-        jobs: &BTreeMap<String, Facts>,
+        jobs: &BTreeMap<String, SubmittedJob>,
         checkpoints: &Checkpoints,
         now: f64,
     ) {
-        let (id, _) = task.rsplit_once('/').expect("a task's name");
-        let facts = &jobs[id];
-        let fetch_s = if self.images.insert(facts.spec.image.clone()) {
-            facts.spec.image_gb / machine_type().fetch_gb_per_s
+        let (job_id, _) = task
+            .rsplit_once('/')
+            .expect("task name of the form JOB/INDEX");
+        let submitted = &jobs[job_id];
+        let fetch_s = if self.images.insert(submitted.spec.image.clone()) {
+            submitted.spec.image_gb / machine_type().fetch_gb_per_s
         } else {
             0.0
         };
         self.tasks.push(RunningTask {
-            job: id.to_string(),
+            job: job_id.to_string(),
             state_ends_at: now + fetch_s,
             started_at: now,
             checkpointed_s: checkpoints.get(&task).copied().unwrap_or(0.0),
-            run_s: facts.run_s,
+            run_s: submitted.run_s,
             status: TaskStatus {
                 task,
                 attempt,
@@ -180,7 +188,7 @@
 }
 
 impl RunningTask {
-    /// Goes on to the next state. Returns whether there is one.
+    /// Goes on to the next state. Returns `false` if the present state is final.
     fn advance(&mut self, checkpoints: &mut Checkpoints, now: f64) -> bool {
         match self.status.state {
             TaskState::Fetching => {
@@ -203,11 +211,12 @@
         true
     }
 
-    /// Stops it: with a checkpoint, if it can save one.
-    fn stop(&mut self, jobs: &BTreeMap<String, Facts>, grace_s: f64, now: f64) {
+    /// Stops the attempt. A running one whose job saves checkpoints saves one first, unless
+    /// `grace_s` is 0; an attempt that is saving ends at once only if `grace_s` is 0.
+    fn stop(&mut self, jobs: &BTreeMap<String, SubmittedJob>, grace_s: f64, now: f64) {
         let spec = &jobs[&self.job].spec;
-        let saves = spec.checkpoint_every_s > 0.0;
-        if self.status.state == TaskState::Running && saves && grace_s > 0.0 {
+        let saves_checkpoints = spec.checkpoint_every_s > 0.0;
+        if self.status.state == TaskState::Running && saves_checkpoints && grace_s > 0.0 {
             self.status.state = TaskState::Saving;
             self.state_ends_at = now + spec.checkpoint_s;
         } else if self.status.state != TaskState::Saving || grace_s == 0.0 {
--- a/crates/tallygauge-scheduler/examples/overload/day/mod.rs
+++ b/crates/tallygauge-scheduler/examples/overload/day/mod.rs
@@ -1,11 +1,13 @@
-//! A simulated day: the real cluster state, with simulated machines, tasks and time.
-//! Deterministic by its seed; no clock but for measurements, no input or output.
+//! A simulated day: the real cluster state with simulated machines, tasks and time.
+//!
+//! The simulation is deterministic for a given seed: it does no I/O and reads the clock
+//! only to measure how long calls of the cluster state take.
 
 mod machines;
 mod settings;
 mod workload;
 
-pub use workload::{BULK, Class, FIX, Facts, RUSH, draw};
+pub use workload::{BULK, Class, FIX, RUSH, SubmittedJob, draw_jobs};
 
 use machines::{Checkpoints, Machine, Partition};
 use settings::{config, machine_type};
@@ -18,69 +20,70 @@
     ClusterState, DirectMessage, HeartbeatSource, PlacementBatch, RangeSet,
 };
 
-/// A worker's lease.
+/// Duration of a worker's lease.
 const LEASE_S: f64 = 26.0;
 
-/// What is simulated.
+/// Parameters of a simulation.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// Machines of [`CPUS`].
+    /// Number of machines, each with [`CPUS`] CPUs.
     pub machines: usize,
-    /// Teams, of equal guarantees.
+    /// Number of teams, all with the same guarantee.
     pub teams: usize,
-    /// Seconds of the day.
-    pub seconds: f64,
-    /// Minimum share; 0: none.
-    pub share: f64,
-    /// Part of the machines, in zone `b`, that can't be reached for a tenth of the day;
-    /// their tasks are lost a lease later.
-    pub cut: f64,
-    /// Classes of jobs.
+    /// Length of the day.
+    pub duration_s: f64,
+    /// Minimum share of jobs that is done of each class and team; 0: none.
+    pub minimum_share: f64,
+    /// Fraction of the machines that can't be reached for a tenth of the day; they are in
+    /// zone `b`. Their tasks are lost when the lease expires.
+    pub partitioned_fraction: f64,
+    /// Classes of jobs that are submitted.
     pub classes: Vec<Class>,
 }
 
-/// CPUs of a machine.
+/// CPUs per machine.
 pub const CPUS: f64 = 32.0;
 
-/// Seconds of a step.
-pub const STEP: f64 = 0.5;
+/// Simulated time between two steps.
+pub const STEP_S: f64 = 0.5;
 
-/// Seconds between two heartbeats of a machine.
+/// Interval between heartbeats of a machine.
 pub const HEARTBEAT_INTERVAL_S: f64 = 5.0;
 
 /// A simulated day.
 pub struct Day {
     setup: Setup,
-    /// State of the cluster.
+    /// The cluster state under test.
     pub cluster: ClusterState,
-    /// Jobs that were submitted.
-    pub jobs: BTreeMap<String, Facts>,
+    /// Submitted jobs by id.
+    pub jobs: BTreeMap<String, SubmittedJob>,
     machines: Vec<Machine>,
     checkpoints: Checkpoints,
-    /// Placement batches, in order.
-    pub placed: Vec<PlacementBatch>,
-    /// Seconds that scheduling rounds took.
-    pub rounds: Vec<f64>,
-    /// Seconds that selections of underserved jobs took.
-    pub elections: Vec<f64>,
-    /// Tasks stopped.
+    /// Committed placement batches, in order.
+    pub placement_batches: Vec<PlacementBatch>,
+    /// Measured duration of each scheduling round.
+    pub round_times_s: Vec<f64>,
+    /// Measured duration of each selection of underserved jobs, with the update of the
+    /// start claims.
+    pub selection_times_s: Vec<f64>,
+    /// Number of attempts that machines were told to stop.
     pub stopped: usize,
-    /// Tasks started.
+    /// Number of attempts that machines started.
     pub started: usize,
 }
 
 impl Day {
-    /// A day without jobs yet.
+    /// A day in which no jobs were submitted yet.
     pub fn new(setup: &Setup) -> Self {
         let mut cluster = ClusterState::new(config(setup), 0.0, 200, 7000);
         cluster.set_machine_types(&[machine_type()]);
-        let partitioned = (setup.machines as f64 * setup.cut) as usize;
+        let partitioned_machines = (setup.machines as f64 * setup.partitioned_fraction) as usize;
         let partition = Partition {
-            from: setup.seconds * 0.15,
-            until: setup.seconds * 0.25,
+            starts_at: setup.duration_s * 0.15,
+            ends_at: setup.duration_s * 0.25,
         };
         let machines = (0..setup.machines).map(|n| {
-            let is_partitioned = n < partitioned;
+            let is_partitioned = n < partitioned_machines;
             let zone = if is_partitioned || n % 2 == 0 {
                 "b"
             } else {
@@ -94,9 +97,9 @@
             jobs: BTreeMap::new(),
             machines: machines.collect(),
             checkpoints: Checkpoints::new(),
-            placed: Vec::new(),
-            rounds: Vec::new(),
-            elections: Vec::new(),
+            placement_batches: Vec::new(),
+            round_times_s: Vec::new(),
+            selection_times_s: Vec::new(),
             stopped: 0,
             started: 0,
         }
@@ -129,7 +132,8 @@
             let started_at = Instant::now();
             self.cluster.select_underserved(now);
             self.cluster.update_start_claims(now);
-            self.elections.push(started_at.elapsed().as_secs_f64());
+            self.selection_times_s
+                .push(started_at.elapsed().as_secs_f64());
         }
         self.run_round(now);
         for message in self.cluster.take_direct_messages(now, 1.0) {
@@ -155,10 +159,10 @@
     fn run_round(&mut self, now: f64) {
         let started_at = Instant::now();
         self.cluster.run_round(now, true);
-        self.rounds.push(started_at.elapsed().as_secs_f64());
+        self.round_times_s.push(started_at.elapsed().as_secs_f64());
         for batch in self.cluster.take_placement_batches(7000, 90, now) {
             self.cluster.record_batch_committed(&batch, now);
-            self.placed.push(batch);
+            self.placement_batches.push(batch);
         }
         self.cluster.obsolete_batches.clear();
         self.cluster.events.clear();
@@ -167,8 +171,8 @@
     fn deliver(&mut self, message: &DirectMessage, now: f64) {
         let index = self
             .machines
-            .binary_search_by(|m| m.name.cmp(&message.worker))
-            .expect("a machine of this day");
+            .binary_search_by(|machine| machine.name.cmp(&message.worker))
+            .expect("direct message to a machine that is not simulated");
         if !self.machines[index].is_reachable(now) {
             self.cluster
                 .record_direct_message_result(message, false, true, now);
@@ -183,69 +187,82 @@
     }
 
     fn record_completions(&mut self, now: f64) {
-        for done in self.cluster.completions(10_000, &BTreeSet::new()) {
-            self.cluster.remove_job(&done.job, now);
-            if let Some(facts) = self.jobs.get_mut(&done.job) {
-                facts.done_at = Some(now);
+        for completion in self.cluster.completions(10_000, &BTreeSet::new()) {
+            self.cluster.remove_job(&completion.job, now);
+            if let Some(job) = self.jobs.get_mut(&completion.job) {
+                job.done_at = Some(now);
             }
         }
     }
 
-    /// Simulates the day; `observe` sees it after each step.
-    pub fn run(&mut self, jobs: Vec<Facts>, mut observe: impl FnMut(&Day, f64)) {
+    /// Simulates the whole day with these jobs, sorted by time of submission. `observe` is
+    /// called after each step with the day and the time.
+    pub fn run(&mut self, jobs: Vec<SubmittedJob>, mut observe: impl FnMut(&Day, f64)) {
         let mut jobs = jobs.into_iter().peekable();
-        let steps = (self.setup.seconds / STEP) as u32;
+        let steps = (self.setup.duration_s / STEP_S) as u32;
         for step in 1..=steps {
-            let now = f64::from(step) * STEP;
-            while let Some(facts) = jobs.next_if(|j| j.at <= now) {
+            let now = f64::from(step) * STEP_S;
+            while let Some(job) = jobs.next_if(|job| job.submitted_at <= now) {
                 self.cluster
-                    .add_job(facts.spec.clone(), 1, facts.at, &RangeSet::default());
-                self.jobs.insert(facts.spec.id.clone(), facts);
+                    .add_job(job.spec.clone(), 1, job.submitted_at, &RangeSet::default());
+                self.jobs.insert(job.spec.id.clone(), job);
             }
             self.step(now, step);
             observe(self, now);
         }
     }
 
-    /// Of the jobs that `selects` is true for: their number, the part that is done, and
-    /// the part that was done within its service-level objective.
-    pub fn served(&self, selects: impl Fn(&Facts) -> bool) -> (usize, f64, f64) {
-        let all: Vec<&Facts> = self.jobs.values().filter(|f| selects(f)).collect();
-        let in_time = |f: &&&Facts| {
-            let class_s = self.setup.classes[f.class].within_s;
-            let deadline_s = f.spec.deadline_s;
-            let within_s = deadline_s.map_or(class_s, |d| class_s.max(d * 1.5));
-            f.done_at.is_some_and(|at| at - f.at <= within_s)
+    /// Of the jobs for which `is_selected` is true: their number, the fraction that is
+    /// done, and the fraction that was done within its service-level objective.
+    pub fn served(&self, is_selected: impl Fn(&SubmittedJob) -> bool) -> (usize, f64, f64) {
+        let selected: Vec<&SubmittedJob> =
+            self.jobs.values().filter(|job| is_selected(job)).collect();
+        let is_in_time = |job: &&&SubmittedJob| {
+            let class_s = self.setup.classes[job.class].within_s;
+            let deadline_s = job.spec.deadline_s;
+            let within_s = deadline_s.map_or(class_s, |deadline_s| class_s.max(deadline_s * 1.5));
+            job.done_at
+                .is_some_and(|done_at| done_at - job.submitted_at <= within_s)
         };
-        let count = all.len().max(1) as f64;
-        let done = all.iter().filter(|f| f.done_at.is_some()).count() as f64;
-        let timely = all.iter().filter(in_time).count() as f64;
-        (all.len(), done / count, timely / count)
+        let count = selected.len().max(1) as f64;
+        let done = selected.iter().filter(|job| job.done_at.is_some()).count() as f64;
+        let timely = selected.iter().filter(is_in_time).count() as f64;
+        (selected.len(), done / count, timely / count)
     }
 
-    /// Upper bound of the share that all groups of jobs could reach, as if there were
-    /// one machine and the smallest jobs were known beforehand: the work of the smallest
-    /// against the CPU time of the whole day.
-    pub fn possible(&self, groups: usize, of: impl Fn(&Facts) -> usize) -> f64 {
+    /// Upper bound of the fraction of jobs that could be done in every group at once.
+    ///
+    /// The bound treats the cluster as one machine and assumes that the jobs of each group
+    /// that need the least CPU time are known beforehand: a share is attainable if the sum
+    /// of their CPU times is at most the CPU time of the whole day. `group_of` gives the
+    /// index of the group of a job.
+    pub fn attainable_share(
+        &self,
+        groups: usize,
+        group_of: impl Fn(&SubmittedJob) -> usize,
+    ) -> f64 {
         let setup = &self.setup;
-        let capacity = setup.machines as f64 * CPUS * setup.seconds * (1.0 - setup.cut * 0.1);
-        let mut work_by_group = vec![Vec::new(); groups];
-        for facts in self.jobs.values() {
-            work_by_group[of(facts)].push(facts.work());
+        let capacity_cpu_s = setup.machines as f64
+            * CPUS
+            * setup.duration_s
+            * (1.0 - setup.partitioned_fraction * 0.1);
+        let mut cpu_s_by_group = vec![Vec::new(); groups];
+        for job in self.jobs.values() {
+            cpu_s_by_group[group_of(job)].push(job.cpu_seconds());
         }
-        for group in &mut work_by_group {
+        for group in &mut cpu_s_by_group {
             group.sort_by(f64::total_cmp);
         }
-        let shortest = |group: &Vec<f64>, share: f64| {
+        let smallest_jobs_cpu_s = |group: &Vec<f64>, share: f64| {
             let count = (group.len() as f64 * share).floor() as usize;
             group[..count].iter().sum::<f64>()
         };
         let fits = |share: f64| {
-            work_by_group
+            cpu_s_by_group
                 .iter()
-                .map(|g| shortest(g, share))
+                .map(|group| smallest_jobs_cpu_s(group, share))
                 .sum::<f64>()
-                <= capacity
+                <= capacity_cpu_s
         };
         if fits(1.0) {
             return 1.0;
--- a/crates/tallygauge-scheduler/examples/overload/day/settings.rs
+++ b/crates/tallygauge-scheduler/examples/overload/day/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the simulated cluster.
+//! Scheduler configuration and machine type of the simulated cluster.
 
 use super::{CPUS, Class, HEARTBEAT_INTERVAL_S, LEASE_S, Setup};
 use tallygauge_protocol::cloud::MachineType;
@@ -7,22 +7,22 @@
 };
 
 pub(super) fn config(setup: &Setup) -> Config {
-    let capacity = setup.machines as f64 * CPUS;
-    let team = |n| TeamConfig {
-        name: format!("team-{n}"),
-        guaranteed_cpus: capacity / setup.teams as f64,
-        max_cpus: capacity,
+    let capacity_cpus = setup.machines as f64 * CPUS;
+    let team = |index| TeamConfig {
+        name: format!("team-{index}"),
+        guaranteed_cpus: capacity_cpus / setup.teams as f64,
+        max_cpus: capacity_cpus,
         guaranteed_gpus: 0.0,
         max_gpus: 0.0,
     };
     let objective = |class: &Class| {
         let objective = ServiceLevelObjective {
-            deadline_factor: class.deadline.map(|_| 1.5),
+            deadline_factor: class.deadline_run_times.map(|_| 1.5),
             within_s: Some(class.within_s),
         };
         (class.name.to_string(), objective)
     };
-    let deadline = |class: &Class| (class.name.to_string(), class.within_s * 0.7);
+    let class_deadline = |class: &Class| (class.name.to_string(), class.within_s * 0.7);
     Config {
         teams: (0..setup.teams).map(team).collect(),
         heartbeat_interval_s: HEARTBEAT_INTERVAL_S,
@@ -36,11 +36,15 @@
         late_utility: 0.1,
         idle_boots: 1.5,
         horizon_boots: 1.0,
-        class_deadline_s: setup.classes.iter().map(deadline).collect(),
+        class_deadline_s: setup.classes.iter().map(class_deadline).collect(),
         objectives: setup.classes.iter().map(objective).collect(),
         minimum_share: MinimumShareConfig {
-            share: setup.share,
-            start_within_s: if setup.share > 0.0 { 240.0 } else { 0.0 },
+            share: setup.minimum_share,
+            start_within_s: if setup.minimum_share > 0.0 {
+                240.0
+            } else {
+                0.0
+            },
         },
         replica_spread: ReplicaSpread { risk_s: 30.0 },
         max_tasks_per_worker: 400,
--- a/crates/tallygauge-scheduler/examples/overload/main.rs
+++ b/crates/tallygauge-scheduler/examples/overload/main.rs
@@ -1,15 +1,16 @@
-//! Days with more work than capacity: what part of each class and team is served, with
-//! and without a minimum share, against what is possible at all.
+//! Simulates days with more work than capacity and prints which fraction of the jobs of
+//! each class and team is served, next to the upper bound of what can be reached. Compare
+//! runs with and without a minimum share (`--share 0`).
 //!
 //! `cargo run --release -p tallygauge-scheduler --example overload -- --help`
 //!
-//! The cluster state is the real one; machines, tasks and time are simulated. Jobs
-//! arrive in the first two fifths of the day.
+//! The cluster state is the real one; machines, tasks and time are simulated. All jobs
+//! are submitted in the first two fifths of the day.
 
 mod day;
 
 use clap::Parser;
-use day::{BULK, CPUS, Class, Day, FIX, Facts, RUSH, Setup, draw};
+use day::{BULK, CPUS, Class, Day, FIX, RUSH, Setup, SubmittedJob, draw_jobs};
 
 /// Simulates days with more work than capacity.
 #[derive(Parser, Debug, Clone)]
@@ -43,36 +44,36 @@
     hard: bool,
 }
 
-/// Part of the day in which jobs arrive.
-const ARRIVAL_PART: f64 = 0.4;
+/// Fraction of the day, from its start, in which jobs are submitted.
+const ARRIVAL_FRACTION: f64 = 0.4;
 
 fn classes(args: &Args) -> Vec<Class> {
-    let (urgent, rest) = (args.load * args.urgent, args.load * (1.0 - args.urgent));
-    let with = |class: Class, load: f64| Class { load, ..class };
-    let mut out = vec![
-        with(BULK, rest),
-        with(RUSH, urgent * 0.6),
-        with(FIX, urgent * 0.4),
+    let (urgent_load, normal_load) = (args.load * args.urgent, args.load * (1.0 - args.urgent));
+    let with_load = |class: Class, load: f64| Class { load, ..class };
+    let mut classes = vec![
+        with_load(BULK, normal_load),
+        with_load(RUSH, urgent_load * 0.6),
+        with_load(FIX, urgent_load * 0.4),
     ];
     if args.hard {
-        out[0].load *= 0.6;
-        out.push(Class {
+        classes[0].load *= 0.6;
+        classes.push(Class {
             name: "whole",
             cpus: CPUS,
-            tasks: 20.0,
+            median_tasks: 20.0,
             team: Some(0),
-            load: rest * 0.2,
+            load: normal_load * 0.2,
             ..BULK
         });
-        out.push(Class {
+        classes.push(Class {
             name: "bound",
             cpus: 8.0,
             zone: Some("a"),
-            load: rest * 0.2,
+            load: normal_load * 0.2,
             ..BULK
         });
     }
-    out
+    classes
 }
 
 fn main() {
@@ -80,41 +81,48 @@
     let setup = Setup {
         machines: args.machines,
         teams: args.teams,
-        seconds: args.seconds,
-        share: args.share,
-        cut: args.cut,
+        duration_s: args.seconds,
+        minimum_share: args.share,
+        partitioned_fraction: args.cut,
         classes: classes(&args),
     };
     for seed in 1..=args.seeds {
         let mut day = Day::new(&setup);
-        day.run(draw(&setup, args.seconds * ARRIVAL_PART, seed), |_, _| {});
+        day.run(
+            draw_jobs(&setup, args.seconds * ARRIVAL_FRACTION, seed),
+            |_, _| {},
+        );
         print!("seed {seed}: {:5} jobs |", day.jobs.len());
-        for (n, class) in setup.classes.iter().enumerate() {
-            let (_, done, timely) = day.served(|f| f.class == n);
-            print!(" {} {done:.2} ({timely:.2} in time)", class.name);
+        for (index, class) in setup.classes.iter().enumerate() {
+            let (_, done_fraction, in_time_fraction) = day.served(|job| job.class == index);
+            print!(
+                " {} {done_fraction:.2} ({in_time_fraction:.2} in time)",
+                class.name
+            );
         }
-        let teams = (0..args.teams).map(|n| day.served(|f| f.team == n).1);
-        let done: f64 = day
+        let team_shares = (0..args.teams).map(|index| day.served(|job| job.team == index).1);
+        let done_cpu_s: f64 = day
             .jobs
             .values()
-            .filter(|f| f.done_at.is_some())
-            .map(Facts::work)
+            .filter(|job| job.done_at.is_some())
+            .map(SubmittedJob::cpu_seconds)
             .sum();
-        let capacity = args.machines as f64 * CPUS * args.seconds * (1.0 - args.cut * 0.1);
-        let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len().max(1) as f64 * 1e3;
-        let max = |all: &[f64]| all.iter().copied().fold(0.0, f64::max) * 1e3;
+        let capacity_cpu_s = args.machines as f64 * CPUS * args.seconds * (1.0 - args.cut * 0.1);
+        let mean_ms =
+            |times_s: &[f64]| times_s.iter().sum::<f64>() / times_s.len().max(1) as f64 * 1e3;
+        let max_ms = |times_s: &[f64]| times_s.iter().copied().fold(0.0, f64::max) * 1e3;
         println!(
             " | least team {:.2} | possible {:.2} of classes, {:.2} of teams | done {:.2} of the CPU time | {} starts, {} stops | round {:.2} ms, at most {:.1}; election {:.2}, at most {:.1}",
-            teams.fold(1.0, f64::min),
-            day.possible(setup.classes.len(), |f| f.class),
-            day.possible(args.teams, |f| f.team),
-            done / capacity,
+            team_shares.fold(1.0, f64::min),
+            day.attainable_share(setup.classes.len(), |job| job.class),
+            day.attainable_share(args.teams, |job| job.team),
+            done_cpu_s / capacity_cpu_s,
             day.started,
             day.stopped,
-            mean(&day.rounds),
-            max(&day.rounds),
-            mean(&day.elections),
-            max(&day.elections),
+            mean_ms(&day.round_times_s),
+            max_ms(&day.round_times_s),
+            mean_ms(&day.selection_times_s),
+            max_ms(&day.selection_times_s),
         );
     }
 }
--- a/crates/tallygauge-scheduler/tests/minimum_share_under_overload.rs
+++ b/crates/tallygauge-scheduler/tests/minimum_share_under_overload.rs
@@ -4,20 +4,20 @@
 #[allow(dead_code, reason = "the overload example uses the rest")]
 mod day;
 
-use day::{BULK, CPUS, Class, Day, FIX, Facts, RUSH, STEP, Setup, draw};
+use day::{BULK, CPUS, Class, Day, FIX, RUSH, STEP_S, Setup, SubmittedJob, draw_jobs};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use tallygauge_scheduler::GroupKind;
 
 const SHARE: f64 = 0.65;
 
-fn setup(machines: usize, seconds: f64, classes: Vec<Class>) -> Setup {
+fn setup(machines: usize, duration_s: f64, classes: Vec<Class>) -> Setup {
     Setup {
         machines,
         teams: 4,
-        seconds,
-        share: SHARE,
-        cut: 0.0,
+        duration_s,
+        minimum_share: SHARE,
+        partitioned_fraction: 0.0,
         classes,
     }
 }
@@ -31,7 +31,7 @@
     vec![with(BULK, 0.4), with(RUSH, 0.36), with(FIX, 0.24)]
 }
 
-fn simulate(setup: &Setup, jobs: Vec<Facts>) -> Day {
+fn simulate(setup: &Setup, jobs: Vec<SubmittedJob>) -> Day {
     let mut day = Day::new(setup);
     day.run(jobs, |_, _| {});
     day
@@ -39,7 +39,7 @@
 
 /// The lowest share of jobs served of any class.
 fn min_class_share(day: &Day, classes: usize) -> f64 {
-    let shares = (0..classes).map(|n| day.served(|f| f.class == n).1);
+    let shares = (0..classes).map(|n| day.served(|job| job.class == n).1);
     shares.fold(1.0, f64::min)
 }
 
@@ -50,14 +50,14 @@
     for (seed, load, arrival_s) in [(1, 0.3, 150.0), (2, 0.35, 150.0), (3, 0.6, 300.0)] {
         let with = setup(40, 300.0, mix(load));
         let without = Setup {
-            share: 0.0,
+            minimum_share: 0.0,
             ..with.clone()
         };
-        let day_with = simulate(&with, draw(&with, arrival_s, seed));
-        let day_without = simulate(&without, draw(&without, arrival_s, seed));
+        let day_with = simulate(&with, draw_jobs(&with, arrival_s, seed));
+        let day_without = simulate(&without, draw_jobs(&without, arrival_s, seed));
         assert!(day_with.started > 500, "too little work was started");
         assert!(
-            day_with.placed == day_without.placed,
+            day_with.placement_batches == day_without.placement_batches,
             "the placements of seed {seed} differ"
         );
         assert_eq!(
@@ -71,23 +71,23 @@
 fn under_overload_no_class_or_team_falls_below_minimum_share() {
     let with = setup(40, 900.0, mix(1.8));
     let without = Setup {
-        share: 0.0,
+        minimum_share: 0.0,
         ..with.clone()
     };
-    let day_without = simulate(&without, draw(&without, 300.0, 5));
+    let day_without = simulate(&without, draw_jobs(&without, 300.0, 5));
     assert!(
         min_class_share(&day_without, 3) < 0.3,
         "without a minimum share, one class starves"
     );
-    let day = simulate(&with, draw(&with, 300.0, 5));
-    assert!(day.possible(3, |f| f.class) > 0.8);
+    let day = simulate(&with, draw_jobs(&with, 300.0, 5));
+    assert!(day.attainable_share(3, |job| job.class) > 0.8);
     assert!(
         min_class_share(&day, 3) > 0.6,
         "{}",
         min_class_share(&day, 3)
     );
     for team in 0..4 {
-        assert!(day.served(|f| f.team == team).1 > 0.6);
+        assert!(day.served(|job| job.team == team).1 > 0.6);
     }
 }
 
@@ -101,7 +101,7 @@
         name,
         cpus,
         load,
-        tasks: 10.0,
+        median_tasks: 10.0,
         ..BULK
     };
     classes.push(Class {
@@ -116,30 +116,30 @@
     classes.push(large("array", 1.0, 0.0));
     let setup = Setup {
         teams: 12,
-        cut: 0.2,
+        partitioned_fraction: 0.2,
         ..setup(40, 900.0, classes.clone())
     };
-    let mut jobs = draw(&setup, 300.0, 9);
+    let mut jobs = draw_jobs(&setup, 300.0, 9);
     for (class, tasks) in [(5, 6), (6, 3000), (6, 2000)] {
         let mut spec = classes[class].job_spec(1, tasks, 30.0, 0);
         spec.id = format!("req-9{class}{tasks}");
-        jobs.push(Facts {
+        jobs.push(SubmittedJob {
             class,
             team: 1,
-            at: 100.0,
+            submitted_at: 100.0,
             run_s: 30.0,
             spec,
             done_at: None,
         });
     }
-    jobs.sort_by(|a, b| a.at.total_cmp(&b.at));
+    jobs.sort_by(|a, b| a.submitted_at.total_cmp(&b.submitted_at));
     let day = simulate(&setup, jobs);
     for (index, class) in classes.iter().enumerate() {
-        let (jobs, done, _) = day.served(|f| f.class == index);
+        let (jobs, done, _) = day.served(|job| job.class == index);
         assert!(jobs > 0 && done >= 0.5, "{}: {done} of {jobs}", class.name);
     }
     for team in 0..12 {
-        let (jobs, done, _) = day.served(|f| f.team == team);
+        let (jobs, done, _) = day.served(|job| job.team == team);
         assert!(done > 0.55, "team {team}: {done} of {jobs}");
     }
 }
@@ -163,12 +163,12 @@
     ) {
         let classes = mix(1.0);
         let setup = setup(6, 600.0, classes.clone());
-        let mut jobs: Vec<Facts> = arrivals.into_iter().enumerate().map(|(n, (class, team, at, tasks, run_s))| {
+        let mut jobs: Vec<SubmittedJob> = arrivals.into_iter().enumerate().map(|(n, (class, team, submitted_at, tasks, run_s))| {
             let mut spec = classes[class].job_spec(team, tasks, run_s, 0);
             spec.id = format!("req-{n:05}");
-            Facts { class, team, at, run_s, spec, done_at: None }
+            SubmittedJob { class, team, submitted_at, run_s, spec, done_at: None }
         }).collect();
-        jobs.sort_by(|a, b| a.at.total_cmp(&b.at));
+        jobs.sort_by(|a, b| a.submitted_at.total_cmp(&b.submitted_at));
         let mut day = Day::new(&setup);
         // For each group, its number of jobs done and the seconds since that last changed.
         let mut unserved_by_group: BTreeMap<(GroupKind, String), (u64, f64)> = BTreeMap::new();
@@ -181,7 +181,7 @@
             if entry.0 != s.counts.done || s.shortfall.to_target_share == 0 || s.shortfall.unfit >= s.open {
                 *entry = (s.counts.done, 0.0);
             } else {
-                entry.1 += STEP;
+                entry.1 += STEP_S;
                 underserved_steps += 1;
                 longest_unserved_s = longest_unserved_s.max(entry.1);
             }
