--- a/crates/tallygauge-scheduler/examples/scale.rs
+++ b/crates/tallygauge-scheduler/examples/scale.rs
@@ -1,4 +1,5 @@
-//! What rounds, heartbeats and a recovery cost by number of machines and tasks.
+//! Measures how long scheduling rounds, heartbeats and the recovery by a new leader take
+//! for several numbers of machines, with a workload that grows with that number.
 //!
 //! `cargo run --release -p tallygauge-scheduler --example scale -- --machines 500,1000`
 
@@ -18,8 +19,8 @@
 };
 
 fn config() -> Config {
-    let team = |n| TeamConfig {
-        name: format!("team-{n}"),
+    let team = |index| TeamConfig {
+        name: format!("team-{index}"),
         guaranteed_cpus: 2000.0,
         max_cpus: 8000.0,
         guaranteed_gpus: 0.0,
@@ -66,52 +67,57 @@
     }
 }
 
-fn job(n: usize, tasks: u32) -> JobSpec {
-    let low = n.is_multiple_of(4);
+fn job_spec(number: usize, tasks: u32) -> JobSpec {
+    let is_long = number.is_multiple_of(4);
     JobSpec {
-        id: format!("req-{n:06}"),
-        class: if low { "long" } else { "short" }.into(),
-        team: format!("team-{}", n % 16),
+        id: format!("req-{number:06}"),
+        class: if is_long { "long" } else { "short" }.into(),
+        team: format!("team-{}", number % 16),
         shape: Shape::Array,
-        priority: if low {
+        priority: if is_long {
             Priority::Normal
         } else {
             Priority::High
         },
         tasks,
-        cpus: if low { 16.0 } else { 2.0 + (n % 3) as f64 },
+        cpus: if is_long {
+            16.0
+        } else {
+            2.0 + (number % 3) as f64
+        },
         gpus: 0.0,
         memory_gb: 6.0,
-        image: format!("img-{}", n % 40),
-        image_gb: 1.0 + (n % 3) as f64,
+        image: format!("img-{}", number % 40),
+        image_gb: 1.0 + (number % 3) as f64,
         machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
         spot: true,
-        expected_s: 20.0 + (n % 5) as f64 * 8.0,
-        checkpoint_every_s: if low { 30.0 } else { 0.0 },
-        checkpoint_s: if low { 2.0 } else { 0.0 },
-        deadline_s: (!low).then_some(80.0),
+        expected_s: 20.0 + (number % 5) as f64 * 8.0,
+        checkpoint_every_s: if is_long { 30.0 } else { 0.0 },
+        checkpoint_s: if is_long { 2.0 } else { 0.0 },
+        deadline_s: (!is_long).then_some(80.0),
     }
 }
 
-/// Simulated workers.
+/// Simulated workers, which report their tasks and execute commands.
 #[derive(Default)]
 struct Workers {
+    /// Sequence number of the last heartbeat of any worker.
     sequence: u64,
-    /// Tasks by worker, and when each ends.
+    /// Tasks by name of the worker, each with the time at which it is done.
     tasks: BTreeMap<String, Vec<(TaskStatus, f64)>>,
 }
 
 impl Workers {
-    /// Sends a worker's heartbeat and executes the response. Returns the seconds that the
-    /// cluster state took for it.
+    /// Sends a worker's heartbeat and executes the commands of the response. Returns how
+    /// many seconds the cluster state took to process the heartbeat.
     fn send_heartbeat(&mut self, cluster: &mut ClusterState, name: &str, now: f64) -> f64 {
         self.sequence += 1;
         let tasks = self.tasks.entry(name.into()).or_default();
-        for (task, until) in tasks.iter_mut() {
-            if *until <= now && task.state != TaskState::Ended {
+        for (task, done_at) in tasks.iter_mut() {
+            if *done_at <= now && task.state != TaskState::Ended {
                 (task.state, task.cause) = (TaskState::Ended, Some(EndCause::Done));
             }
         }
@@ -131,11 +137,11 @@
         cluster.apply_heartbeat(now, &heartbeat, HeartbeatSource::Periodic);
         let commands = cluster.commands(name, now);
         cluster.record_heartbeat_response(name, &commands, now);
-        let took = started_at.elapsed().as_secs_f64();
+        let elapsed_s = started_at.elapsed().as_secs_f64();
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
-                    let until = now + 20.0 + (attempt % 40) as f64;
+                    let done_at = now + 20.0 + (attempt % 40) as f64;
                     let task = TaskStatus {
                         task,
                         attempt,
@@ -143,7 +149,7 @@
                         cause: None,
                         checkpointed: None,
                     };
-                    tasks.push((task, until));
+                    tasks.push((task, done_at));
                 }
                 Command::Stop { attempt, .. } => {
                     for (task, _) in tasks.iter_mut().filter(|t| t.0.attempt == attempt) {
@@ -154,7 +160,7 @@
                 Command::Clear { attempt, .. } => tasks.retain(|t| t.0.attempt != attempt),
             }
         }
-        took
+        elapsed_s
     }
 }
 
@@ -164,77 +170,84 @@
     cluster
 }
 
-/// Steps of a run, of a tenth of a second each.
+/// Number of steps of a simulation, each of 0.1 s.
 const STEPS: u32 = 1200;
 
-/// Time at the end of a run.
+/// Simulated time after the last step.
 const END_S: f64 = 120.0;
 
-/// A run with so many machines, and what was measured.
-struct Run {
+/// A simulated cluster, and the measurements made so far.
+struct Simulation {
+    /// Names of the machines.
     machines: Vec<String>,
     cluster: ClusterState,
     workers: Workers,
+    /// Committed placement batches that are not obsolete, by name.
     live_batches: BTreeMap<String, PlacementBatch>,
-    jobs: usize,
-    placed: usize,
+    submitted_jobs: usize,
+    placed_tasks: usize,
+    /// Largest number of pending tasks after a step, without those that have state of
+    /// their own (a checkpoint, a backoff).
     max_pending: u32,
-    /// Seconds that each round took.
-    rounds: Vec<f64>,
-    /// Seconds that each heartbeat took.
-    heartbeats: Vec<f64>,
-    batches: usize,
+    /// Duration of each scheduling round, with the advance of time and the taking of
+    /// placement batches.
+    round_times_s: Vec<f64>,
+    /// Time that the cluster state took for each heartbeat.
+    heartbeat_times_s: Vec<f64>,
+    committed_batches: usize,
+    /// Sum of the JSON sizes of the committed placement batches.
     batch_bytes: usize,
 }
 
-impl Run {
-    fn new(machines: usize) -> Self {
+impl Simulation {
+    fn new(machine_count: usize) -> Self {
         Self {
-            machines: (0..machines).map(|n| format!("host-{n:06}")).collect(),
+            machines: (0..machine_count).map(|n| format!("host-{n:06}")).collect(),
             cluster: empty_cluster(),
             workers: Workers::default(),
             live_batches: BTreeMap::new(),
-            jobs: 0,
-            placed: 0,
+            submitted_jobs: 0,
+            placed_tasks: 0,
             max_pending: 0,
-            rounds: Vec::new(),
-            heartbeats: Vec::new(),
-            batches: 0,
+            round_times_s: Vec::new(),
+            heartbeat_times_s: Vec::new(),
+            committed_batches: 0,
             batch_bytes: 0,
         }
     }
 
-    /// Every worker sends a heartbeat each four seconds.
+    /// Simulates one step. Each worker sends a heartbeat every 40 steps, which are 4 s.
     fn step(&mut self, step: u32) {
         let now = f64::from(step) * 0.1;
         self.add_jobs(step, now);
-        let due = self.machines.iter().skip(step as usize % 40).step_by(40);
-        for name in due {
-            let took = self.workers.send_heartbeat(&mut self.cluster, name, now);
-            self.heartbeats.push(took);
+        let due_workers = self.machines.iter().skip(step as usize % 40).step_by(40);
+        for name in due_workers {
+            let elapsed_s = self.workers.send_heartbeat(&mut self.cluster, name, now);
+            self.heartbeat_times_s.push(elapsed_s);
         }
         self.run_round(step, now);
-        for done in self.cluster.completions(1000, &BTreeSet::new()) {
-            self.cluster.remove_job(&done.job, now);
+        for completion in self.cluster.completions(1000, &BTreeSet::new()) {
+            self.cluster.remove_job(&completion.job, now);
         }
         let flush = self.cluster.next_flush(24, 49_152);
         if let Some(flush) = flush.filter(|_| step.is_multiple_of(16)) {
             self.cluster.record_flushed(&flush, 1);
         }
         self.cluster.take_direct_messages(now, 1.0).clear();
-        let pending: u32 = self.cluster.jobs.values().map(|j| j.pending.len()).sum();
-        self.max_pending = self.max_pending.max(pending);
+        let pending_tasks: u32 = self.cluster.jobs.values().map(|j| j.pending.len()).sum();
+        self.max_pending = self.max_pending.max(pending_tasks);
     }
 
-    /// Jobs arrive for nine tenths of the CPUs, half of them at the start.
+    /// Submits the jobs of a step: half of all jobs at the start, the rest at regular
+    /// intervals. Together they need nine tenths of the CPUs.
     fn add_jobs(&mut self, step: u32, now: f64) {
-        let machines = self.machines.len();
-        let at_start = if step == 0 { machines / 6 } else { 0 };
-        let interval = (9000 / machines.max(1) as u32).max(1);
-        for _ in 0..at_start + usize::from(step.is_multiple_of(interval)) {
-            let job = job(self.jobs, 90);
-            self.cluster.add_job(job, 1, now, &RangeSet::default());
-            self.jobs += 1;
+        let machine_count = self.machines.len();
+        let at_start = if step == 0 { machine_count / 6 } else { 0 };
+        let interval_steps = (9000 / machine_count.max(1) as u32).max(1);
+        for _ in 0..at_start + usize::from(step.is_multiple_of(interval_steps)) {
+            let spec = job_spec(self.submitted_jobs, 90);
+            self.cluster.add_job(spec, 1, now, &RangeSet::default());
+            self.submitted_jobs += 1;
         }
     }
 
@@ -243,11 +256,11 @@
         if step.is_multiple_of(3) {
             self.cluster.advance_time(now);
         }
-        self.placed += self.cluster.run_round(now, true).placed;
+        self.placed_tasks += self.cluster.run_round(now, true).placed;
         let batches = self.cluster.take_placement_batches(7000, 90, now);
-        self.rounds.push(started_at.elapsed().as_secs_f64());
+        self.round_times_s.push(started_at.elapsed().as_secs_f64());
         for batch in batches {
-            self.batches += 1;
+            self.committed_batches += 1;
             self.batch_bytes += serde_json::to_string(&batch.record).map_or(0, |t| t.len());
             self.cluster.record_batch_committed(&batch, now);
             self.live_batches.insert(batch.name.to_string(), batch);
@@ -257,7 +270,7 @@
         }
     }
 
-    /// Seconds that a new leader takes to restore the cluster state.
+    /// Returns how many seconds a new leader takes to restore the cluster state.
     fn measure_recovery(&self) -> f64 {
         let started_at = Instant::now();
         let mut next_leader = empty_cluster();
@@ -271,31 +284,31 @@
     }
 }
 
-fn measure(machines: usize) {
-    let mut run = Run::new(machines);
+fn measure(machine_count: usize) {
+    let mut simulation = Simulation::new(machine_count);
     for step in 0..STEPS {
-        run.step(step);
+        simulation.step(step);
     }
-    let recovery_s = run.measure_recovery();
+    let recovery_s = simulation.measure_recovery();
     let started_at = Instant::now();
-    let rented_kinds = run.cluster.rentals(END_S).len();
-    run.cluster.mark_surplus_machines(END_S);
-    let demand_s = started_at.elapsed().as_secs_f64();
-    let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len() as f64 * 1e6;
-    let max = |all: &[f64]| all.iter().copied().fold(0.0, f64::max) * 1e6;
+    let rented_kinds = simulation.cluster.rentals(END_S).len();
+    simulation.cluster.mark_surplus_machines(END_S);
+    let scaling_s = started_at.elapsed().as_secs_f64();
+    let mean_us = |times_s: &[f64]| times_s.iter().sum::<f64>() / times_s.len() as f64 * 1e6;
+    let max_us = |times_s: &[f64]| times_s.iter().copied().fold(0.0, f64::max) * 1e6;
     println!(
-        "{machines:5} machines: {:4} jobs, {:6} placed, {:6} waiting at most | round {:6.0} us, at most {:6.0} | report {:5.1} us | {:4} batches of {:5} bytes, {:3} live | take-over {:6.0} us | demand {:6.0} us ({rented_kinds} kinds)",
-        run.jobs,
-        run.placed,
-        run.max_pending,
-        mean(&run.rounds),
-        max(&run.rounds),
-        mean(&run.heartbeats),
-        run.batches,
-        run.batch_bytes / run.batches.max(1),
-        run.live_batches.len(),
+        "{machine_count:5} machines: {:4} jobs, {:6} placed, {:6} waiting at most | round {:6.0} us, at most {:6.0} | report {:5.1} us | {:4} batches of {:5} bytes, {:3} live | take-over {:6.0} us | demand {:6.0} us ({rented_kinds} kinds)",
+        simulation.submitted_jobs,
+        simulation.placed_tasks,
+        simulation.max_pending,
+        mean_us(&simulation.round_times_s),
+        max_us(&simulation.round_times_s),
+        mean_us(&simulation.heartbeat_times_s),
+        simulation.committed_batches,
+        simulation.batch_bytes / simulation.committed_batches.max(1),
+        simulation.live_batches.len(),
         recovery_s * 1e6,
-        demand_s * 1e6,
+        scaling_s * 1e6,
     );
 }
 
@@ -308,7 +321,7 @@
 }
 
 fn main() {
-    for machines in Options::parse().machines {
-        measure(machines);
+    for machine_count in Options::parse().machines {
+        measure(machine_count);
     }
 }
