--- a/crates/tallygauge-scheduler/src/completion_pages.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages.rs
@@ -1,11 +1,13 @@
-//! Completed tasks as durable records: the completed ranges of many jobs share a
-//! few records ("pages"), so that saving the progress of a hundred jobs takes a
-//! handful of writes.
+//! Durable records of completed tasks.
 //!
-//! A job's tasks are divided into chunks of consecutive task numbers; each chunk is
-//! on one page. Every write of a page is conditioned on its version. While a write
-//! is in doubt (sent, but its result unknown) its pages are not written again until
-//! their versions were read.
+//! The completed tasks of many jobs share a few records ("pages"), so that saving the
+//! progress of a hundred jobs takes a handful of writes:
+//!
+//! - The tasks of a job are divided into chunks of consecutive task numbers. Each chunk
+//!   is on one page.
+//! - Every write of a page is conditioned on the version of the stored page.
+//! - After a write of which the outcome is indeterminate (it was sent, but its result is
+//!   not known), its pages are not written again until their versions were read.
 
 mod page;
 
@@ -14,14 +16,14 @@
 pub use page::{ChunkId, CompletionPageRecord};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A page to be written, with its condition.
+/// A write of a page, conditioned on the version of the stored page.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PageWrite {
     /// Number of the page.
     pub page: u32,
-    /// Version that the stored record must have.
+    /// Version that the stored record must have; 0: there must be none.
     pub version: u64,
-    /// New content; empty: the record is removed.
+    /// New content; if empty, the write removes the record.
     pub record: CompletionPageRecord,
 }
 
@@ -30,21 +32,22 @@
 struct MovedChunk {
     chunk: ChunkId,
     from_page: u32,
-    /// Its content on that page.
+    /// Completed tasks of the chunk as they were on `from_page`.
     completed: RangeSet,
 }
 
-/// Pages to be written in one transaction.
+/// Writes of pages that are to be committed in one transaction.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct PageFlush {
-    /// The pages.
+    /// Writes of the changed pages.
     pub writes: Vec<PageWrite>,
-    /// Changed chunks on them.
+    /// Changed chunks whose present content these writes save.
     pub chunks: BTreeSet<ChunkId>,
+    /// Chunks that these writes move from one page to another.
     moved: Vec<MovedChunk>,
 }
 
-/// Pages and bytes that a flush being prepared takes, and their limits.
+/// Pages and bytes of a flush that is being prepared, with their limits.
 struct FlushBudget {
     max_pages: usize,
     max_bytes: usize,
@@ -62,8 +65,8 @@
         }
     }
 
-    /// Adds these pages and bytes if they are within the limits; the first ones
-    /// always are. Returns whether they were added.
+    /// Adds pages and bytes to the flush unless they would exceed a limit. While the flush
+    /// has no pages, the limits do not apply. Returns whether they were added.
     fn try_reserve(&mut self, new_pages: &[u32], bytes: usize) -> bool {
         let exceeds_limits = self.pages.len() + new_pages.len() > self.max_pages
             || self.bytes + bytes > self.max_bytes;
@@ -78,22 +81,25 @@
 
 /// The assignment of chunks to pages, as the leader knows it.
 ///
-/// Invariants: a page is empty or within the size limit or has a single chunk;
-/// `page_by_chunk` has every chunk that is on a page; a chunk is on further pages
-/// only as long as `possible_pages` lists them.
+/// Invariants:
+///
+/// - A page is empty, or within the size limit, or has a single chunk.
+/// - `page_by_chunk` has every chunk that is on a page.
+/// - A chunk is on pages other than its own only as long as `possible_pages` lists them.
 #[derive(Debug, Default)]
 pub struct CompletionPages {
     pages: BTreeMap<u32, CompletionPage>,
     page_by_chunk: HashMap<ChunkId, u32>,
-    /// Further pages that a chunk may be on: a flush that was to move it is in
-    /// doubt. It stays on both until the new page was certainly written.
+    /// Pages that a chunk may be on besides the one in `page_by_chunk`, because the outcome
+    /// of a flush that moves it is indeterminate. The chunk stays on all of them until its
+    /// page in `page_by_chunk` was certainly written.
     possible_pages: HashMap<ChunkId, BTreeSet<u32>>,
     max_page_bytes: usize,
 }
 
 impl CompletionPages {
-    /// No pages yet; each takes at most `max_page_bytes` unless a single chunk is
-    /// larger.
+    /// Creates an assignment without pages. A page takes at most `max_page_bytes` unless it
+    /// has a single chunk that is larger.
     #[must_use]
     pub fn new(max_page_bytes: usize) -> Self {
         Self {
@@ -102,54 +108,57 @@
         }
     }
 
-    /// Adds a stored page, at the start of a term. Returns its chunks.
+    /// Adds a stored page when a new leader recovers the cluster state. Returns the chunks
+    /// of the page with their completed tasks.
     pub fn restore(
         &mut self,
         page: u32,
         version: u64,
         record: CompletionPageRecord,
     ) -> Vec<(ChunkId, RangeSet)> {
-        let mut restored = Vec::new();
-        let entry = self.pages.entry(page).or_default();
-        entry.version = version;
+        let mut restored_chunks = Vec::new();
+        let restored_page = self.pages.entry(page).or_default();
+        restored_page.version = version;
         for (key, completed) in record {
             let Some(chunk) = ChunkId::from_record_key(&key) else {
                 continue;
             };
-            entry.insert_chunk(&chunk, completed.clone());
-            if let Some(other) = self.page_by_chunk.insert(chunk.clone(), page) {
+            restored_page.insert_chunk(&chunk, completed.clone());
+            if let Some(other_page) = self.page_by_chunk.insert(chunk.clone(), page) {
                 self.possible_pages
                     .entry(chunk.clone())
                     .or_default()
-                    .insert(other);
+                    .insert(other_page);
             }
-            restored.push((chunk, completed));
+            restored_chunks.push((chunk, completed));
         }
-        restored
+        restored_chunks
     }
 
-    /// Chooses pages for changed chunks and returns the pages to write: at most
-    /// `max_pages` with `max_bytes` in all, but always those of the first chunk.
-    /// `completed` gives a chunk's present content. Chunks that exceed the limits,
-    /// and those on pages that are in doubt, are left for a later flush.
+    /// Assigns changed chunks to pages and returns the pages to write.
+    ///
+    /// These are at most `max_pages` pages with `max_bytes` in all; the pages of the first
+    /// chunk that can be written are included even if they exceed these limits. `content_of`
+    /// gives the completed tasks of a chunk. Chunks that would exceed the limits are left
+    /// for a later flush, and so are those on pages of which the version is indeterminate.
     pub fn prepare_flush(
         &mut self,
         changed: &[ChunkId],
         max_pages: usize,
         max_bytes: usize,
-        completed: impl Fn(&ChunkId) -> RangeSet,
+        content_of: impl Fn(&ChunkId) -> RangeSet,
     ) -> PageFlush {
         let mut flush = PageFlush::default();
         let mut budget = FlushBudget::new(max_pages, max_bytes);
         for chunk in changed {
-            let content = completed(chunk);
+            let content = content_of(chunk);
             let bytes = chunk.max_encoded_len(&content);
             let source = self.page_by_chunk.get(chunk).copied();
             let target = self.choose_page(chunk, source, bytes);
-            // A chunk that moves is removed from its page in the same transaction.
-            let touched: BTreeSet<u32> = source.into_iter().chain([target]).collect();
-            if self.is_any_indeterminate(&touched)
-                || !self.try_reserve(&mut budget, &touched, bytes)
+            // The transaction that writes a moved chunk also removes it from its former page.
+            let affected_pages: BTreeSet<u32> = source.into_iter().chain([target]).collect();
+            if self.is_any_indeterminate(&affected_pages)
+                || !self.try_reserve_for_chunk(&mut budget, &affected_pages, bytes)
             {
                 continue;
             }
@@ -171,8 +180,9 @@
         flush
     }
 
-    /// The page for a chunk of this encoded length: the one it is on if it still
-    /// fits or is alone there, else the first with enough space, else a new one.
+    /// Chooses a page for a chunk that takes at most `bytes`: the page `source` that it is
+    /// on if the chunk still fits or is alone there, else the first page with enough space,
+    /// else a new page.
     fn choose_page(&self, chunk: &ChunkId, source: Option<u32>, bytes: usize) -> u32 {
         let fits = |page: &CompletionPage, replaced_bytes: usize| {
             page.bytes - replaced_bytes + bytes <= self.max_page_bytes
@@ -185,8 +195,9 @@
             .filter(can_stay)
             .or_else(|| {
                 let mut pages = self.pages.iter();
-                let has_space =
-                    |(_, page): &(&u32, &CompletionPage)| !page.indeterminate && fits(page, 0);
+                let has_space = |(_, page): &(&u32, &CompletionPage)| {
+                    !page.version_indeterminate && fits(page, 0)
+                };
                 pages.find(has_space).map(|(number, _)| *number)
             })
             .unwrap_or_else(|| self.first_unused_page())
@@ -202,18 +213,18 @@
         pages.iter().any(|number| {
             self.pages
                 .get(number)
-                .is_some_and(|page| page.indeterminate)
+                .is_some_and(|page| page.version_indeterminate)
         })
     }
 
-    /// Adds the pages that a chunk touches to a flush, if its limits allow.
-    fn try_reserve(
+    /// Adds the pages that the write of a chunk changes to a flush, if its limits allow.
+    fn try_reserve_for_chunk(
         &self,
         budget: &mut FlushBudget,
-        touched: &BTreeSet<u32>,
+        affected_pages: &BTreeSet<u32>,
         chunk_bytes: usize,
     ) -> bool {
-        let new_pages: Vec<u32> = touched.difference(&budget.pages).copied().collect();
+        let new_pages: Vec<u32> = affected_pages.difference(&budget.pages).copied().collect();
         let page_bytes: usize = new_pages
             .iter()
             .map(|number| self.pages.get(number).map_or(0, |page| page.bytes))
@@ -231,9 +242,9 @@
     }
 
     fn place_chunk(&mut self, chunk: &ChunkId, page: u32, completed: RangeSet) {
-        self.remove_chunk_from_its_page(chunk);
-        if let Some(others) = self.possible_pages.get_mut(chunk) {
-            others.remove(&page);
+        self.remove_chunk_from_assigned_page(chunk);
+        if let Some(possible_pages) = self.possible_pages.get_mut(chunk) {
+            possible_pages.remove(&page);
         }
         self.pages
             .entry(page)
@@ -242,7 +253,7 @@
         self.page_by_chunk.insert(chunk.clone(), page);
     }
 
-    fn remove_chunk_from_its_page(&mut self, chunk: &ChunkId) {
+    fn remove_chunk_from_assigned_page(&mut self, chunk: &ChunkId) {
         if let Some(page) = self.page_by_chunk.remove(chunk) {
             self.remove_chunk_from(page, chunk);
         }
@@ -254,21 +265,21 @@
         }
     }
 
-    /// Removes a chunk from the further pages that it may be on.
-    fn remove_chunk_elsewhere(&mut self, chunk: &ChunkId) {
+    /// Removes a chunk from the pages that it may be on besides its assigned page.
+    fn remove_chunk_from_possible_pages(&mut self, chunk: &ChunkId) {
         for page in self.possible_pages.remove(chunk).unwrap_or_default() {
             self.remove_chunk_from(page, chunk);
         }
     }
 
-    /// Removes a chunk from all pages that it may be on.
+    /// Removes a chunk from its assigned page and all others that it may be on.
     fn remove_chunk_everywhere(&mut self, chunk: &ChunkId) {
-        self.remove_chunk_from_its_page(chunk);
-        self.remove_chunk_elsewhere(chunk);
+        self.remove_chunk_from_assigned_page(chunk);
+        self.remove_chunk_from_possible_pages(chunk);
     }
 
-    /// A job is over: its first `chunks` chunks are left out of the next write of
-    /// their pages.
+    /// Removes the first `chunks` chunks of a job that has ended. The next write of their
+    /// pages leaves them out.
     pub fn forget_job(&mut self, job: &str, chunks: u32) {
         for chunk in 0..chunks {
             self.remove_chunk_everywhere(&ChunkId {
@@ -278,7 +289,7 @@
         }
     }
 
-    /// Keeps only the chunks of jobs that are open.
+    /// Removes the chunks of jobs for which `is_open` is false.
     pub fn retain_jobs(&mut self, is_open: impl Fn(&str) -> bool) {
         let closed: Vec<ChunkId> = self
             .page_by_chunk
@@ -291,18 +302,20 @@
         }
     }
 
-    /// Writes that remove pages without chunks, at most `limit`.
+    /// Returns at most `limit` writes that remove stored pages without chunks.
     #[must_use]
     pub fn empty_page_removals(&self, limit: usize) -> Vec<PageWrite> {
         self.pages
             .iter()
-            .filter(|(_, page)| page.chunks.is_empty() && page.version > 0 && !page.indeterminate)
+            .filter(|(_, page)| {
+                page.chunks.is_empty() && page.version > 0 && !page.version_indeterminate
+            })
             .take(limit)
             .map(|(number, _)| self.page_write(*number))
             .collect()
     }
 
-    /// A write succeeded at `revision`.
+    /// Records that a write was committed at `revision`.
     pub fn mark_written(&mut self, write: &PageWrite, revision: u64) {
         let Some(page) = self.pages.get_mut(&write.page) else {
             return;
@@ -311,22 +324,25 @@
         if page.version == 0 && page.chunks.is_empty() {
             self.pages.remove(&write.page);
         }
-        let is_settled = |chunk: &&ChunkId| self.page_by_chunk.get(*chunk) == Some(&write.page);
-        let settled: Vec<ChunkId> = self
+        let is_on_written_page =
+            |chunk: &&ChunkId| self.page_by_chunk.get(*chunk) == Some(&write.page);
+        let written_chunks: Vec<ChunkId> = self
             .possible_pages
             .keys()
-            .filter(is_settled)
+            .filter(is_on_written_page)
             .cloned()
             .collect();
-        for chunk in settled {
-            self.remove_chunk_elsewhere(&chunk);
+        for chunk in written_chunks {
+            self.remove_chunk_from_possible_pages(&chunk);
         }
     }
 
-    /// A flush failed: the chunks that it moved go back to their pages. If it is
-    /// `indeterminate` (it may have succeeded, or failed for a page's version) they are
-    /// kept on both pages, so that the next write of neither drops what the other
-    /// does not have.
+    /// Records that a flush failed or that its outcome is `indeterminate`.
+    ///
+    /// If it failed, the chunks that it was to move are assigned to their former pages
+    /// again. An `indeterminate` flush may have succeeded, or failed because the version of
+    /// a page differed: the chunks are kept on both pages, so that the next write of one
+    /// page does not drop a chunk that is not stored on the other.
     pub fn mark_flush_failed(&mut self, flush: &PageFlush, indeterminate: bool) {
         for moved in &flush.moved {
             let chunk = &moved.chunk;
@@ -349,31 +365,34 @@
         }
     }
 
-    /// These writes may have succeeded, or failed for a page's version.
+    /// Records that writes may have succeeded, or may have failed because the version of a
+    /// page differed.
     pub fn mark_indeterminate(&mut self, writes: &[PageWrite]) {
         for write in writes {
             if let Some(page) = self.pages.get_mut(&write.page) {
-                page.indeterminate = true;
+                page.version_indeterminate = true;
             }
         }
     }
 
-    /// Pages whose version must be read.
+    /// Returns the pages of which the version must be read before they are written again.
     #[must_use]
     pub fn indeterminate_pages(&self) -> Vec<u32> {
         self.pages
             .iter()
-            .filter(|(_, page)| page.indeterminate)
+            .filter(|(_, page)| page.version_indeterminate)
             .map(|(number, _)| *number)
             .collect()
     }
 
-    /// A page's version was read. A late write conditioned on the old version can't
-    /// succeed after the next one, which is conditioned on this version.
+    /// Records the version of a page that was read from the store.
+    ///
+    /// The next write is conditioned on this version. After it, a delayed write that is
+    /// conditioned on the old version can't succeed.
     pub fn resolve_version(&mut self, page: u32, version: u64) {
         if let Some(page) = self.pages.get_mut(&page) {
             page.version = version;
-            page.indeterminate = false;
+            page.version_indeterminate = false;
         }
     }
 }
--- a/crates/tallygauge-scheduler/src/completion_pages/page.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages/page.rs
@@ -13,12 +13,12 @@
 }
 
 impl ChunkId {
-    /// The chunk's key in a page's record, `JOB/CHUNK`.
+    /// Key of the chunk in the record of a page, `JOB/CHUNK`.
     pub(super) fn record_key(&self) -> String {
         format!("{}/{}", self.job, self.chunk)
     }
 
-    /// Reads a key of a page's record.
+    /// Parses a key of the record of a page; `None` if it is not of the form `JOB/CHUNK`.
     pub(super) fn from_record_key(key: &str) -> Option<Self> {
         let (job, chunk) = key.rsplit_once('/')?;
         Some(Self {
@@ -27,34 +27,34 @@
         })
     }
 
-    /// Upper bound of the bytes that the chunk takes in a page's record.
+    /// Upper bound of the bytes that the chunk takes in the JSON of a page.
     pub(super) fn max_encoded_len(&self, completed: &RangeSet) -> usize {
-        // Quotes, colon and comma; every range two numbers in brackets.
+        // 16 bytes for the slash, the chunk number, the quotes, the colon and the comma.
         self.job.len() + 16 + completed.max_encoded_len()
     }
 }
 
-/// A page's content as it is stored: completed ranges by `JOB/CHUNK`.
+/// Content of a page as it is stored: completed tasks by `JOB/CHUNK`.
 pub type CompletionPageRecord = BTreeMap<String, RangeSet>;
 
 /// A page as the leader knows it.
 #[derive(Debug, Clone, Default)]
 pub(super) struct CompletionPage {
-    /// Version of the stored record; 0: there is none.
+    /// Version of the stored record; 0: no record is stored.
     pub(super) version: u64,
-    /// A write whose result is unknown may have changed it: its version must be
-    /// read before the next write.
-    pub(super) indeterminate: bool,
-    /// Chunks with the content they had when they were last placed here. A write
-    /// includes chunks that it does not change, and those must have the size that
-    /// was accounted for.
+    /// Whether a write with an indeterminate outcome may have changed the stored record.
+    /// Its version must be read before the next write.
+    pub(super) version_indeterminate: bool,
+    /// Completed tasks of each chunk as of the last time it was placed on this page, not
+    /// its present ones: a write also includes chunks that it does not change, and their
+    /// size must be the one that `bytes` counts.
     pub(super) chunks: BTreeMap<ChunkId, RangeSet>,
-    /// Sum of the encoded lengths of the chunks.
+    /// Sum of the maximum encoded lengths of the chunks.
     pub(super) bytes: usize,
 }
 
 impl CompletionPage {
-    /// Puts a chunk with this content here, in place of what it had.
+    /// Adds a chunk, or replaces its content if it is on the page.
     pub(super) fn insert_chunk(&mut self, chunk: &ChunkId, completed: RangeSet) {
         self.remove_chunk(chunk);
         self.bytes += chunk.max_encoded_len(&completed);
