--- a/crates/tallygauge-scheduler/src/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/pending_reasons.rs
@@ -7,47 +7,48 @@
 };
 use tallygauge_protocol::workers::TaskState;
 
-/// One reason why tasks of a job do not run.
+/// A reason why tasks of a job are not running.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PendingReason {
-    /// The team uses as much as its limit allows.
+    /// The quota of the team does not allow another task of the job.
     TeamLimit {
-        /// CPUs that its tasks use.
+        /// CPUs that the tasks of the team use.
         cpus: f64,
-        /// CPUs that they may use at most.
+        /// Maximum of CPUs that they may use.
         max_cpus: f64,
-        /// GPUs that its tasks use.
+        /// GPUs that the tasks of the team use.
         gpus: f64,
-        /// GPUs that they may use at most.
+        /// Maximum of GPUs that they may use.
         max_gpus: f64,
     },
     /// No machine that the job may use has enough free resources for a task.
     InsufficientResources {
-        /// Usable machines that the job may use.
+        /// Number of machines that the job may use and that accept work.
         machines: usize,
-        /// Booting machines that it may use.
+        /// Number of machines that it may use and that are booting.
         booting: usize,
-        /// Machines it may use that are being returned or interrupted.
+        /// Number of machines that it may use and that are being returned to the cloud or
+        /// reclaimed by it.
         leaving: usize,
     },
     /// The cloud had no capacity for machines that the job may use.
     NoCloudCapacity {
-        /// Kinds of machines that were refused.
+        /// Number of kinds of machines for which the cloud had no capacity.
         kinds: usize,
-        /// Seconds until one of them is requested again.
+        /// Seconds until the first of them may be requested again.
         retry_in_s: f64,
     },
-    /// Machines have enough free resources for a task: the next round will use them,
-    /// after tasks that are ahead.
+    /// Machines have enough free resources for a task. The next scheduling round will use
+    /// them, first for the tasks that are ahead of this job.
     ResourcesAvailable {
         /// Number of such machines.
         machines: usize,
     },
-    /// Pending tasks of other jobs are ahead.
+    /// Pending tasks of other jobs are ahead of the tasks of this job.
     QueuedBehind {
-        /// Jobs.
+        /// Number of these other jobs.
         jobs: usize,
-        /// Tasks of these.
+        /// Number of their pending tasks that are ahead.
         tasks: usize,
     },
     /// Tasks failed and are in retry backoff.
@@ -56,15 +57,16 @@
         tasks: usize,
         /// Seconds until the first of them is retried.
         retry_in_s: f64,
-        /// Failures since the last success.
+        /// Failed attempts of the job since its last completed task.
         failures: u32,
     },
-    /// Tasks are placed, and their start is being recorded or sent to the worker.
+    /// Tasks are placed; their placement is being committed or their start command sent to
+    /// the worker.
     Starting {
         /// Number of tasks.
         tasks: usize,
     },
-    /// Tasks wait on their machine for the job's image to be fetched.
+    /// Tasks wait until their machine has fetched the image of the job.
     Fetching {
         /// Number of tasks.
         tasks: usize,
@@ -74,12 +76,12 @@
         /// Number of tasks.
         tasks: usize,
     },
-    /// Tasks are on machines that send no heartbeats; they count until their lease has
-    /// certainly expired.
+    /// Tasks are on machines that send no heartbeats. Such tasks occupy capacity until the
+    /// lease of their machine has certainly expired.
     Unreachable {
         /// Number of tasks.
         tasks: usize,
-        /// Seconds until the last lease has certainly expired.
+        /// Seconds until the last lease of these machines has certainly expired.
         lease_expires_in_s: f64,
     },
 }
@@ -89,41 +91,45 @@
 pub struct PendingExplanation {
     /// Tasks that are not placed.
     pub pending_tasks: usize,
-    /// Whether the job fits its team's guarantee.
+    /// Whether the job is within the guarantee of its team.
     pub within_guarantee: bool,
-    /// Reasons, the most important first.
+    /// Reasons, with the most important first.
     pub reasons: Vec<PendingReason>,
 }
 
-/// Machines that a job may use.
+/// Numbers of machines that a job may use, by state.
 #[derive(Default)]
 struct MachineCounts {
     usable: usize,
-    /// Usable ones with enough free resources for a task.
+    /// Those of the usable machines that have enough free resources for a task.
     with_free_resources: usize,
     booting: usize,
+    /// Being returned to the cloud or reclaimed by it.
     leaving: usize,
 }
 
-/// Tasks of a job that are on machines, by what keeps them from running.
+/// Numbers of tasks of a job that are placed but not running, by cause.
 #[derive(Default)]
-struct NotRunning {
+struct NotRunningCounts {
     starting: usize,
     fetching: usize,
     stopping: usize,
-    out_of_reach: usize,
-    /// Seconds until the last lease of those out of reach has certainly expired.
-    over_s: f64,
+    unreachable: usize,
+    /// Seconds until the last lease of the machines of the unreachable tasks has certainly
+    /// expired.
+    lease_expires_in_s: f64,
 }
 
-/// Place in the order of pending tasks, without age.
-struct Rank {
+/// The sort key of pending tasks in a scheduling round (`PlacementOrder`) without the time
+/// of acceptance: tasks within their team's guarantee come first, then those of higher
+/// utility per time.
+struct QueueOrder {
     within_guarantee: bool,
-    /// Utility per time, in 1/s.
+    /// Utility per time, in utility units per second.
     upt: f64,
 }
 
-impl Rank {
+impl QueueOrder {
     fn is_ahead_of(&self, other: &Self) -> bool {
         let by_guarantee = self.within_guarantee.cmp(&other.within_guarantee);
         by_guarantee.then(self.upt.total_cmp(&other.upt)) == Ordering::Greater
@@ -131,8 +137,9 @@
 }
 
 impl ClusterState {
-    /// Why tasks of an open job are not running; `None` if the job isn't open. Looks at
-    /// all machines and jobs once.
+    /// Explains why tasks of an open job are not running; `None` if the job isn't open.
+    ///
+    /// Takes time proportional to the number of machines and open jobs.
     #[must_use]
     pub fn explain_pending(&self, id: &str, now: f64) -> Option<PendingExplanation> {
         let job = self.jobs.get(id)?;
@@ -141,22 +148,22 @@
         let in_backoff: Vec<&ResumableTask> = job
             .resumable
             .values()
-            .filter(|r| r.not_before > now)
+            .filter(|task| task.not_before > now)
             .collect();
         let pending_tasks = job.pending.len() as usize + job.resumable.len();
         if pending_tasks > in_backoff.len() {
-            self.why_not_placed(job, &within_guarantee, now, &mut reasons);
+            self.explain_not_placed(job, &within_guarantee, now, &mut reasons);
         }
         if !in_backoff.is_empty() {
-            let ends = in_backoff.iter().map(|r| r.not_before);
-            let next = ends.fold(f64::MAX, f64::min);
+            let backoff_ends = in_backoff.iter().map(|task| task.not_before);
+            let first_end = backoff_ends.fold(f64::MAX, f64::min);
             reasons.push(PendingReason::Retry {
                 tasks: in_backoff.len(),
-                retry_in_s: next - now,
+                retry_in_s: first_end - now,
                 failures: job.consecutive_failures,
             });
         }
-        self.why_not_running(job, now, &mut reasons);
+        self.explain_not_running(job, now, &mut reasons);
         Some(PendingExplanation {
             pending_tasks,
             within_guarantee: within_guarantee.contains(id),
@@ -164,14 +171,14 @@
         })
     }
 
-    fn why_not_placed(
+    fn explain_not_placed(
         &self,
         job: &Job,
         within_guarantee: &HashSet<&str>,
         now: f64,
         reasons: &mut Vec<PendingReason>,
     ) {
-        reasons.extend(self.team_limit(job));
+        reasons.extend(self.team_limit_reason(job));
         let machines = self.count_machines(job, now);
         if machines.with_free_resources == 0 {
             reasons.push(PendingReason::InsufficientResources {
@@ -179,9 +186,9 @@
                 booting: machines.booting,
                 leaving: machines.leaving,
             });
-            reasons.extend(self.refused_kinds(job, now));
+            reasons.extend(self.no_cloud_capacity_reason(job, now));
         }
-        reasons.extend(self.tasks_ahead(job, within_guarantee, now));
+        reasons.extend(self.queued_behind_reason(job, within_guarantee, now));
         if machines.with_free_resources > 0 {
             reasons.push(PendingReason::ResourcesAvailable {
                 machines: machines.with_free_resources,
@@ -189,14 +196,15 @@
         }
     }
 
-    /// The team's limit, if it does not allow another task.
-    fn team_limit(&self, job: &Job) -> Option<PendingReason> {
+    /// The reason [`PendingReason::TeamLimit`], if the quota of the team does not allow
+    /// another task of the job.
+    fn team_limit_reason(&self, job: &Job) -> Option<PendingReason> {
         let spec = &job.spec;
         let team = &self.config.teams[job.team];
         let usage = &self.quota_usage[job.team];
-        let by_cpus = count_fitting(team.max_cpus - usage.cpus, spec.cpus);
-        let by_gpus = count_fitting(team.max_gpus - usage.gpus, spec.gpus);
-        (by_cpus.min(by_gpus) == 0).then_some(PendingReason::TeamLimit {
+        let tasks_by_cpus = count_fitting(team.max_cpus - usage.cpus, spec.cpus);
+        let tasks_by_gpus = count_fitting(team.max_gpus - usage.gpus, spec.gpus);
+        (tasks_by_cpus.min(tasks_by_gpus) == 0).then_some(PendingReason::TeamLimit {
             cpus: usage.cpus,
             max_cpus: team.max_cpus,
             gpus: usage.gpus,
@@ -209,7 +217,7 @@
         for worker in self.workers.values() {
             let (machine_type, zone) = (&worker.machine_type, &worker.zone);
             if !job.allows(machine_type, zone, worker.spot, &job.attempts_by_zone)
-                || !self.type_fits(machine_type, job)
+                || !self.task_fits_type(machine_type, job)
             {
                 continue;
             }
@@ -226,15 +234,16 @@
         counts
     }
 
-    /// Whether a task of the job fits an empty machine of the type.
-    fn type_fits(&self, machine_type: &str, job: &Job) -> bool {
+    /// Whether a task of the job fits an empty machine of this type.
+    fn task_fits_type(&self, machine_type: &str, job: &Job) -> bool {
         let machine_type = self.machine_types.get(machine_type);
         machine_type.is_some_and(|t| Resources::of_type(t).can_fit(&job.spec))
     }
 
-    /// Kinds of machines that the job may use and the cloud has refused of late.
-    fn refused_kinds(&self, job: &Job, now: f64) -> Option<PendingReason> {
-        let refused = self.capacity_backoff.iter().filter(|(kind, backoff)| {
+    /// The reason [`PendingReason::NoCloudCapacity`], if requests for kinds of machines that
+    /// the job may use are in backoff, since the cloud had no capacity.
+    fn no_cloud_capacity_reason(&self, job: &Job, now: f64) -> Option<PendingReason> {
+        let kinds_in_backoff = self.capacity_backoff.iter().filter(|(kind, backoff)| {
             backoff.until > now
                 && job.allows(
                     &kind.machine_type,
@@ -242,9 +251,9 @@
                     kind.spot,
                     &job.attempts_by_zone,
                 )
-                && self.type_fits(&kind.machine_type, job)
+                && self.task_fits_type(&kind.machine_type, job)
         });
-        let backoff_ends: Vec<f64> = refused.map(|(_, backoff)| backoff.until).collect();
+        let backoff_ends: Vec<f64> = kinds_in_backoff.map(|(_, backoff)| backoff.until).collect();
         let first_end = backoff_ends.iter().copied().reduce(f64::min)?;
         Some(PendingReason::NoCloudCapacity {
             kinds: backoff_ends.len(),
@@ -252,27 +261,28 @@
         })
     }
 
-    /// Pending tasks of other jobs that are ahead of the job's.
-    fn tasks_ahead(
+    /// The reason [`PendingReason::QueuedBehind`], if pending tasks of other jobs are ahead
+    /// of those of the job.
+    fn queued_behind_reason(
         &self,
         job: &Job,
         within_guarantee: &HashSet<&str>,
         now: f64,
     ) -> Option<PendingReason> {
-        let rank = |group: &TaskGroup| {
+        let order = |group: &TaskGroup| {
             let remaining_s = self.remaining_s(group.job, group.checkpointed_s());
-            Rank {
+            QueueOrder {
                 within_guarantee: within_guarantee.contains(group.job.spec.id.as_str()),
                 upt: self.utility(group.job, now + remaining_s * 0.5) / remaining_s,
             }
         };
-        let own = rank(&TaskGroup {
+        let own = order(&TaskGroup {
             job,
             resumable: None,
         });
         let groups = self.pending_groups(now).groups;
         let is_ahead =
-            |group: &&TaskGroup| group.job.spec.id != job.spec.id && rank(group).is_ahead_of(&own);
+            |group: &&TaskGroup| group.job.spec.id != job.spec.id && order(group).is_ahead_of(&own);
         let (mut jobs, mut tasks) = (BTreeSet::new(), 0);
         for group in groups.iter().filter(is_ahead) {
             jobs.insert(group.job.spec.id.as_str());
@@ -284,14 +294,14 @@
         })
     }
 
-    fn why_not_running(&self, job: &Job, now: f64, reasons: &mut Vec<PendingReason>) {
+    fn explain_not_running(&self, job: &Job, now: f64, reasons: &mut Vec<PendingReason>) {
         let tasks = self.count_not_running(job, now);
-        let by_count = [
+        let counted_reasons = [
             (
-                tasks.out_of_reach,
+                tasks.unreachable,
                 PendingReason::Unreachable {
-                    tasks: tasks.out_of_reach,
-                    lease_expires_in_s: tasks.over_s,
+                    tasks: tasks.unreachable,
+                    lease_expires_in_s: tasks.lease_expires_in_s,
                 },
             ),
             (
@@ -313,21 +323,24 @@
                 },
             ),
         ];
-        let found = by_count.into_iter().filter(|(count, _)| *count > 0);
-        reasons.extend(found.map(|(_, reason)| reason));
+        let present = counted_reasons.into_iter().filter(|(count, _)| *count > 0);
+        reasons.extend(present.map(|(_, reason)| reason));
     }
 
-    fn count_not_running(&self, job: &Job, now: f64) -> NotRunning {
-        let mut tasks = NotRunning::default();
-        let names = job.attempts_by_worker.keys();
-        for worker in names.filter_map(|name| self.workers.get(name)) {
+    fn count_not_running(&self, job: &Job, now: f64) -> NotRunningCounts {
+        let mut tasks = NotRunningCounts::default();
+        let worker_names = job.attempts_by_worker.keys();
+        for worker in worker_names.filter_map(|name| self.workers.get(name)) {
             let silent_s = now - worker.last_heartbeat_at.max(self.term_started_at);
             let is_silent = silent_s >= self.config.heartbeat_timeout_s();
-            let is_of_job = |a: &&Attempt| a.spec.id == job.spec.id && a.occupies_capacity();
+            let is_of_job =
+                |attempt: &&Attempt| attempt.spec.id == job.spec.id && attempt.occupies_capacity();
             for attempt in worker.attempts.iter().filter(is_of_job) {
                 if is_silent {
-                    tasks.out_of_reach += 1;
-                    tasks.over_s = tasks.over_s.max(self.lease_expiry(worker) - now);
+                    tasks.unreachable += 1;
+                    tasks.lease_expires_in_s = tasks
+                        .lease_expires_in_s
+                        .max(self.lease_expiry(worker) - now);
                 } else if attempt.stop.is_some() {
                     tasks.stopping += 1;
                 } else {
--- a/crates/tallygauge-scheduler/src/tests/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/tests/pending_reasons.rs
@@ -1,52 +1,58 @@
-//! Reasons why tasks are pending.
+//! Tests of the reasons why tasks of a job are not running.
 
 use super::*;
 
-/// Reports all tasks on a machine as running.
-fn run_all(cluster: &mut ClusterState, machine: &str, seq: u64, now: f64) {
+/// Sends a heartbeat that reports all attempts on a machine as running.
+fn report_all_running(cluster: &mut ClusterState, machine: &str, sequence: u64, now: f64) {
     let attempts: Vec<TaskStatus> = cluster.workers[machine]
         .attempts
         .iter()
-        .filter(|h| h.occupies_capacity())
-        .map(|h| task(&h.task_name(), h.number, TaskState::Running, None))
+        .filter(|a| a.occupies_capacity())
+        .map(|a| task(&a.task_name(), a.number, TaskState::Running, None))
         .collect();
     cluster.apply_heartbeat(
         now,
-        &report(machine, 1, seq, TERM, attempts),
+        &report(machine, 1, sequence, TERM, attempts),
         HeartbeatSource::Periodic,
     );
 }
 
-/// Reports all tasks on a machine as ended.
-fn end_all(cluster: &mut ClusterState, machine: &str, seq: u64, cause: EndCause, now: f64) {
+/// Sends a heartbeat that reports all attempts on a machine as ended.
+fn report_all_ended(
+    cluster: &mut ClusterState,
+    machine: &str,
+    sequence: u64,
+    cause: EndCause,
+    now: f64,
+) {
     let attempts: Vec<TaskStatus> = cluster.workers[machine]
         .attempts
         .iter()
-        .filter(|h| h.occupies_capacity())
-        .map(|h| task(&h.task_name(), h.number, TaskState::Ended, Some(cause)))
+        .filter(|a| a.occupies_capacity())
+        .map(|a| task(&a.task_name(), a.number, TaskState::Ended, Some(cause)))
         .collect();
     cluster.apply_heartbeat(
         now,
-        &report(machine, 1, seq, TERM, attempts),
+        &report(machine, 1, sequence, TERM, attempts),
         HeartbeatSource::Periodic,
     );
 }
 
-fn codes(cluster: &ClusterState, id: &str, now: f64) -> Vec<&'static str> {
+fn reason_names(cluster: &ClusterState, id: &str, now: f64) -> Vec<&'static str> {
     let reasons = cluster.explain_pending(id, now).unwrap().reasons;
-    let code = |r: &PendingReason| match r {
-        PendingReason::TeamLimit { .. } => "limit",
-        PendingReason::InsufficientResources { .. } => "room",
-        PendingReason::NoCloudCapacity { .. } => "capacity",
-        PendingReason::ResourcesAvailable { .. } => "soon",
-        PendingReason::QueuedBehind { .. } => "behind",
+    let name = |reason: &PendingReason| match reason {
+        PendingReason::TeamLimit { .. } => "team limit",
+        PendingReason::InsufficientResources { .. } => "insufficient resources",
+        PendingReason::NoCloudCapacity { .. } => "no cloud capacity",
+        PendingReason::ResourcesAvailable { .. } => "resources available",
+        PendingReason::QueuedBehind { .. } => "queued behind",
         PendingReason::Retry { .. } => "retry",
         PendingReason::Starting { .. } => "starting",
         PendingReason::Fetching { .. } => "fetching",
         PendingReason::Stopping { .. } => "stopping",
-        PendingReason::Unreachable { .. } => "lost",
+        PendingReason::Unreachable { .. } => "unreachable",
     };
-    reasons.iter().map(code).collect()
+    reasons.iter().map(name).collect()
 }
 
 #[test]
@@ -54,30 +60,51 @@
     let mut cluster = cluster(&["sa"], 100.0);
     assert!(cluster.explain_pending("req-1", 100.0).is_none());
     cluster.add_job(spec(1, 2, 2.0), 1, 99.0, &RangeSet::default());
-    assert_eq!(codes(&cluster, "req-1", 100.0), ["soon"]);
+    assert_eq!(
+        reason_names(&cluster, "req-1", 100.0),
+        ["resources available"]
+    );
     round(&mut cluster, 100.0);
-    assert_eq!(codes(&cluster, "req-1", 100.0), ["starting"]);
-    run_all(&mut cluster, "sa", 2, 101.0);
-    assert!(codes(&cluster, "req-1", 101.0).is_empty(), "all run");
+    assert_eq!(reason_names(&cluster, "req-1", 100.0), ["starting"]);
+    report_all_running(&mut cluster, "sa", 2, 101.0);
+    assert!(
+        reason_names(&cluster, "req-1", 101.0).is_empty(),
+        "all tasks run, so there is no reason"
+    );
     let mut urgent = spec(2, 3, 2.0);
     urgent.priority = Priority::High;
     urgent.checkpoint_every_s = 0.0;
     cluster.add_job(urgent, 1, 101.0, &RangeSet::default());
     cluster.add_job(spec(3, 40, 2.0), 1, 101.0, &RangeSet::default());
-    assert_eq!(codes(&cluster, "req-2", 101.0), ["room"]);
-    assert_eq!(codes(&cluster, "req-3", 101.0), ["room", "behind"]);
+    assert_eq!(
+        reason_names(&cluster, "req-2", 101.0),
+        ["insufficient resources"]
+    );
+    assert_eq!(
+        reason_names(&cluster, "req-3", 101.0),
+        ["insufficient resources", "queued behind"]
+    );
     for rental in cluster.rentals(101.0) {
         cluster.record_no_capacity(&rental.kind, 101.0);
     }
-    assert_eq!(codes(&cluster, "req-2", 101.1), ["room", "capacity"]);
-    // A failure is tried again later; a silent machine is said to be one.
-    end_all(&mut cluster, "sa", 3, EndCause::Error, 102.0);
-    assert!(codes(&cluster, "req-1", 102.0).contains(&"retry"));
+    assert_eq!(
+        reason_names(&cluster, "req-2", 101.1),
+        ["insufficient resources", "no cloud capacity"]
+    );
+    // Failed tasks wait for their retry. A machine without heartbeats is unreachable.
+    report_all_ended(&mut cluster, "sa", 3, EndCause::Error, 102.0);
+    assert!(reason_names(&cluster, "req-1", 102.0).contains(&"retry"));
     round(&mut cluster, 102.0);
-    assert_eq!(codes(&cluster, "req-2", 160.0)[..1], ["room"]);
-    assert!(codes(&cluster, "req-2", 160.0).contains(&"lost"));
+    assert_eq!(
+        reason_names(&cluster, "req-2", 160.0)[..1],
+        ["insufficient resources"]
+    );
+    assert!(reason_names(&cluster, "req-2", 160.0).contains(&"unreachable"));
     let mut wide = spec(4, 20, 14.0);
     wide.machine_types = Some(vec!["large".into()]);
     cluster.add_job(wide, 1, 102.0, &RangeSet::default());
-    assert_eq!(codes(&cluster, "req-4", 102.0)[..1], ["room"]);
+    assert_eq!(
+        reason_names(&cluster, "req-4", 102.0)[..1],
+        ["insufficient resources"]
+    );
 }
