--- a/crates/tallygauge-scheduler/src/completion_pages.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages.rs
@@ -195,9 +195,8 @@
             .filter(can_stay)
             .or_else(|| {
                 let mut pages = self.pages.iter();
-                let has_space = |(_, page): &(&u32, &CompletionPage)| {
-                    !page.version_indeterminate && fits(page, 0)
-                };
+                let has_space =
+                    |(_, page): &(&u32, &CompletionPage)| !page.indeterminate && fits(page, 0);
                 pages.find(has_space).map(|(number, _)| *number)
             })
             .unwrap_or_else(|| self.first_unused_page())
@@ -210,11 +209,9 @@
     }
 
     fn is_any_indeterminate(&self, pages: &BTreeSet<u32>) -> bool {
-        pages.iter().any(|number| {
-            self.pages
-                .get(number)
-                .is_some_and(|page| page.version_indeterminate)
-        })
+        pages
+            .iter()
+            .any(|page| self.pages.get(page).is_some_and(|page| page.indeterminate))
     }
 
     /// Adds the pages that the write of a chunk changes to a flush, if its limits allow.
@@ -307,9 +304,7 @@
     pub fn empty_page_removals(&self, limit: usize) -> Vec<PageWrite> {
         self.pages
             .iter()
-            .filter(|(_, page)| {
-                page.chunks.is_empty() && page.version > 0 && !page.version_indeterminate
-            })
+            .filter(|(_, page)| page.chunks.is_empty() && page.version > 0 && !page.indeterminate)
             .take(limit)
             .map(|(number, _)| self.page_write(*number))
             .collect()
@@ -370,7 +365,7 @@
     pub fn mark_indeterminate(&mut self, writes: &[PageWrite]) {
         for write in writes {
             if let Some(page) = self.pages.get_mut(&write.page) {
-                page.version_indeterminate = true;
+                page.indeterminate = true;
             }
         }
     }
@@ -380,7 +375,7 @@
     pub fn indeterminate_pages(&self) -> Vec<u32> {
         self.pages
             .iter()
-            .filter(|(_, page)| page.version_indeterminate)
+            .filter(|(_, page)| page.indeterminate)
             .map(|(number, _)| *number)
             .collect()
     }
@@ -392,7 +387,7 @@
     pub fn resolve_version(&mut self, page: u32, version: u64) {
         if let Some(page) = self.pages.get_mut(&page) {
             page.version = version;
-            page.version_indeterminate = false;
+            page.indeterminate = false;
         }
     }
 }
--- a/crates/tallygauge-scheduler/src/completion_pages/page.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages/page.rs
@@ -44,7 +44,7 @@
     pub(super) version: u64,
     /// Whether a write with an indeterminate outcome may have changed the stored record.
     /// Its version must be read before the next write.
-    pub(super) version_indeterminate: bool,
+    pub(super) indeterminate: bool,
     /// Completed tasks of each chunk as of the last time it was placed on this page, not
     /// its present ones: a write also includes chunks that it does not change, and their
     /// size must be the one that `bytes` counts.
