--- a/crates/tallygauge-scheduler/examples/overload/day/mod.rs
+++ b/crates/tallygauge-scheduler/examples/overload/day/mod.rs
@@ -140,7 +140,7 @@
             self.deliver(&message, now);
         }
         self.record_completions(now);
-        let flush = self.cluster.next_flush(24, 49_152);
+        let flush = self.cluster.next_progress_flush(24, 49_152);
         if let Some(flush) = flush.filter(|_| step.is_multiple_of(4)) {
             self.cluster.record_flushed(&flush, 1);
         }
@@ -187,7 +187,7 @@
     }
 
     fn record_completions(&mut self, now: f64) {
-        for completion in self.cluster.completions(10_000, &BTreeSet::new()) {
+        for completion in self.cluster.job_completions(10_000, &BTreeSet::new()) {
             self.cluster.remove_job(&completion.job, now);
             if let Some(job) = self.jobs.get_mut(&completion.job) {
                 job.done_at = Some(now);
--- a/crates/tallygauge-scheduler/src/progress.rs
+++ b/crates/tallygauge-scheduler/src/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of jobs that is to be made durable: completed tasks, and completed jobs.
+//! Progress of jobs that has to be made durable: completed tasks and completed jobs.
 
 use crate::{
     cluster_state::ClusterState,
@@ -9,35 +9,39 @@
 
 /// A job whose tasks are all completed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Completion {
+pub struct JobCompletion {
     /// Id of the job.
     pub job: String,
-    /// Version of its record.
+    /// Version of the job's record.
     pub version: u64,
-    /// Number of its tasks.
+    /// Number of tasks of the job.
     pub tasks: u32,
 }
 
 /// Completed tasks to be made durable in one transaction.
 #[derive(Debug, Clone)]
-pub struct Flush {
-    /// Pages to be written.
+pub struct ProgressFlush {
+    /// Pages to write.
     pub pages: PageFlush,
-    /// Completed tasks of each changed chunk, as the pages have them.
+    /// Completed tasks of each changed chunk, as written in the pages.
     chunks: Vec<(ChunkId, RangeSet)>,
 }
 
 impl ClusterState {
-    /// Completed jobs whose completion is not durable, at most `limit`, without those
+    /// At most `limit` completed jobs whose completion is not durable. Skips the jobs
     /// `in_flight`, whose record is being written.
     #[must_use]
-    pub fn completions(&self, limit: usize, in_flight: &BTreeSet<String>) -> Vec<Completion> {
+    pub fn job_completions(
+        &self,
+        limit: usize,
+        in_flight: &BTreeSet<String>,
+    ) -> Vec<JobCompletion> {
         self.jobs_with_unsaved_progress
             .iter()
             .filter_map(|id| self.jobs.get(id))
             .filter(|job| job.is_complete() && !in_flight.contains(&job.spec.id))
             .take(limit)
-            .map(|job| Completion {
+            .map(|job| JobCompletion {
                 job: job.spec.id.clone(),
                 version: job.version,
                 tasks: job.spec.tasks,
@@ -45,12 +49,16 @@
             .collect()
     }
 
-    /// Progress of jobs that are not complete, as much as `max_pages` and `max_bytes`
-    /// allow; nothing if all is durable.
-    pub fn next_flush(&mut self, max_pages: usize, max_bytes: usize) -> Option<Flush> {
+    /// Progress to write of jobs that are not complete, as much as `max_pages` and
+    /// `max_bytes` allow; `None` if all of it is durable.
+    pub fn next_progress_flush(
+        &mut self,
+        max_pages: usize,
+        max_bytes: usize,
+    ) -> Option<ProgressFlush> {
         let mut changed: Vec<ChunkId> = Vec::new();
         for id in &self.jobs_with_unsaved_progress {
-            if let Some(job) = self.jobs.get(id).filter(|j| !j.is_complete()) {
+            if let Some(job) = self.jobs.get(id).filter(|job| !job.is_complete()) {
                 changed.extend(job.unsaved_chunks.iter().map(|chunk| ChunkId {
                     job: id.clone(),
                     chunk: *chunk,
@@ -76,11 +84,12 @@
             .iter()
             .map(|id| (id.clone(), content(id)))
             .collect();
-        Some(Flush { pages, chunks })
+        Some(ProgressFlush { pages, chunks })
     }
 
-    /// A flush succeeded at `revision`: workers may forget its tasks.
-    pub fn record_flushed(&mut self, flush: &Flush, revision: u64) {
+    /// Records that a flush succeeded at the store revision `revision`. Workers may then
+    /// forget the tasks in it.
+    pub fn record_flushed(&mut self, flush: &ProgressFlush, revision: u64) {
         for write in &flush.pages.writes {
             self.completion_pages.mark_written(write, revision);
         }
@@ -95,7 +104,7 @@
             }
             let saved = job
                 .unsaved_completions
-                .extract_if(.., |u| written.contains(u.index));
+                .extract_if(.., |completion| written.contains(completion.index));
             completions.extend(saved.map(|completion| (id.as_str(), completion)));
             if job.unsaved_chunks.is_empty() && !job.is_complete() {
                 self.jobs_with_unsaved_progress.remove(id);
@@ -106,7 +115,8 @@
         }
     }
 
-    /// The ended attempts of a task on a machine may be forgotten.
+    /// Marks the end of a task's ended attempts on a machine as durable, so that the
+    /// worker may forget them.
     fn mark_end_durable(&mut self, job_id: &str, index: u32, machine: &str) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
--- a/crates/tallygauge-scheduler/src/scale_out.rs
+++ b/crates/tallygauge-scheduler/src/scale_out.rs
@@ -118,12 +118,12 @@
         let Some(machine_type) = self.machine_types.get(&worker.machine_type) else {
             return false;
         };
-        let stays = worker.leaving.is_none() && worker.spot_notice_until.is_none();
+        let stays = worker.return_decision.is_none() && worker.spot_reclaim_at.is_none();
         let thresholds = self.config.reachability_thresholds();
         if !stays || !worker.reachability.accepts_work(now, &thresholds) {
             return false;
         }
-        if worker.is_up() {
+        if worker.has_reported() {
             now - worker.last_heartbeat_at < self.config.lease_s
         } else {
             now - worker.rented_at < machine_type.boot_s * MAX_BOOT_TIME_FACTOR
@@ -181,7 +181,7 @@
     /// tasks that are short compared with a boot, or that have slack to wait.
     fn load_per_task(&self, group: &TaskGroup, machine_type: &MachineType, now: f64) -> f64 {
         let run_s = self.remaining_s(group.job, group.checkpointed_s());
-        let boot_horizon_s = machine_type.boot_s * self.config.horizon_boots;
+        let boot_horizon_s = machine_type.boot_s * self.config.rental_horizon_boot_times;
         let horizon_s = boot_horizon_s.max(MAX_SLACK_SPENT * self.slack_s(group.job, run_s, now));
         (run_s / horizon_s).min(1.0)
     }
@@ -241,7 +241,7 @@
                         *relocatable.cpus_by_job.entry(id).or_default() += attempt.spec.cpus;
                     }
                 }
-                _ if worker.leaving.is_none() && worker.spot_notice_until.is_none() => {
+                _ if worker.return_decision.is_none() && worker.spot_reclaim_at.is_none() => {
                     relocatable.free_small_cpus += worker.free_resources.cpus;
                 }
                 _ => {}
--- a/crates/tallygauge-scheduler/src/tests/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/tests/pending_reasons.rs
@@ -12,7 +12,7 @@
         .collect();
     cluster.apply_heartbeat(
         now,
-        &report(machine, 1, sequence, TERM, attempts),
+        &heartbeat_from(machine, 1, sequence, TERM, attempts),
         HeartbeatSource::Periodic,
     );
 }
@@ -33,7 +33,7 @@
         .collect();
     cluster.apply_heartbeat(
         now,
-        &report(machine, 1, sequence, TERM, attempts),
+        &heartbeat_from(machine, 1, sequence, TERM, attempts),
         HeartbeatSource::Periodic,
     );
 }
