--- a/crates/tallygauge-scheduler/examples/overload/day/machines.rs
+++ b/crates/tallygauge-scheduler/examples/overload/day/machines.rs
@@ -8,7 +8,8 @@
 /// Run time that the last checkpoint of a task saved, in seconds, by task name.
 pub(super) type Checkpoints = HashMap<String, f64>;
 
-/// An attempt on a machine, from its start until the cluster state clears it.
+/// An attempt on a machine, from its start until a `Clear` command removes it or the agent
+/// restarts.
 struct RunningTask {
     status: TaskStatus,
     job: String,
