--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -68,7 +68,7 @@
             .collect();
         let pages = cluster
             .completion_pages
-            .empty_pages(max_records - batches.len());
+            .empty_page_removals(max_records - batches.len());
         ObsoleteRecords { batches, pages }
     })
 }
@@ -99,7 +99,7 @@
         }
         Ok(TransactionOutcome::Conflict { .. })
         | Err(StoreError::Indeterminate { .. } | StoreError::Malformed { .. }) => {
-            cluster.completion_pages.mark_in_doubt(&obsolete.pages)
+            cluster.completion_pages.mark_indeterminate(&obsolete.pages)
         }
         Ok(TransactionOutcome::LeaseExpired) | Err(StoreError::NotExecuted { .. }) => {}
     });
