--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -80,7 +80,7 @@
     let max_writes = max_writes(controller);
     loop {
         tokio::time::sleep(pause).await;
-        resolve_pages_in_doubt(controller).await;
+        resolve_indeterminate_pages(controller).await;
         let flush = controller
             .with_cluster(|cluster| {
                 cluster.next_progress_flush(max_writes, MAX_TRANSACTION_VALUE_BYTES)
@@ -218,10 +218,10 @@
     });
 }
 
-/// Reads the versions of pages that a write with an unknown outcome may have changed.
-async fn resolve_pages_in_doubt(controller: &Controller) {
+/// Reads the versions of pages that a write with an indeterminate outcome may have changed.
+async fn resolve_indeterminate_pages(controller: &Controller) {
     let pages = controller
-        .with_cluster(|cluster| cluster.completion_pages.pages_in_doubt())
+        .with_cluster(|cluster| cluster.completion_pages.indeterminate_pages())
         .unwrap_or_default();
     for page in pages {
         let key = completion_page_key(page);
