--- a/crates/tallygauge-sim/src/lib.rs
+++ b/crates/tallygauge-sim/src/lib.rs
@@ -2,9 +2,8 @@
 //! controllers are the real ones; the key-value store, the cloud, the workers and the users
 //! are simulated, and so is time.
 //!
-//! The simulated components are written against the protocols and share no state with the
-//! controllers. They track which task runs where and record a violation whenever an
-//! invariant breaks:
+//! The simulated components are written against the protocols only. They track which task runs
+//! where and record a violation whenever an invariant breaks:
 //! - a task runs twice at the same time;
 //! - a team exceeds its quota;
 //! - a task runs in a zone that its job does not allow;
--- a/crates/tallygauge-sim/src/scenario/checks.rs
+++ b/crates/tallygauge-sim/src/scenario/checks.rs
@@ -9,8 +9,8 @@
 /// tasks, in seconds.
 const MAX_WAIT_WITH_CAPACITY_S: f64 = 90.0;
 
-/// Longest time, in seconds, after the last fault or the last status reply in which no
-/// controller tells a user the status of a job.
+/// Time limit, in seconds after the last fault or the last status reply, within which some
+/// controller must tell a user the status of a job.
 const MAX_TIME_WITHOUT_STATUS_S: f64 = 75.0;
 
 /// Time limit, in seconds after the last fault, for all jobs to reach a final status; the
