--- a/crates/tallygauge-scheduler/src/placements.rs
+++ b/crates/tallygauge-scheduler/src/placements.rs
@@ -150,7 +150,7 @@
     /// Whether the attempt numbers of this term are used up: the leader must step
     /// down.
     #[must_use]
-    pub fn attempts_exhausted(&self) -> bool {
+    pub fn attempt_numbers_exhausted(&self) -> bool {
         self.last_attempt >> ATTEMPT_BITS > self.config.term
     }
 
--- a/crates/tallygauge-scheduler/src/tests/placement_batches.rs
+++ b/crates/tallygauge-scheduler/src/tests/placement_batches.rs
@@ -11,7 +11,7 @@
     let first_of_next = ClusterState::new(next, 100.0, 16, 4096).last_attempt;
     c.last_attempt = first_of_next - 4;
     c.run_round(100.0, true);
-    assert!(!c.attempts_exhausted());
+    assert!(!c.attempt_numbers_exhausted());
     assert!(
         c.workers["sa"]
             .attempts
@@ -19,7 +19,7 @@
             .all(|h| h.number < first_of_next)
     );
     c.next_attempt();
-    assert!(c.attempts_exhausted());
+    assert!(c.attempt_numbers_exhausted());
 }
 
 #[test]
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -61,7 +61,7 @@
         }
         let batches = run_round(controller, now, placements.has_capacity());
         // Nothing of this round is stored yet: no attempt number is used twice.
-        if controller.with_cluster(|cluster| cluster.attempts_exhausted()) == Some(true) {
+        if controller.with_cluster(|cluster| cluster.attempt_numbers_exhausted()) == Some(true) {
             controller.step_down("the term's attempts are used up");
             return;
         }
