--- a/crates/tallygauge-scheduler/src/mapping/mod.rs
+++ b/crates/tallygauge-scheduler/src/mapping/mod.rs
@@ -170,7 +170,7 @@
     /// Adds a planned attempt to its worker. It becomes durable with the next placement
     /// batch.
     fn place(&mut self, start: &PlannedStart, now: f64) {
-        let number = self.next_attempt();
+        let number = self.next_attempt_number();
         let Some(job) = self.jobs.get(&start.job) else {
             return;
         };
--- a/crates/tallygauge-scheduler/src/placements.rs
+++ b/crates/tallygauge-scheduler/src/placements.rs
@@ -142,7 +142,7 @@
     }
 
     /// A new attempt's number. Numbers never repeat, as the term is part of them.
-    pub(crate) fn next_attempt(&mut self) -> u64 {
+    pub(crate) fn next_attempt_number(&mut self) -> u64 {
         self.last_attempt += 1;
         self.last_attempt
     }
--- a/crates/tallygauge-scheduler/src/tests/placement_batches.rs
+++ b/crates/tallygauge-scheduler/src/tests/placement_batches.rs
@@ -18,7 +18,7 @@
             .iter()
             .all(|h| h.number < first_of_next)
     );
-    c.next_attempt();
+    c.next_attempt_number();
     assert!(c.attempt_numbers_exhausted());
 }
 
