--- a/crates/tallygauge-scheduler/src/commands.rs
+++ b/crates/tallygauge-scheduler/src/commands.rs
@@ -1,54 +1,54 @@
-//! Commands: what a worker should do now. They are sent in heartbeat responses and
-//! in direct messages.
+//! Commands to workers: start, stop or forget an attempt. They are sent in heartbeat
+//! responses and in direct messages.
 
 use crate::{cluster_state::ClusterState, model::*};
 use tallygauge_health::{Evidence, SequenceMark};
 use tallygauge_protocol::workers::{Command, TaskState};
 
-/// One in so many direct messages may be a probe.
-const PROBE_FRACTION: usize = 4;
+/// Of the direct messages that may be in flight, at most one in this many may be a probe.
+const MESSAGES_PER_PROBE: usize = 4;
 
-/// Consecutive failures of direct messages that lengthen the backoff.
-const MAX_COUNTED_FAILURES: u32 = 4;
+/// Consecutive failures of direct messages to a worker beyond which the backoff grows
+/// no further.
+const MAX_BACKOFF_FAILURES: u32 = 4;
 
 /// A direct message to a worker.
 #[derive(Debug, Clone)]
 pub struct DirectMessage {
     /// Name of the worker's machine.
     pub worker: String,
-    /// Its address.
+    /// Address of the worker.
     pub endpoint: String,
-    /// Agent incarnation that it is meant for.
+    /// Agent incarnation that the message is meant for.
     pub incarnation: u64,
-    /// Commands; empty if it only brings the fencing token, or probes.
+    /// Commands; empty if the message only carries the fencing token or is a probe
+    /// with nothing to execute.
     pub commands: Vec<Command>,
-    /// Attempts whose start is in it.
+    /// Numbers of the attempts that the commands start.
     pub started_attempts: Vec<u64>,
     /// The worker's newest message when this one was built: a live agent answers
     /// with a later one.
     pub sent_after: SequenceMark,
-    /// Whether it only probes that the worker is alive and reachable.
+    /// Whether the message is sent to learn whether the worker is alive and reachable.
     pub is_probe: bool,
 }
 
 /// Why a direct message is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MessagePurpose {
-    /// To bring our fencing token.
+    /// To show the worker this leader's fencing token.
     Fence,
-    /// To bring commands.
+    /// To deliver commands.
     Commands,
     /// To learn whether the worker is alive and reachable.
     Probe,
 }
 
-/// Direct messages that wait for an answer.
-///
-/// `probes` of the `total` are probes; both fall to 0 when all were answered or timed
-/// out.
+/// Numbers of direct messages that were neither answered nor have timed out.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightMessages {
     total: usize,
+    /// Probes among the `total`.
     probes: usize,
 }
 
@@ -81,7 +81,7 @@
             .filter(|attempt| attempt.incarnation == worker.incarnation)
             .filter_map(|attempt| attempt.command(now));
         let mut commands: Vec<Command> = orphans.chain(placed).collect();
-        // Capacity is freed before it is used.
+        // Commands that free capacity precede the starts that use it.
         commands.sort_by_key(|command| match command {
             Command::Clear { .. } => 0,
             Command::Stop { .. } => 1,
@@ -90,7 +90,8 @@
         commands
     }
 
-    /// Records that a heartbeat is answered with our token and these commands.
+    /// Records that the response to a heartbeat carries this leader's fencing token and
+    /// these commands.
     pub fn record_heartbeat_response(&mut self, machine: &str, commands: &[Command], now: f64) {
         let term = self.config.term;
         let Some(worker) = self.workers.get_mut(machine) else {
@@ -113,13 +114,17 @@
     }
 
     /// Direct messages that should be sent now: fencing tokens, starts that were not
-    /// sent yet, stops, and probes. Marks them as in flight. `spare` is the part, 0 to
-    /// 1, of the message limit that the process has time for: what is not
-    /// sent waits for the worker's next heartbeat, whose response carries the same.
-    pub fn take_direct_messages(&mut self, now: f64, spare: f64) -> Vec<DirectMessage> {
+    /// sent yet, stops, and probes. Marks them as in flight.
+    ///
+    /// `limit_fraction`, from 0 to 1, is the fraction of the limit of messages in flight
+    /// that the process has time for; at least one message may always be in flight.
+    /// Commands and tokens that are not sent now are in the response to the worker's
+    /// next heartbeat.
+    pub fn take_direct_messages(&mut self, now: f64, limit_fraction: f64) -> Vec<DirectMessage> {
         let mut messages = Vec::new();
-        let max_in_flight = ((self.config.max_direct_messages as f64 * spare) as usize).max(1);
-        let max_probes = max_in_flight.div_ceil(PROBE_FRACTION);
+        let max_in_flight =
+            ((self.config.max_direct_messages as f64 * limit_fraction) as usize).max(1);
+        let max_probes = max_in_flight.div_ceil(MESSAGES_PER_PROBE);
         let mut due = std::mem::take(&mut self.needs_direct_message).into_iter();
         while self.in_flight_messages.total < max_in_flight {
             let Some(machine) = due.next() else { break };
@@ -129,12 +134,13 @@
             let Some(purpose) = worker.direct_message_purpose() else {
                 continue;
             };
-            // Many workers may be unreachable at once: their probes must not delay
-            // starts. Their next heartbeats make them due again.
+            // Many workers may be unreachable at once, and probes of them must not delay
+            // starts. The next heartbeat of a skipped worker makes it due again.
             if purpose == MessagePurpose::Probe && self.in_flight_messages.probes >= max_probes {
                 continue;
             }
-            // Those that can't have a message now are looked at again.
+            // A worker that has a message in flight or is in backoff is checked again
+            // in the next call.
             if worker.direct_message_in_flight || now < worker.next_direct_message_at {
                 self.needs_direct_message.insert(machine);
                 continue;
@@ -174,8 +180,9 @@
         })
     }
 
-    /// A direct message was answered, or timed out (`answered` false): then its starts
-    /// may yet be executed, unless it was `never_sent` as no connection was made.
+    /// Records that a direct message was answered, or failed (`answered` is false). The
+    /// starts in a failed message may still be executed, unless the message was
+    /// `never_sent` because no connection was made.
     pub fn record_direct_message_result(
         &mut self,
         message: &DirectMessage,
@@ -195,13 +202,14 @@
             worker.direct_failures = 0;
         } else {
             worker.direct_failures += 1;
-            // It sends heartbeats, but does not receive.
+            // The worker sends heartbeats but does not answer: evidence that messages
+            // do not reach it.
             if now - worker.last_heartbeat_at < heartbeat_interval_s * 1.5 {
                 worker
                     .reachability
                     .record(Evidence::Unanswered, now, &thresholds);
             }
-            let doublings = worker.direct_failures.min(MAX_COUNTED_FAILURES) - 1;
+            let doublings = worker.direct_failures.min(MAX_BACKOFF_FAILURES) - 1;
             let backoff_s = heartbeat_interval_s * 0.5 * f64::from(1u32 << doublings);
             worker.next_direct_message_at = now + backoff_s;
         }
@@ -218,7 +226,8 @@
 }
 
 impl Worker {
-    /// Why the worker needs a direct message, if it does and can get one.
+    /// Why the worker should get a direct message; `None` if it needs none, has no known
+    /// endpoint, or is being returned.
     fn direct_message_purpose(&self) -> Option<MessagePurpose> {
         if self.endpoint.is_empty() || self.return_sent {
             return None;
@@ -231,13 +240,12 @@
         if is_fenced && is_alive && self.has_unsent_command() {
             return Some(MessagePurpose::Commands);
         }
-        let is_in_doubt = self.message_order.needs_liveness_probe()
+        let is_probe_due = self.message_order.needs_liveness_probe()
             || (is_fenced && self.reachability.needs_probe());
-        (is_alive && is_in_doubt).then_some(MessagePurpose::Probe)
+        (is_alive && is_probe_due).then_some(MessagePurpose::Probe)
     }
 
-    /// Whether a start was not sent yet, or a stop was decided on since the last
-    /// heartbeat.
+    /// Whether a start was not sent yet, or a stop was decided since the last heartbeat.
     fn has_unsent_command(&self) -> bool {
         self.attempts
             .iter()
@@ -253,8 +261,8 @@
             })
     }
 
-    /// Whether a command may be in a direct message. A start is in one direct message
-    /// at most, which may arrive late: heartbeat responses carry it again.
+    /// Whether a command may be sent in a direct message. A start is sent in at most one
+    /// direct message, as that may arrive late; heartbeat responses repeat the start.
     fn may_send_directly(&self, command: &Command) -> bool {
         match command {
             Command::Start { attempt, .. } => self
@@ -287,8 +295,9 @@
         started
     }
 
-    /// The incarnation that a direct message is meant for: that of the newest heartbeat,
-    /// or before the first heartbeat the newest one that an attempt was placed in.
+    /// The incarnation that a direct message is meant for: that of the newest heartbeat.
+    /// Before the first heartbeat, it is the newest incarnation in which an attempt was
+    /// placed, or 1 if there is none.
     fn addressed_incarnation(&self) -> u64 {
         if self.incarnation > 0 {
             return self.incarnation;
@@ -302,7 +311,7 @@
 }
 
 impl OrphanedAttempt {
-    /// The command that removes it from its worker.
+    /// The command that removes the attempt from its worker.
     fn command(&self) -> Command {
         let (task, attempt) = (self.task.clone(), self.attempt);
         if self.ended {
@@ -318,7 +327,7 @@
 }
 
 impl Attempt {
-    /// What its worker should do with it now, if anything.
+    /// What the worker should do with the attempt now, if anything.
     fn command(&self, now: f64) -> Option<Command> {
         let attempt = self.number;
         match (self.phase, self.stop) {
@@ -328,7 +337,8 @@
             }),
             (AttemptPhase::Recorded | AttemptPhase::Observed(_), Some(stop)) if self.start_sent => {
                 let grace_s = stop_grace_s(self, stop, now);
-                // One that saves already is stopped only if it must not go on.
+                // An attempt that is saving a checkpoint already is sent another stop
+                // only if that stop has no grace period.
                 let is_saving = self.phase == AttemptPhase::Observed(TaskState::Saving);
                 (!is_saving || grace_s == 0.0).then(|| Command::Stop {
                     task: self.task_name(),
@@ -345,13 +355,16 @@
     }
 }
 
-/// Grace period of a stop, in seconds: enough to save a checkpoint, or none.
+/// Grace period of a stop, in seconds: the declared time to save a checkpoint, or 0 if
+/// none can or should be saved.
 fn stop_grace_s(attempt: &Attempt, stop: StopDecision, now: f64) -> f64 {
     let can_save = attempt.spec.checkpoint_every_s > 0.0;
-    let is_progress_wanted = !matches!(stop.reason, StopReason::Cancelled | StopReason::Duplicate);
-    // A save that takes many times what was declared is cut off.
+    let should_keep_progress =
+        !matches!(stop.reason, StopReason::Cancelled | StopReason::Duplicate);
+    // A save that takes much longer than declared is aborted: the limit is four times
+    // the declared time, plus 5 s.
     let is_overdue = now - stop.at > attempt.spec.checkpoint_s * 4.0 + 5.0;
-    if can_save && is_progress_wanted && !is_overdue {
+    if can_save && should_keep_progress && !is_overdue {
         attempt.spec.checkpoint_s.max(0.001)
     } else {
         0.0
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -1,5 +1,5 @@
-//! Machines: which there are, when their leases expire, and which are to be returned
-//! to the cloud.
+//! Machines: registration, expiry of worker leases, and the decision to return a
+//! machine to the cloud.
 
 use crate::{cluster_state::ClusterState, events::ClusterEvent, model::*};
 use std::collections::{BTreeSet, HashMap};
@@ -9,40 +9,45 @@
     workers::TaskState,
 };
 
-/// Leases without contact after which a machine is returned.
-const SILENT_LEASES: f64 = 4.0;
+/// Longest time without contact (of a machine without attempts), or of being
+/// unreachable, in multiples of the worker lease: a machine is returned after that.
+const MAX_SILENCE_LEASES: f64 = 4.0;
 
-/// Boot times of its type after which a machine that never came up is returned.
-const BOOT_TIMEOUT_FACTOR: f64 = 4.0;
+/// Time after its rental when a machine that has not booted is returned, in multiples
+/// of its type's boot time.
+const BOOT_TIMEOUT_BOOT_TIMES: f64 = 4.0;
 
-/// Boot time of a machine whose type is not known.
+/// Boot time that is assumed if a machine's type is not known, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// Compared tasks after which a machine may be found slow.
-const SLOW_AFTER_TASKS: u32 = 3;
+/// Number of tasks whose run times must have been compared with those on other machines
+/// before a machine may be returned as slow.
+const MIN_COMPARED_TASKS: u32 = 3;
 
-/// Mean of its run times over those on other machines above which a machine is slow.
-const SLOW_RUNTIME_RATIO: f64 = 1.8;
+/// Mean ratio of the run times on a machine to those on other machines above which the
+/// machine is slow.
+const MAX_RUNTIME_RATIO: f64 = 1.8;
 
-/// Part of the cancel timeout after which a machine that has not confirmed the end of
-/// a cancelled attempt is returned.
-const UNCONFIRMED_TIMEOUT_PART: f64 = 0.7;
+/// Fraction of the cancel timeout after which a machine that has not confirmed the end
+/// of a cancelled attempt is returned.
+const UNCONFIRMED_TIMEOUT_FRACTION: f64 = 0.7;
 
-/// What the CPUs of machines that are up are used for, in CPUs.
+/// CPUs of the machines that have sent a heartbeat, by what they are used for.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct CpuUsage {
-    /// By tasks that are starting or being stopped.
+    /// Used by tasks that are starting or being stopped.
     pub starting: f64,
-    /// By tasks whose image is being fetched.
+    /// Used by tasks whose image is being fetched.
     pub fetching: f64,
-    /// By running tasks.
+    /// Used by running tasks.
     pub running: f64,
-    /// By none.
+    /// Not used by any task.
     pub free: f64,
 }
 
 impl ClusterState {
-    /// Adds a machine unless it is known. Fills in its endpoint if that is not known.
+    /// Adds a machine unless it is registered already, and sets its endpoint unless that
+    /// is known already.
     pub fn register_machine(
         &mut self,
         name: &str,
@@ -75,26 +80,27 @@
         }
     }
 
-    /// Applies a complete machine list that was requested at `asked_at`. A machine
-    /// that was known well before that, allowing for the list's lag, and is not in it
-    /// is gone: once listed, a machine stays listed until then. Returns the names of
-    /// those that are gone.
+    /// Applies a complete machine list that was requested at `requested_at`. A machine
+    /// that was known long enough before that, given the lag of the list, but is not
+    /// listed no longer exists: a machine stays listed for as long as it exists. Such
+    /// machines are deregistered; returns their names.
     pub fn apply_machine_list(
         &mut self,
         machines: &[Machine],
-        asked_at: f64,
+        requested_at: f64,
         now: f64,
     ) -> Vec<String> {
-        // The list shows all machines known at that time, and none gone by then.
-        let certain_before =
-            asked_at - 2.0 * self.config.list_lag_s - self.config.timing_margin_s();
+        // The list contains every machine that was known at this time, and none that had
+        // ceased to exist by then.
+        let accurate_until =
+            requested_at - 2.0 * self.config.list_lag_s - self.config.timing_margin_s();
         self.tombstones.expire(now);
         let mut listed = BTreeSet::new();
         for machine in machines {
             listed.insert(machine.name.as_str());
             if self
                 .tombstones
-                .overrules_listing(&machine.name, certain_before)
+                .overrules_listing(&machine.name, accurate_until)
             {
                 continue;
             }
@@ -121,7 +127,7 @@
         let gone: Vec<String> = self
             .workers
             .values()
-            .filter(|w| w.known_at < certain_before && !listed.contains(w.name.as_str()))
+            .filter(|w| w.known_at < accurate_until && !listed.contains(w.name.as_str()))
             .map(|w| w.name.clone())
             .collect();
         for name in &gone {
@@ -130,44 +136,45 @@
         gone
     }
 
-    /// A machine is certainly gone, with everything on it.
+    /// Removes a machine that certainly no longer exists, and ends its attempts.
     pub fn deregister_machine(&mut self, name: &str, now: f64) {
         self.end_incarnation(name, u64::MAX, now);
         self.tombstones.record_departure(name, now);
         self.workers.remove(name);
     }
 
-    /// When the lease of the worker's present incarnation expires at the latest, if no
+    /// Latest time at which the lease of the worker's current incarnation expires if no
     /// further heartbeat is answered.
     #[must_use]
     pub fn lease_expiry(&self, worker: &Worker) -> f64 {
-        let last_renewal = worker.fencing_token_seen_at.unwrap_or_else(|| {
-            // An earlier leader may have answered until it had to stop as it could not
-            // confirm its term.
+        let earlier_leaders_fenced_at = worker.fencing_token_seen_at.unwrap_or_else(|| {
+            // An earlier leader that could not confirm its term may have answered
+            // heartbeats until its fencing timeout.
             self.term_started_at + self.config.with_clock_drift(self.config.fence_s)
         });
         worker
             .lease_renewed_at
-            .max(last_renewal)
+            .max(earlier_leaders_fenced_at)
             .max(worker.incarnation_seen_at)
             + self.config.with_clock_drift(self.config.lease_s)
     }
 
-    /// Applies the passage of time: leases expire, spot notices run out, machines are
-    /// to be returned.
+    /// Applies the passage of time: ends attempts whose leases have expired, decides
+    /// which machines to return, and stops attempts on those and on machines that the
+    /// cloud is about to reclaim.
     pub fn advance_time(&mut self, now: f64) {
         self.expire_leases(now);
-        let unwanted: Vec<String> = self
+        let machines_to_check: Vec<String> = self
             .workers
             .values()
             .filter(|worker| {
                 worker.leaving.is_some()
                     || worker.spot_notice_until.is_some()
-                    || self.decommission_reason(worker, now).is_some()
+                    || self.return_reason(worker, now).is_some()
             })
             .map(|worker| worker.name.clone())
             .collect();
-        for machine in unwanted {
+        for machine in machines_to_check {
             self.stop_unwanted_attempts(&machine, now);
         }
     }
@@ -197,54 +204,56 @@
         }
     }
 
-    /// Why a machine should be returned, if it should.
-    fn decommission_reason(&self, worker: &Worker, now: f64) -> Option<LeaveReason> {
+    /// Why a machine should be returned to the cloud; `None` if it should be kept.
+    fn return_reason(&self, worker: &Worker, now: f64) -> Option<LeaveReason> {
         let config = &self.config;
-        // A new leader has had no heartbeat of any worker yet: that alone does not mean that
-        // an old machine never came up.
+        // A new leader has received no heartbeat from any worker yet, so a missing heartbeat
+        // alone does not mean that an old machine has failed to boot.
         if !worker.is_up() && worker.booted_at.is_none() {
             return self
                 .has_boot_timed_out(worker, now)
                 .then_some(LeaveReason::BootTimeout);
         }
-        // Whole zones are cut off for several leases and come back: until then others
-        // are rented where work needs them, but none is returned.
+        // Whole zones may be partitioned for several leases and recover. Until then, other
+        // machines are rented if pending work needs them, but none of the silent ones is
+        // returned.
         let last_contact = worker
             .last_heartbeat_at
             .max(worker.booted_at.unwrap_or(f64::NEG_INFINITY))
             .max(self.term_started_at);
-        let max_silence_s = config.lease_s * SILENT_LEASES;
+        let max_silence_s = config.lease_s * MAX_SILENCE_LEASES;
         if worker.attempts.is_empty() && now - last_contact > max_silence_s {
             return Some(LeaveReason::Silent);
         }
-        // The same holds for those that don't receive: a zone may be cut off in one
-        // direction.
+        // The same holds for machines that send heartbeats but receive nothing: a zone may
+        // be partitioned in one direction only.
         let unreachable_for = worker.reachability.unreachable_for(now);
         if unreachable_for.is_some_and(|s| s > max_silence_s) {
             return Some(LeaveReason::Unreachable);
         }
-        if worker.runtime_ratio.count >= SLOW_AFTER_TASKS
-            && worker.runtime_ratio.mean() > SLOW_RUNTIME_RATIO
+        if worker.runtime_ratio.count >= MIN_COMPARED_TASKS
+            && worker.runtime_ratio.mean() > MAX_RUNTIME_RATIO
         {
             return Some(LeaveReason::Slow);
         }
         has_unconfirmed_cancellation(worker, config, now).then_some(LeaveReason::Unconfirmed)
     }
 
-    /// Whether a machine that never came up has had enough time for it.
+    /// Whether a machine that has not booted has had enough time to, and this leader has
+    /// led for longer than a lease.
     fn has_boot_timed_out(&self, worker: &Worker, now: f64) -> bool {
         let boot_s = self
             .machine_types
             .get(&worker.machine_type)
             .map_or(DEFAULT_BOOT_S, |t| t.boot_s);
-        now - worker.rented_at > boot_s * BOOT_TIMEOUT_FACTOR
+        now - worker.rented_at > boot_s * BOOT_TIMEOUT_BOOT_TIMES
             && now - self.term_started_at > self.config.lease_s
     }
 
-    /// Stops the attempts that should not stay on a machine that is to be returned or
-    /// reclaimed; decides first whether it is to be returned.
+    /// Decides whether a machine is to be returned, and stops the attempts that must not
+    /// stay on a machine that is to be returned or that the cloud is about to reclaim.
     pub(crate) fn stop_unwanted_attempts(&mut self, machine: &str, now: f64) {
-        let reason = self.decommission_reason(&self.workers[machine], now);
+        let reason = self.return_reason(&self.workers[machine], now);
         let runtime_ratios = self.runtime_ratios_if_reclaimed(machine);
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
@@ -279,8 +288,8 @@
         }
     }
 
-    /// Measured over expected run times of the classes on a machine that has a spot
-    /// notice; empty for the others, which do not need them.
+    /// Ratio of measured to expected run time of each class that has an attempt on a
+    /// machine with a spot notice; empty for a machine without, which does not need it.
     fn runtime_ratios_if_reclaimed(&self, machine: &str) -> HashMap<String, f64> {
         let worker = &self.workers[machine];
         if worker.spot_notice_until.is_none() {
@@ -296,7 +305,7 @@
             .collect()
     }
 
-    /// What the CPUs of machines that are up are used for.
+    /// CPUs of the machines that have sent a heartbeat, by what they are used for.
     #[must_use]
     pub fn cpu_usage(&self) -> CpuUsage {
         let mut usage = CpuUsage::default();
@@ -315,14 +324,17 @@
     }
 }
 
-/// Whether a cancelled attempt is overdue on a machine that has sent a heartbeat since.
-/// One that has not was not answered either, so its lease expires in time: most such
-/// machines are in a zone that is cut off, with other jobs running.
+/// Whether a machine has sent a heartbeat since an attempt on it was cancelled but has
+/// not confirmed the attempt's end in time.
+///
+/// A machine without a heartbeat since the cancellation does not count. It was not
+/// answered either, so its lease expires in time; and most such machines are in a
+/// partitioned zone and run tasks of other jobs.
 fn has_unconfirmed_cancellation(worker: &Worker, config: &Config, now: f64) -> bool {
     let is_overdue = |stop: StopDecision| {
         stop.reason == StopReason::Cancelled
             && worker.last_heartbeat_at >= stop.at
-            && now - stop.at > config.cancel_timeout_s * UNCONFIRMED_TIMEOUT_PART
+            && now - stop.at > config.cancel_timeout_s * UNCONFIRMED_TIMEOUT_FRACTION
     };
     worker
         .attempts
@@ -330,28 +342,31 @@
         .any(|attempt| attempt.stop.is_some_and(is_overdue) && attempt.occupies_capacity())
 }
 
-/// Whether an attempt is to be stopped before its spot instance is reclaimed. One
-/// that saves checkpoints is stopped while there is time to save twice over, unless
-/// it will have ended by then. The notice may turn out half as long as announced, so
-/// it is acted on early.
+/// Whether an attempt must be stopped now, before its spot instance is reclaimed.
+///
+/// - An attempt that is not running yet is stopped.
+/// - An attempt that saves checkpoints is stopped while there is still time to save
+///   twice, unless it is expected to end within half of the remaining notice: the actual
+///   notice may be half as long as announced.
+/// - Any other attempt goes on.
 fn must_stop_before_reclaim(
     attempt: &Attempt,
     reclaimed_at: f64,
     runtime_ratio: f64,
     now: f64,
 ) -> bool {
-    let notice_left_s = reclaimed_at - now;
+    let remaining_notice_s = reclaimed_at - now;
     let remaining_s = (attempt.spec.expected_s * runtime_ratio
         - attempt.checkpointed_s
         - attempt.run_time_s(now))
     .max(0.0);
     let saves_checkpoints = attempt.spec.checkpoint_every_s > 0.0;
     let is_starting = attempt.running_since.is_none();
-    (saves_checkpoints && remaining_s > notice_left_s * 0.5) || is_starting
+    (saves_checkpoints && remaining_s > remaining_notice_s * 0.5) || is_starting
 }
 
-/// Whether an attempt is to be stopped so that its machine can be returned; else the
-/// machine waits for its end.
+/// Whether an attempt must be stopped so that its machine can be returned; otherwise the
+/// machine is kept until the attempt ends.
 fn must_stop_before_return(attempt: &Attempt, reason: LeaveReason) -> bool {
     let is_urgent = matches!(reason, LeaveReason::Unconfirmed | LeaveReason::Faulty);
     let saves_checkpoints = attempt.spec.checkpoint_every_s > 0.0;
--- a/crates/tallygauge-scheduler/src/placements.rs
+++ b/crates/tallygauge-scheduler/src/placements.rs
@@ -1,6 +1,6 @@
-//! Durable placements. The placements of a scheduling round go into few records,
-//! each written once and removed when all its attempts are over: a hundred starts
-//! take one write.
+//! Durable placements. The placements of a scheduling round are stored in batches: a few
+//! records, each written once and removed when all attempts in it are over. A hundred
+//! starts thus take one write.
 
 mod batch_builder;
 
@@ -12,18 +12,18 @@
 };
 use tallygauge_protocol::users::{JobSpec, Priority, Shape};
 
-/// A placement batch to be written under a name that was never used before.
+/// A placement batch to be stored under a name that has never been used before.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementBatch {
     /// Name: `TERM-NUMBER`.
     pub name: Arc<str>,
-    /// Content.
+    /// The value to be stored.
     pub record: PlacementBatchRecord,
-    /// The jobs in it, whose records must be unchanged when it is written.
+    /// The jobs in the batch. It is written only if their records are unchanged.
     pub jobs: Vec<JobVersion>,
 }
 
-/// A job's record that must be unchanged.
+/// Version that a job's record must have when a batch is written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobVersion {
     /// Id of the job.
@@ -35,12 +35,13 @@
 /// A job of a restored batch.
 struct RestoredJob {
     spec: Arc<JobSpec>,
-    /// Whether it is open; else its attempts are only counted until they are over.
-    is_open: bool,
+    /// Whether the job is active. Otherwise its attempts are cancelled, and count against
+    /// its team's quota until they are over.
+    is_active: bool,
 }
 
-/// The specification of a job that is over, as far as its attempts must still be
-/// counted.
+/// Stands in for the specification of a job that is over: only the id, the team and the
+/// resources are set, by which its remaining attempts are still counted.
 fn placeholder_spec(job: &PlacedJobRecord) -> JobSpec {
     JobSpec {
         id: job.id.clone(),
@@ -67,7 +68,7 @@
 }
 
 impl ClusterState {
-    /// Restores a batch of placements of an earlier leader, at the start of a term.
+    /// Restores a placement batch of an earlier leader, at the start of a term.
     pub fn restore_placements(
         &mut self,
         name: &str,
@@ -101,7 +102,7 @@
                 );
                 attempt.checkpointed_s = f64::from(task.checkpointed_s);
                 attempt.batch = Some(batch.clone());
-                if job.is_open {
+                if job.is_active {
                     self.mark_image_used(&placed.name, &job.spec);
                 } else {
                     attempt.request_stop(StopReason::Cancelled, now);
@@ -114,22 +115,23 @@
         }
     }
 
-    /// The jobs of a batch, in its order.
+    /// The jobs of a batch, in the order of its record.
     fn restored_jobs(&self, record: &PlacementBatchRecord) -> Vec<RestoredJob> {
         let restored = |placed: &PlacedJobRecord| match self.jobs.get(&placed.id) {
             Some(job) => RestoredJob {
                 spec: job.spec.clone(),
-                is_open: true,
+                is_active: true,
             },
             None => RestoredJob {
                 spec: Arc::new(placeholder_spec(placed)),
-                is_open: false,
+                is_active: false,
             },
         };
         record.jobs.iter().map(restored).collect()
     }
 
-    /// A machine has, or fetches, the image of a job that is placed on it.
+    /// Records that a machine uses the image of a job that was placed on it: the machine
+    /// has the image or is fetching it.
     fn mark_image_used(&mut self, machine: &str, spec: &JobSpec) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
@@ -141,21 +143,22 @@
             .mark_used(&spec.image, spec.image_gb, cache_gb);
     }
 
-    /// A new attempt's number. Numbers never repeat, as the term is part of them.
+    /// Allocates an attempt number. Numbers never repeat, as the term is part of them.
     pub(crate) fn next_attempt_number(&mut self) -> u64 {
         self.last_attempt += 1;
         self.last_attempt
     }
 
-    /// Whether the attempt numbers of this term are used up: the leader must step
+    /// Whether the attempt numbers of this term are used up, so that the leader must step
     /// down.
     #[must_use]
     pub fn attempt_numbers_exhausted(&self) -> bool {
         self.last_attempt >> ATTEMPT_BITS > self.config.term
     }
 
-    /// Takes the attempts that were placed or adopted and are not durable yet, as
-    /// batches of at most `max_bytes` each that name at most `max_jobs` jobs.
+    /// Takes the attempts that were placed or adopted and are in no batch yet. Returns
+    /// them as batches with records of at most `max_bytes` and at most `max_jobs` jobs
+    /// each.
     pub fn take_placement_batches(
         &mut self,
         max_bytes: usize,
@@ -197,7 +200,7 @@
         batches
     }
 
-    /// A batch is durable: its starts may be sent.
+    /// Records that a batch is durable: its attempts may be started.
     pub fn record_batch_committed(&mut self, batch: &PlacementBatch, now: f64) {
         for placed in &batch.record.workers {
             let Some(worker) = self.workers.get_mut(&placed.name) else {
@@ -214,9 +217,9 @@
             }
             self.needs_direct_message.insert(placed.name.clone());
         }
-        // Starts of attempts that were stopped while the batch was being written are
-        // never sent. All are counted before any is dropped: the batch must not become
-        // obsolete while attempts in it are still to be counted.
+        // Attempts that were stopped while the batch was being written are dropped without
+        // ever being started. All attempts of the batch have to be counted before any is
+        // dropped: otherwise the batch could become obsolete while some are uncounted.
         for placed in &batch.record.workers {
             self.drop_unsent_stops(&placed.name, now);
         }
@@ -225,7 +228,8 @@
         }
     }
 
-    /// Drops attempts that are to be stopped and whose start was never sent.
+    /// Drops the attempts on a machine that are to be stopped and whose start was never
+    /// sent.
     fn drop_unsent_stops(&mut self, machine: &str, now: f64) {
         let is_unsent = |attempt: &mut Attempt| {
             attempt.phase == AttemptPhase::Recorded && attempt.stop.is_some() && !attempt.start_sent
@@ -236,8 +240,8 @@
         }
     }
 
-    /// A batch was certainly not written, and never will be: nothing planned in it
-    /// starts.
+    /// Records that a batch was not written and never will be: the planned attempts in it
+    /// are dropped, and their tasks become pending again.
     pub fn record_batch_rejected(&mut self, batch: &PlacementBatch, now: f64) {
         for placed in &batch.record.workers {
             let machine = &placed.name;
@@ -248,7 +252,8 @@
                 self.release_attempt(machine, &attempt, now);
                 self.requeue(&attempt, attempt.checkpointed_s, machine, 0.0);
             }
-            // Attempts that run all the same must be recorded in a later batch.
+            // The batch may also contain attempts that were found running. They go on, and
+            // are recorded in a later batch.
             let Some(worker) = self.workers.get(machine) else {
                 continue;
             };
@@ -265,7 +270,7 @@
 }
 
 impl PlacementBatch {
-    /// Whether an attempt is among a worker's in this batch.
+    /// Whether this batch lists an attempt under the given worker.
     fn contains(&self, worker: &PlacedWorkerRecord, attempt: &Attempt) -> bool {
         let first = self.record.first_attempt;
         worker
--- a/crates/tallygauge-scheduler/src/placements/batch_builder.rs
+++ b/crates/tallygauge-scheduler/src/placements/batch_builder.rs
@@ -1,45 +1,50 @@
-//! Builds placement batches within the limits of a record.
+//! Builds placement batches that stay within the limits of a record.
 
 use super::{JobVersion, PlacementBatch};
 use crate::model::*;
 use std::collections::HashMap;
 use tallygauge_protocol::users::JobSpec;
 
-/// Upper bounds of the bytes around the values of a record's entries: keys, quotes,
-/// brackets and numbers.
+/// Upper bound of the encoded length of a task's entry in a record.
 const TASK_BYTES: usize = 32;
+
+/// Upper bound of the encoded length of a worker's entry without its strings and tasks:
+/// keys, quotes, brackets and numbers.
 const WORKER_BYTES: usize = 64;
+
+/// Upper bound of the encoded length of a job's entry without its strings: keys, quotes,
+/// brackets and numbers. Also covers the record itself without its entries.
 const JOB_BYTES: usize = 96;
 
-/// Limits of a batch.
+/// Upper limits of a batch.
 pub(super) struct BatchLimits {
-    /// Encoded length of its record.
+    /// Encoded length of the record.
     pub(super) max_bytes: usize,
-    /// Jobs that it names.
+    /// Number of jobs in the record.
     pub(super) max_jobs: usize,
 }
 
-/// Builds placement batches, attempt by attempt. A worker's attempts are added one
-/// after the other.
+/// Builds placement batches attempt by attempt. All attempts of a worker must be added
+/// before those of the next one.
 pub(super) struct BatchBuilder {
     term: u64,
-    /// Time of day of the placements, seconds.
+    /// Unix time of the placements, in seconds.
     placed_at: u64,
     limits: BatchLimits,
     last_batch_number: u64,
     /// Finished batches, and the one being filled.
     batches: Vec<PlacementBatch>,
-    /// Upper bound of the encoded length of the last batch; too much for any limit
-    /// while there is none.
-    bytes: usize,
-    /// Positions of the jobs in the last batch, by id.
+    /// Upper bound of the encoded length of the last batch; `usize::MAX`, which is above
+    /// any limit, while there is no batch.
+    encoded_bytes: usize,
+    /// Positions of the jobs in the record of the last batch, by id.
     job_positions: HashMap<String, usize>,
-    /// Whether the last batch has an entry for the present worker.
+    /// Whether the last batch has an entry for the current worker.
     has_worker_entry: bool,
 }
 
 impl BatchBuilder {
-    /// Builds batches of a term, numbered from after `last_batch_number`.
+    /// A builder of batches of a term. Their numbers follow `last_batch_number`.
     pub(super) fn new(
         term: u64,
         last_batch_number: u64,
@@ -52,31 +57,34 @@
             limits,
             last_batch_number,
             batches: Vec::new(),
-            bytes: usize::MAX,
+            encoded_bytes: usize::MAX,
             job_positions: HashMap::new(),
             has_worker_entry: false,
         }
     }
 
-    /// The attempts that follow are another worker's.
+    /// Begins the attempts of the next worker.
     pub(super) fn start_worker(&mut self) {
         self.has_worker_entry = false;
     }
 
-    /// The batches, and the number of the last one.
+    /// Returns the batches, and the number of the last one.
     pub(super) fn finish(self) -> (Vec<PlacementBatch>, u64) {
         (self.batches, self.last_batch_number)
     }
 
-    /// Adds an attempt, to a new batch if the last one has no space for it.
+    /// Adds an attempt to the last batch, or to a new one if it does not fit there.
     pub(super) fn add(&mut self, worker: &Worker, attempt: &Attempt, job_version: u64) {
-        let bytes = self.bytes_needed(worker, attempt);
-        let is_job_known = self.job_positions.contains_key(&attempt.spec.id);
-        let has_too_many_jobs = !is_job_known && self.job_positions.len() >= self.limits.max_jobs;
-        if self.bytes.saturating_add(bytes) > self.limits.max_bytes || has_too_many_jobs {
+        let added_bytes = self.added_bytes(worker, attempt);
+        let is_job_in_batch = self.job_positions.contains_key(&attempt.spec.id);
+        let has_too_many_jobs =
+            !is_job_in_batch && self.job_positions.len() >= self.limits.max_jobs;
+        if self.encoded_bytes.saturating_add(added_bytes) > self.limits.max_bytes
+            || has_too_many_jobs
+        {
             self.start_batch(attempt.number);
         }
-        self.bytes = self.bytes.saturating_add(bytes);
+        self.encoded_bytes = self.encoded_bytes.saturating_add(added_bytes);
         let Some(batch) = self.batches.last_mut() else {
             return;
         };
@@ -100,8 +108,8 @@
         }
     }
 
-    /// Upper bound of the bytes that an attempt takes in the last batch.
-    fn bytes_needed(&self, worker: &Worker, attempt: &Attempt) -> usize {
+    /// Upper bound of the bytes by which an attempt lengthens the last batch.
+    fn added_bytes(&self, worker: &Worker, attempt: &Attempt) -> usize {
         let mut bytes = TASK_BYTES;
         if !self.has_worker_entry {
             bytes += WORKER_BYTES
@@ -128,13 +136,14 @@
             jobs: Vec::new(),
         });
         self.job_positions.clear();
-        self.bytes = JOB_BYTES;
+        self.encoded_bytes = JOB_BYTES;
         self.has_worker_entry = false;
     }
 }
 
 impl PlacementBatch {
-    /// Adds a job with the version that its record must have. Returns its position.
+    /// Adds a job, with the version that its record must have when the batch is written.
+    /// Returns the job's position.
     fn add_job(&mut self, spec: &JobSpec, version: u64) -> usize {
         self.jobs.push(JobVersion {
             job: spec.id.clone(),
@@ -150,8 +159,8 @@
 }
 
 impl PlacementBatchRecord {
-    /// Makes sure that the first attempt is not above `number`; the others stay what
-    /// they are.
+    /// Lowers `first_attempt` to `number` if it is higher. The offsets of all tasks grow
+    /// by the difference, so that their attempt numbers stay the same.
     fn lower_first_attempt(&mut self, number: u64) {
         let Some(lowered_by) = self.first_attempt.checked_sub(number) else {
             return;
--- a/crates/tallygauge-scheduler/src/reachability.rs
+++ b/crates/tallygauge-scheduler/src/reachability.rs
@@ -1,9 +1,9 @@
-//! Reachability: whether what is sent to a worker arrives, judged by its heartbeats.
+//! Reachability: whether messages to a worker arrive, judged by its heartbeats.
 //!
-//! A worker may send heartbeats while nothing sent to it arrives, for example when a
-//! zone is cut off in one direction. A worker sends a heartbeat when it has received
-//! the response to the one before, or given up waiting for it; so a heartbeat shows
-//! whether the response before it arrived.
+//! A worker may send heartbeats while no message to it arrives, for example when its
+//! zone is partitioned in one direction. A worker sends its next heartbeat after it has
+//! received the response to the previous one, or has stopped waiting for it. A
+//! heartbeat therefore shows whether the response to the previous one arrived.
 
 use crate::{
     cluster_state::ClusterState, events::ClusterEvent, heartbeats::HeartbeatSource, model::*,
@@ -11,19 +11,19 @@
 use tallygauge_health::Evidence;
 use tallygauge_protocol::workers::Heartbeat;
 
-/// What a heartbeat tells of its worker's reachability.
+/// What a heartbeat shows about its worker's reachability.
 enum Assessment {
-    /// A response arrived.
+    /// A response has arrived.
     Reachable,
-    /// Something speaks against it.
-    Doubtful(Evidence),
-    /// Nothing.
+    /// There is evidence that a response has not arrived.
+    Suspect(Evidence),
+    /// It shows neither.
     Inconclusive,
 }
 
 impl ClusterState {
-    /// Assesses what a new heartbeat tells of its worker's reachability. Called
-    /// before the heartbeat is applied to the worker.
+    /// Updates a worker's reachability by a new heartbeat. Must be called before the
+    /// heartbeat is applied to the worker.
     pub(crate) fn assess_reachability(
         &mut self,
         now: f64,
@@ -43,7 +43,7 @@
         }
         match assessment {
             Assessment::Reachable => worker.confirm_reachable(),
-            Assessment::Doubtful(evidence) => {
+            Assessment::Suspect(evidence) => {
                 let thresholds = self.config.reachability_thresholds();
                 if worker.reachability.record(evidence, now, &thresholds) {
                     self.events.push(ClusterEvent::MachineUnreachable {
@@ -58,7 +58,8 @@
 }
 
 impl Worker {
-    /// What is sent to the worker arrives.
+    /// Records that messages to the worker arrive, and revokes the decision to return it
+    /// as unreachable.
     pub(crate) fn confirm_reachable(&mut self) {
         self.reachability.confirm();
         self.revoke_leave(&[LeaveReason::Unreachable]);
@@ -73,39 +74,39 @@
         let is_unacknowledged =
             heartbeat.token < config.term || has_unacknowledged_command(worker, heartbeat);
         return if is_unacknowledged {
-            Assessment::Doubtful(Evidence::NotAcknowledged)
+            Assessment::Suspect(Evidence::NotAcknowledged)
         } else {
             Assessment::Reachable
         };
     }
-    // An incarnation that has lasted for longer than a lease since has received a
-    // response.
-    let outlasted_lease = worker.reachability.unreachable_for(now).is_some_and(|s| {
+    // The incarnation has received a response if it has lasted for longer than a lease
+    // since the worker was found unreachable.
+    let has_outlasted_lease = worker.reachability.unreachable_for(now).is_some_and(|s| {
         s.min(now - worker.incarnation_seen_at) > config.with_clock_drift(config.lease_s)
     });
-    if outlasted_lease {
+    if has_outlasted_lease {
         Assessment::Reachable
     } else {
         Assessment::Inconclusive
     }
 }
 
-/// An incarnation whose heartbeats are all answered lasts for a lease from the last
-/// response, even if a few of them are lost: an earlier end speaks against the
-/// worker's reachability.
+/// Assesses a heartbeat that shows a new incarnation. An incarnation whose heartbeats
+/// are all answered lasts for a lease from the last response, even if a few responses
+/// are lost. If it has ended earlier, that is evidence that responses do not arrive.
 fn assess_new_incarnation(worker: &Worker, config: &Config, now: f64) -> Assessment {
     let earliest_expiry = worker.lease_renewed_at + config.lease_s
         - config.heartbeat_interval_s * 2.5
         - config.timing_margin_s();
     let is_steady = now - worker.heartbeats_steady_since > config.heartbeat_interval_s * 3.0;
     if now < earliest_expiry && is_steady {
-        Assessment::Doubtful(Evidence::LeaseExpired)
+        Assessment::Suspect(Evidence::LeaseExpired)
     } else {
         Assessment::Inconclusive
     }
 }
 
-/// Whether a heartbeat shows that a command of the last response was not executed.
+/// Whether a heartbeat shows that a command in the last response was not executed.
 fn has_unacknowledged_command(worker: &Worker, heartbeat: &Heartbeat) -> bool {
     let is_reported = |attempt: &Attempt| {
         heartbeat
--- a/crates/tallygauge-scheduler/src/reconciliation.rs
+++ b/crates/tallygauge-scheduler/src/reconciliation.rs
@@ -1,7 +1,9 @@
-//! Reconciliation of derived state: counts and sets that are kept up to date with
-//! every event are compared with what they are derived from, a bounded number of jobs
-//! and machines at a time, so that all are checked in the end. Differences are
-//! reported and repaired; there are none as long as everything else is correct.
+//! Reconciliation of derived state.
+//!
+//! Counts and sets that every event updates are compared with the state from which they
+//! are derived. Each call checks a bounded number of jobs and machines and continues
+//! where the last one stopped, so that all are checked in turn. Differences are reported
+//! and repaired; any difference is caused by a fault elsewhere.
 
 pub(crate) mod state;
 
@@ -11,11 +13,13 @@
     ops::Bound,
 };
 
-/// Difference of two amounts that rounding may cause.
+/// Largest difference of two amounts of a resource that is taken for a rounding error, in
+/// CPUs, GPUs or GB.
 const MAX_ROUNDING_ERROR: f64 = 1e-3;
 
-/// The next names after `last`, at most `limit`, and moves `last` on; it starts again
-/// from the beginning when there are no more.
+/// Returns up to `limit` names that follow `last`, and sets `last` to the last of them.
+/// Clears it if there are fewer than `limit`, so that the next call starts again from
+/// the beginning.
 fn next_names<T>(all: &BTreeMap<String, T>, last: &mut String, limit: usize) -> Vec<String> {
     let after = (Bound::Excluded(last.clone()), Bound::Unbounded);
     let names: Vec<String> = all.range(after).take(limit).map(|n| n.0.clone()).collect();
@@ -27,8 +31,8 @@
 }
 
 impl ClusterState {
-    /// Checks the next `limit` jobs and `limit` machines. Returns descriptions of the
-    /// differences, which are repaired.
+    /// Checks the next `limit` jobs and `limit` machines, and repairs the differences.
+    /// Returns their descriptions.
     pub fn reconcile(&mut self, limit: usize) -> Vec<String> {
         let mut differences = Vec::new();
         for name in next_names(&self.workers, &mut self.reconciliation.last_machine, limit) {
@@ -43,8 +47,8 @@
         differences
     }
 
-    /// Checks a machine's free resources against its attempts, and its jobs' counts of
-    /// attempts on it.
+    /// Checks a machine's free resources, and the counts that jobs have of their attempts
+    /// on it, against the attempts on the machine.
     fn reconcile_machine(&mut self, machine: &str, differences: &mut Vec<String>) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
@@ -60,7 +64,8 @@
                 || differs(free.memory_gb, recorded.memory_gb)
             {
                 differences.push(format!(
-                    "{machine} had {} CPUs free, not {}",
+                    "{machine}: free resources differ from those left by its attempts: \
+                     {} CPUs are free, {} were recorded",
                     free.cpus, recorded.cpus
                 ));
                 worker.free_resources = free;
@@ -75,15 +80,15 @@
                 && job.attempts_by_worker.get(machine) != Some(&count)
             {
                 differences.push(format!(
-                    "{job_id} did not know of {count} attempts on {machine}"
+                    "{job_id}: recorded count of attempts on {machine} was not {count}"
                 ));
                 job.attempts_by_worker.insert(machine.to_string(), count);
             }
         }
     }
 
-    /// Checks that each task of a job is done, on a machine, or pending, and that
-    /// completed tasks are on their way to be made durable.
+    /// Checks that each task of a job is completed, on a machine, or pending, and that
+    /// progress that is not durable yet is scheduled to be saved.
     fn reconcile_job(&mut self, job_id: &str, differences: &mut Vec<String>) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
@@ -93,25 +98,26 @@
         let has_unsaved_progress = job.is_complete() || !job.unsaved_chunks.is_empty();
         if has_unsaved_progress && !self.jobs_with_unsaved_progress.contains(job_id) {
             differences.push(format!(
-                "the end of tasks of {job_id} was not on its way to be kept"
+                "{job_id}: completed tasks were not scheduled to be saved"
             ));
             self.jobs_with_unsaved_progress.insert(job_id.to_string());
         }
     }
 
-    /// Ids of the open jobs.
+    /// Ids of the active jobs.
     #[must_use]
     pub fn active_job_ids(&self) -> BTreeSet<String> {
         self.jobs.keys().cloned().collect()
     }
 }
 
-/// Whether two amounts differ by more than sums of decimal amounts may.
+/// Whether two amounts differ by more than the rounding error of sums of decimal amounts.
 fn differs(a: f64, b: f64) -> bool {
     (a - b).abs() > MAX_ROUNDING_ERROR
 }
 
-/// Checks a job's counts of attempts against the workers that it is said to be on.
+/// Checks a job's counts of attempts against the attempts on the workers where it is
+/// recorded to have some.
 fn reconcile_attempt_counts(
     job: &mut Job,
     workers: &BTreeMap<String, Worker>,
@@ -135,13 +141,13 @@
     }
     for machine in missing_machines {
         differences.push(format!(
-            "{job_id} was thought to be on {machine}, which is gone"
+            "{job_id}: attempts were recorded on {machine}, which is not registered"
         ));
         job.attempts_by_worker.remove(&machine);
     }
     if attempts_by_task != job.attempts_by_task {
         differences.push(format!(
-            "{job_id} was thought to have {} tasks on machines, not {}",
+            "{job_id}: {} tasks were recorded on machines, {} are there",
             job.attempts_by_task.len(),
             attempts_by_task.len()
         ));
@@ -150,10 +156,10 @@
     job.attempts_by_zone = attempts_by_zone;
 }
 
-/// Checks that the tasks of a job that are neither completed nor on a machine are
-/// pending or resumable, and no others.
+/// Checks that exactly those tasks of a job are pending or resumable that are neither
+/// completed nor on a machine.
 fn reconcile_pending_tasks(job: &mut Job, differences: &mut Vec<String>) {
-    let waiting = job.pending.len() as usize + job.resumable.len();
+    let pending_or_resumable = job.pending.len() as usize + job.resumable.len();
     let placed = job
         .attempts_by_task
         .keys()
@@ -164,7 +170,7 @@
             || job.pending.contains(*task)
             || job.resumable.contains_key(task)
     });
-    if waiting + placed == job.unfinished() as usize && !overlaps {
+    if pending_or_resumable + placed == job.unfinished() as usize && !overlaps {
         return;
     }
     let mut pending = RangeSet::first(job.spec.tasks);
@@ -176,10 +182,11 @@
     for task in job.resumable.keys() {
         pending.remove(*task);
     }
-    // A completed task with a second attempt that is being stopped is no difference.
+    // A completed task may still have another attempt that is being stopped: that is no
+    // inconsistency.
     if pending != job.pending {
         differences.push(format!(
-            "{} had {} tasks that wait, not {}",
+            "{}: {} tasks are pending, {} were recorded",
             job.spec.id,
             pending.len(),
             job.pending.len()
--- a/crates/tallygauge-scheduler/src/reconciliation/state.rs
+++ b/crates/tallygauge-scheduler/src/reconciliation/state.rs
@@ -1,6 +1,7 @@
-//! What the cluster state keeps for reconciliation.
+//! State of reconciliation that is kept between its calls.
 
-/// Where the last reconciliation pass stopped.
+/// Where the last call stopped; the next one continues after it. Empty strings stand for
+/// the beginning.
 #[derive(Debug, Default)]
 pub(crate) struct ReconciliationCursor {
     /// Id of the last job that was checked.
