--- a/crates/tallygauge-scheduler/src/tests/placement_batches.rs
+++ b/crates/tallygauge-scheduler/src/tests/placement_batches.rs
@@ -1,4 +1,4 @@
-//! Placement batches and their attempts.
+//! Placement batches and the attempts in them.
 
 use super::*;
 
@@ -6,17 +6,17 @@
 fn attempt_numbers_are_exhausted_before_they_reach_the_next_term() {
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
-    let mut next = config();
-    next.term += 1;
-    let first_of_next = ClusterState::new(next, 100.0, 16, 4096).last_attempt;
-    c.last_attempt = first_of_next - 4;
+    let mut next_term_config = config();
+    next_term_config.term += 1;
+    let first_of_next_term = ClusterState::new(next_term_config, 100.0, 16, 4096).last_attempt;
+    c.last_attempt = first_of_next_term - 4;
     c.run_round(100.0, true);
     assert!(!c.attempt_numbers_exhausted());
     assert!(
         c.workers["sa"]
             .attempts
             .iter()
-            .all(|h| h.number < first_of_next)
+            .all(|attempt| attempt.number < first_of_next_term)
     );
     c.next_attempt_number();
     assert!(c.attempt_numbers_exhausted());
@@ -24,8 +24,8 @@
 
 #[test]
 fn placements_of_a_round_are_restored_from_their_batches() {
-    // However they are split into records, each holds to its limits, and a new
-    // leader finds every attempt where it was placed.
+    // Every record stays within its limits, and a new leader restores every attempt on the
+    // machine where it was placed.
     let names = mixed_machine_names(30);
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut c = cluster(&names, 100.0);
@@ -36,41 +36,43 @@
     assert_eq!(c.run_round(100.0, false).placed, 120);
     let batches = c.take_placement_batches(1500, 4, 1000.0);
     assert!(batches.len() > 3);
-    let mut next = cluster(&[], 200.0);
+    let mut next_leader = cluster(&[], 200.0);
     for n in 0..11 {
-        next.add_job(spec(n, 10, 1.0), 5, 190.0, &RangeSet::default());
+        next_leader.add_job(spec(n, 10, 1.0), 5, 190.0, &RangeSet::default());
     }
     for batch in &batches {
         assert!(serde_json::to_string(&batch.record).unwrap().len() <= 1500);
         assert!(batch.jobs.len() <= 4 && batch.jobs.iter().all(|j| j.version == 5));
         c.record_batch_committed(batch, 100.0);
-        next.restore_placements(&batch.name, &batch.record, 200.0, 1100.0);
+        next_leader.restore_placements(&batch.name, &batch.record, 200.0, 1100.0);
     }
     let placed_attempts = |c: &ClusterState| {
-        let mut out: Vec<(String, String, u64)> = c
+        let mut placed: Vec<(String, String, u64)> = c
             .workers
             .values()
-            .flat_map(|w| {
-                w.attempts
+            .flat_map(|worker| {
+                worker
+                    .attempts
                     .iter()
-                    .map(|h| (w.name.clone(), h.task_name(), h.number))
+                    .map(|attempt| (worker.name.clone(), attempt.task_name(), attempt.number))
             })
             .collect();
-        out.sort();
-        out
+        placed.sort();
+        placed
     };
     assert_eq!(placed_attempts(&c).len(), 120);
-    assert_eq!(placed_attempts(&c), placed_attempts(&next));
-    // The job that is over counts as well, until its attempts are certainly over.
-    assert!((next.quota_usage[0].cpus - 120.0).abs() < 1e-6);
-    assert_eq!(next.live_attempts_by_batch.len(), batches.len());
+    assert_eq!(placed_attempts(&c), placed_attempts(&next_leader));
+    // Attempts of the job that is over also count against the quota, until they are
+    // certainly over.
+    assert!((next_leader.quota_usage[0].cpus - 120.0).abs() < 1e-6);
+    assert_eq!(next_leader.live_attempts_by_batch.len(), batches.len());
 }
 
 #[test]
-fn batch_is_kept_while_one_of_its_jobs_runs_and_another_is_cancelled_during_the_write() {
-    // The first worker's attempts were dropped before the second's were
-    // counted: the batch became obsolete and was removed, and the next leader
-    // started again what still ran.
+fn batch_is_kept_for_a_running_job_if_another_is_cancelled_during_the_write() {
+    // Guards against dropping the attempts of the first worker before those of the second
+    // are counted: the batch becomes obsolete and is removed, and the next leader starts
+    // tasks again that still run.
     let mut c = cluster(&["sa", "s2b"], 100.0);
     c.add_job(spec(1, 1, 3.0), 1, 90.0, &RangeSet::default());
     c.add_job(spec(2, 1, 3.0), 1, 90.0, &RangeSet::default());
@@ -78,16 +80,23 @@
     let batch = c.take_placement_batches(4096, 60, 0.0).remove(0);
     assert_eq!(batch.record.workers.len(), 2);
     let first = &batch.record.workers[0];
-    let id = batch.record.jobs[first.tasks[0].job_position].id.clone();
-    c.remove_job(&id, 100.1);
+    let cancelled_id = batch.record.jobs[first.tasks[0].job_position].id.clone();
+    c.remove_job(&cancelled_id, 100.1);
     c.record_batch_committed(&batch, 100.2);
     let remaining: usize = c.workers.values().map(|w| w.attempts.len()).sum();
     assert_eq!(remaining, 1);
     assert_eq!(c.live_attempts_by_batch.get(&batch.name), Some(&1));
-    assert!(c.obsolete_batches.is_empty(), "its record is still needed");
-    // It becomes obsolete with its last attempt.
-    let other = if id == "req-1" { "req-2" } else { "req-1" };
-    c.remove_job(other, 100.3);
+    assert!(
+        c.obsolete_batches.is_empty(),
+        "the other job still needs the record"
+    );
+    // The batch becomes obsolete with its last attempt.
+    let other_id = if cancelled_id == "req-1" {
+        "req-2"
+    } else {
+        "req-1"
+    };
+    c.remove_job(other_id, 100.3);
     for name in ["sa", "s2b"] {
         c.apply_heartbeat(
             140.0,
@@ -100,30 +109,34 @@
 
 #[test]
 fn adopted_attempt_is_recorded_in_a_batch() {
-    // An attempt that runs but is missing from the records is accounted for by this
-    // leader, but the next one would start its task again.
+    // Guards against a second start of a task whose attempt runs but is in no record: this
+    // leader accounts for the attempt, but the next one would start the task again.
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 1, 1.0), 1, 90.0, &RangeSet::default());
-    let found = task("req-1/0", 77, TaskState::Running, None);
+    let unrecorded = task("req-1/0", 77, TaskState::Running, None);
     c.apply_heartbeat(
         101.0,
-        &report("sa", 1, 5, TERM, vec![found]),
+        &report("sa", 1, 5, TERM, vec![unrecorded]),
         HeartbeatSource::Periodic,
     );
     assert_eq!(
         c.run_round(101.0, true),
         RoundOutcome::default(),
-        "it is not placed again"
+        "the task is not placed again"
     );
     let batch = c.take_placement_batches(4096, 60, 0.0).remove(0);
     assert_eq!((batch.record.first_attempt, batch.jobs.len()), (77, 1));
-    assert!(c.take_placement_batches(4096, 60, 0.0).is_empty(), "once");
-    // If the batch is rejected, it stays on the machine and is recorded later.
+    assert!(
+        c.take_placement_batches(4096, 60, 0.0).is_empty(),
+        "only in one batch"
+    );
+    // If the batch is rejected, the attempt stays on the machine and is recorded in a later
+    // batch.
     c.record_batch_rejected(&batch, 101.5);
     assert_eq!(c.workers["sa"].attempts.len(), 1);
-    let again = c.take_placement_batches(4096, 60, 0.0).remove(0);
-    c.record_batch_committed(&again, 102.0);
-    assert_eq!(c.live_attempts_by_batch.get(&again.name), Some(&1));
+    let later_batch = c.take_placement_batches(4096, 60, 0.0).remove(0);
+    c.record_batch_committed(&later_batch, 102.0);
+    assert_eq!(c.live_attempts_by_batch.get(&later_batch.name), Some(&1));
     assert_eq!(
         c.workers["sa"].attempts[0].phase,
         AttemptPhase::Observed(TaskState::Running)
--- a/crates/tallygauge-scheduler/src/tests/reachability.rs
+++ b/crates/tallygauge-scheduler/src/tests/reachability.rs
@@ -1,9 +1,9 @@
-//! Unreachable machines, duplicate heartbeats, agents that restart.
+//! Unreachable machines, duplicate heartbeats and restarts of agents.
 
 use super::*;
 use tallygauge_health::Reachability;
 
-/// A simulated agent: what really happens on the machine.
+/// A simulated agent: the actual state of a machine, which the cluster state has to infer.
 struct SimulatedAgent {
     incarnation: u64,
     sequence: u64,
@@ -24,7 +24,7 @@
         }
     }
 
-    fn expire_lease(&mut self, now: f64) {
+    fn end_incarnation_if_lease_expired(&mut self, now: f64) {
         if now - self.lease_renewed_at > 20.0 {
             self.incarnation += 1;
             self.tasks.clear();
@@ -63,7 +63,8 @@
     }
 }
 
-/// One heartbeat of an agent and its response, which is lost if it `is_unreachable`.
+/// Exchanges one heartbeat of an agent and the response, which is lost if the agent
+/// `is_unreachable`.
 fn exchange_heartbeat(
     c: &mut ClusterState,
     agent: &mut SimulatedAgent,
@@ -71,7 +72,7 @@
     is_unreachable: bool,
     now: f64,
 ) {
-    agent.expire_lease(now);
+    agent.end_incarnation_if_lease_expired(now);
     let heartbeat = agent.report(name);
     c.advance_time(now);
     if c.apply_heartbeat(now, &heartbeat, HeartbeatSource::Periodic)
@@ -88,8 +89,8 @@
     }
 }
 
-/// Sends direct messages, which time out if the agent `is_unreachable`. Returns their
-/// number.
+/// Sends the direct messages that are due, which time out if the agent `is_unreachable`.
+/// Returns the number of messages.
 fn send_direct_messages(
     c: &mut ClusterState,
     agent: &mut SimulatedAgent,
@@ -108,38 +109,41 @@
     messages.len()
 }
 
-// A machine whose heartbeats arrived but that received nothing looked up, empty and
-// free: the same three tasks were placed on it again in each of its incarnations, 75
+// Guards against taking a machine that sends heartbeats but receives nothing for an
+// idle one: the same three tasks were placed on it again in each of its incarnations, 75
 // times in 500 s, and it was never returned.
 #[test]
 fn unreachable_machine_gets_no_more_work_and_is_returned_if_it_stays_so() {
     let mut c = cluster(&["sa"], 100.0);
     let mut agent = SimulatedAgent::new(100.0);
     c.add_job(spec(1, 3, 1.0), 1, 90.0, &RangeSet::default());
-    let (mut placed, mut last, mut left_at) = (0, 0.0, None);
+    let (mut placed, mut last_placed_at, mut return_decided_at) = (0, 0.0, None);
     for step in 0..125 {
         let now = 102.0 + f64::from(step) * 2.0;
         exchange_heartbeat(&mut c, &mut agent, "sa", true, now);
         send_direct_messages(&mut c, &mut agent, true, now);
-        let more = round(&mut c, now).len();
-        placed += more;
-        if more > 0 {
-            last = now;
+        let newly_placed = round(&mut c, now).len();
+        placed += newly_placed;
+        if newly_placed > 0 {
+            last_placed_at = now;
         }
-        if left_at.is_none() && c.workers["sa"].leaving.is_some() {
-            left_at = Some(now);
+        if return_decided_at.is_none() && c.workers["sa"].leaving.is_some() {
+            return_decided_at = Some(now);
         }
     }
-    assert_eq!(placed, 3, "once, before it could be known");
-    assert!(last < 110.0);
-    let lease = c.config.lease_s;
-    let left_at = left_at.expect("it stays unreachable and is returned");
-    assert!(left_at < 102.0 + lease * 6.0, "{left_at}");
+    assert_eq!(placed, 3, "only once, before there was evidence");
+    assert!(last_placed_at < 110.0);
+    let lease_s = c.config.lease_s;
+    let return_decided_at = return_decided_at.expect("it stays unreachable and is returned");
+    assert!(
+        return_decided_at < 102.0 + lease_s * 6.0,
+        "{return_decided_at}"
+    );
     assert_eq!(
-        c.workers["sa"].leaving.map(|l| l.reason),
+        c.workers["sa"].leaving.map(|decision| decision.reason),
         Some(LeaveReason::Unreachable)
     );
-    // Its incarnations ended, and its tasks are pending again.
+    // Its incarnations have ended, and the tasks are pending again.
     assert_eq!(c.jobs["req-1"].unfinished(), 3);
     assert!(c.jobs["req-1"].attempts_by_task.is_empty());
     assert!(
@@ -166,7 +170,7 @@
         Reachability::Unreachable { .. }
     ));
     assert!(c.workers["sa"].leaving.is_some());
-    // It is probed repeatedly, but not with each of its heartbeats.
+    // It is probed until it answers, but not at each of its heartbeats.
     let mut probes = 0;
     while now < 260.0 && c.workers["sa"].reachability.needs_probe() {
         now += 2.0;
@@ -182,10 +186,11 @@
 }
 
 // When a partition ends, delayed heartbeats arrive all at once: old ones are answered,
-// and a moment later the same machine shows its next incarnation. Taken as evidence,
-// that kept a hundred machines without work for as long as it took to probe them.
+// and a moment later the same machine shows its next incarnation. Guards against taking
+// that for evidence that responses are lost, which kept a hundred machines without work
+// until all had been probed.
 #[test]
-fn delayed_heartbeats_are_no_evidence() {
+fn delayed_heartbeats_are_no_evidence_of_an_unreachable_machine() {
     let mut c = cluster(&["sa"], 100.0);
     let mut agent = SimulatedAgent::new(100.0);
     for step in 0..10 {
@@ -209,9 +214,9 @@
     assert!(c.workers["sa"].accepts_work(180.1, &c.config));
 }
 
-// Unreachable machines do not count: machines are rented for pending tasks.
+// Unreachable machines do not count as capacity: others are rented for pending tasks.
 #[test]
-fn capacity_of_an_unreachable_machine_is_rented_elsewhere() {
+fn unreachable_machine_does_not_count_as_capacity() {
     let mut c = cluster(&["l1a"], 100.0);
     c.add_job(spec(1, 3, 4.0), 1, 90.0, &RangeSet::default());
     assert!(c.rentals(100.0).is_empty());
@@ -219,7 +224,7 @@
     assert!(!c.rentals(100.0).is_empty());
 }
 
-// One or two lost responses must not empty a fleet.
+// Guards against losing the whole fleet because of one or two lost responses.
 #[test]
 fn occasional_lost_responses_do_not_make_a_machine_unreachable() {
     let mut c = cluster(&["sa"], 100.0);
@@ -247,8 +252,8 @@
     }
 }
 
-// A machine's heartbeats arrive and a cancelled task on it can't be stopped: its
-// incarnation, which receives no response, is over before the cancel timeout.
+// The heartbeats of a machine arrive, but the stop of a cancelled task does not reach it.
+// As the incarnation receives no responses, its lease expires before the cancel timeout.
 #[test]
 fn cancelled_task_on_an_unreachable_machine_ends_within_the_cancel_timeout() {
     let mut c = cluster(&["sa"], 100.0);
@@ -258,10 +263,10 @@
     exchange_heartbeat(&mut c, &mut agent, "sa", false, 102.0);
     exchange_heartbeat(&mut c, &mut agent, "sa", false, 104.0);
     assert_eq!(agent.tasks.len(), 1);
-    let cancelled = 105.0;
-    c.remove_job("req-1", cancelled);
-    let (mut now, mut gone) = (cancelled, None);
-    while gone.is_none() {
+    let cancelled_at = 105.0;
+    c.remove_job("req-1", cancelled_at);
+    let (mut now, mut ended_at) = (cancelled_at, None);
+    while ended_at.is_none() {
         now += 2.0;
         exchange_heartbeat(&mut c, &mut agent, "sa", true, now);
         send_direct_messages(&mut c, &mut agent, true, now);
@@ -270,45 +275,45 @@
                 .iter()
                 .any(|machine| machine.name == "sa")
         {
-            gone = Some(now);
+            ended_at = Some(now);
         }
     }
     assert!(
-        gone.unwrap() - cancelled < c.config.cancel_timeout_s,
-        "{gone:?}"
+        ended_at.unwrap() - cancelled_at < c.config.cancel_timeout_s,
+        "{ended_at:?}"
     );
 }
 
-// A dead machine whose heartbeats arrived repeatedly, as duplicates, was answered each
-// time, and its tasks stayed on it for as long as duplicates arrived.
+// Guards against answering duplicate heartbeats of a dead machine, whose tasks would stay
+// on it for as long as duplicates arrive.
 #[test]
 fn duplicate_heartbeats_renew_no_lease_and_add_no_machine() {
     let mut c = cluster(&["sa", "l1a"], 100.0);
     let mut agent = SimulatedAgent::new(100.0);
     c.add_job(spec(1, 1, 3.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
-    let mut kept = Vec::new();
+    let mut duplicates = Vec::new();
     for now in [102.0, 104.0, 106.0] {
         exchange_heartbeat(&mut c, &mut agent, "sa", false, now);
-        kept.push(report("sa", 1, agent.sequence, TERM, agent.tasks.clone()));
+        duplicates.push(report("sa", 1, agent.sequence, TERM, agent.tasks.clone()));
     }
     assert_eq!(c.jobs["req-1"].attempts_by_task.len(), 1);
-    // It dies. Duplicates arrive every second.
-    let (mut now, mut free_at) = (106.0, None);
+    // The machine dies. Duplicates of its heartbeats arrive every second.
+    let (mut now, mut ended_at) = (106.0, None);
     while now < 200.0 {
         now += 1.0;
-        let copy = &kept[now as usize % kept.len()];
+        let duplicate = &duplicates[now as usize % duplicates.len()];
         let before = c
             .workers
             .get("sa")
             .map(|w| (w.lease_renewed_at, w.last_heartbeat_at));
-        let verdict = c.apply_heartbeat(now, copy, HeartbeatSource::Periodic);
+        let outcome = c.apply_heartbeat(now, duplicate, HeartbeatSource::Periodic);
         assert!(
             matches!(
-                verdict,
+                outcome,
                 HeartbeatOutcome::Stale | HeartbeatOutcome::DeadIncarnation
             ),
-            "{verdict:?}"
+            "{outcome:?}"
         );
         assert_eq!(
             c.workers
@@ -321,29 +326,30 @@
             c.record_direct_message_result(&message, false, false, now);
         }
         c.advance_time(now);
-        if free_at.is_none() && c.jobs["req-1"].attempts_by_task.is_empty() {
-            free_at = Some(now);
+        if ended_at.is_none() && c.jobs["req-1"].attempts_by_task.is_empty() {
+            ended_at = Some(now);
         }
     }
-    let over = 106.0 + c.config.with_clock_drift(c.config.lease_s);
+    let lease_expiry = 106.0 + c.config.with_clock_drift(c.config.lease_s);
     assert!(
-        free_at.is_some_and(|at| at > over && at < over + 1.5),
-        "{free_at:?}"
+        ended_at.is_some_and(|at| at > lease_expiry && at < lease_expiry + 1.5),
+        "{ended_at:?}"
     );
-    // Gone from the list, it adds no capacity, for several leases.
+    // Once the machine is deregistered, its duplicates do not register it again for
+    // several leases.
     c.deregister_machine("sa", 200.0);
-    for late in [201.0, 240.0, 290.0] {
+    for now in [201.0, 240.0, 290.0] {
         assert_eq!(
-            c.apply_heartbeat(late, &kept[2], HeartbeatSource::Periodic),
+            c.apply_heartbeat(now, &duplicates[2], HeartbeatSource::Periodic),
             HeartbeatOutcome::DeadIncarnation
         );
         assert!(!c.workers.contains_key("sa"));
     }
 }
 
-// An agent that restarted at incarnation 1 with a low sequence number was taken for a
-// late duplicate until its number had passed the old one: 89 heartbeats in a row, 222 s,
-// while its tasks stayed on it.
+// Guards against taking the heartbeats of an agent that restarted at incarnation 1, with a
+// low sequence number, for late duplicates until the number has passed the old one: for 89
+// heartbeats in a row, 222 s, its tasks stayed on it.
 #[test]
 fn liveness_probe_tells_a_restarted_agent_from_duplicate_heartbeats() {
     let mut c = cluster(&["sa", "sb"], 100.0);
@@ -356,10 +362,10 @@
         exchange_heartbeat(&mut c, &mut agent, "sa", false, now);
         send_direct_messages(&mut c, &mut agent, false, now);
     }
-    let there = agent.tasks.len();
-    assert!(there > 0);
+    let tasks_before = agent.tasks.len();
+    assert!(tasks_before > 0);
     let newest = c.workers["sa"].message_order.newest;
-    // It restarts within a fraction of a second, without its tasks.
+    // The agent restarts within a fraction of a second, without its tasks.
     agent = SimulatedAgent::new(now);
     (agent.sequence, agent.token) = (0, 0);
     let heartbeat = agent.report("sa");
@@ -370,9 +376,10 @@
     );
     assert_eq!(
         c.jobs["req-1"].attempts_by_task.len(),
-        there.max(c.jobs["req-1"].attempts_by_task.len())
+        tasks_before.max(c.jobs["req-1"].attempts_by_task.len())
     );
-    // It answers a probe with its own low sequence number, and with our token by then.
+    // It answers a probe with its own low sequence number, and with the fencing token that
+    // the probe carried.
     let messages = c.take_direct_messages(now, 1.0);
     let message = messages.iter().find(|m| m.worker == "sa").expect("probed");
     assert!(message.is_probe && message.commands.is_empty());
@@ -384,15 +391,15 @@
         c.apply_direct_reply(now, message, &reply),
         HeartbeatOutcome::DeadIncarnation
     );
-    let on = c.workers["sa"]
+    let occupying = c.workers["sa"]
         .attempts
         .iter()
-        .filter(|h| h.occupies_capacity())
+        .filter(|attempt| attempt.occupies_capacity())
         .count();
-    assert_eq!(on, 0, "its tasks are pending again at once");
+    assert_eq!(occupying, 0, "its tasks are pending again at once");
     assert!(!c.workers["sa"].accepts_work(now, &c.config));
-    // Duplicates from before the restart, of any number, change nothing.
-    let copy = report(
+    // Duplicates from before the restart, of any sequence number, change nothing.
+    let duplicate = report(
         "sa",
         1,
         newest.sequence + 1,
@@ -400,59 +407,65 @@
         vec![task("req-1/0", 77, TaskState::Running, None)],
     );
     assert_eq!(
-        c.apply_heartbeat(now + 0.1, &copy, HeartbeatSource::Periodic),
+        c.apply_heartbeat(now + 0.1, &duplicate, HeartbeatSource::Periodic),
         HeartbeatOutcome::DeadIncarnation
     );
     assert!(c.workers["sa"].attempts.is_empty());
-    // It is not answered, so it goes on with the next incarnation a lease later.
-    let since = now;
+    // Its heartbeats are not answered, so its next incarnation begins a lease later.
+    let restart_detected_at = now;
     while !c.workers["sa"].accepts_work(now, &c.config) {
         now += 1.0;
         exchange_heartbeat(&mut c, &mut agent, "sa", false, now);
         send_direct_messages(&mut c, &mut agent, false, now);
     }
-    assert!(now - since < c.config.lease_s + 4.0, "{}", now - since);
+    assert!(
+        now - restart_detected_at < c.config.lease_s + 4.0,
+        "{}",
+        now - restart_detected_at
+    );
 }
 
-// A start in a direct message that was never answered may still reach the restarted
-// agent, in the incarnation of the same number.
+// A start in a direct message that was not answered may still arrive after the agent has
+// restarted, and be executed in an incarnation of the same number. Until that can no
+// longer happen, the attempt must not be placed again.
 #[test]
-fn start_in_doubt_holds_its_attempt_when_the_agent_restarts() {
+fn attempt_whose_start_may_still_arrive_is_kept_when_the_agent_restarts() {
     let mut c = cluster(&["sa"], 100.0);
     c.add_job(spec(1, 2, 1.0), 1, 90.0, &RangeSet::default());
     round(&mut c, 100.0);
     let message = c.take_direct_messages(100.0, 1.0).remove(0);
     assert_eq!(message.started_attempts.len(), 2);
     c.record_direct_message_result(&message, false, false, 103.0);
-    let question = loop {
+    let probe = loop {
         c.apply_heartbeat(
             104.0,
             &report("sa", 1, 0, 0, vec![]),
             HeartbeatSource::Periodic,
         );
-        let mut due = c.take_direct_messages(104.0, 1.0);
-        if let Some(message) = due.pop() {
+        let mut messages = c.take_direct_messages(104.0, 1.0);
+        if let Some(message) = messages.pop() {
             break message;
         }
     };
-    c.record_direct_message_result(&question, true, false, 104.1);
-    c.apply_direct_reply(104.1, &question, &report("sa", 1, 1, TERM, vec![]));
+    c.record_direct_message_result(&probe, true, false, 104.1);
+    c.apply_direct_reply(104.1, &probe, &report("sa", 1, 1, TERM, vec![]));
     assert_eq!(
         c.jobs["req-1"].attempts_by_task.len(),
         2,
-        "on the machine until the incarnation is over"
+        "kept until the incarnation is over"
     );
-    // Timed out at 103, it may arrive for a lease, and run for another.
-    let lease = c.config.with_clock_drift(c.config.lease_s);
-    for now in [104.1 + lease + 0.1, 103.0 + 2.0 * lease - 0.1] {
+    // The message timed out at 103 s. It may arrive for one lease after that, and what it
+    // starts may run for another.
+    let lease_s = c.config.with_clock_drift(c.config.lease_s);
+    for now in [104.1 + lease_s + 0.1, 103.0 + 2.0 * lease_s - 0.1] {
         c.advance_time(now);
         assert_eq!(c.jobs["req-1"].attempts_by_task.len(), 2, "at {now}");
     }
-    c.advance_time(103.0 + 2.0 * lease + 0.1);
+    c.advance_time(103.0 + 2.0 * lease_s + 0.1);
     assert_eq!(c.jobs["req-1"].pending.len(), 2);
 }
 
-// Without a probe: an agent's fencing token never decreases while it lives.
+// No probe is needed: the fencing token of an agent never decreases while it runs.
 #[test]
 fn decreasing_fencing_token_shows_an_agent_restart() {
     let mut c = cluster(&["sa"], 100.0);
--- a/crates/tallygauge-scheduler/src/tests/reconciliation.rs
+++ b/crates/tallygauge-scheduler/src/tests/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Each kind of inconsistency, if present, is found and repaired.
+//! Reconciliation finds and repairs each kind of inconsistency.
 
 use super::*;
 
@@ -15,8 +15,8 @@
 fn reconcile_finds_no_difference_in_a_consistent_state() {
     let mut c = cluster_with_jobs();
     assert!(
-        c.jobs.values().any(|j| !j.attempts_by_task.is_empty())
-            && c.jobs.values().any(|j| !j.pending.is_empty())
+        c.jobs.values().any(|job| !job.attempts_by_task.is_empty())
+            && c.jobs.values().any(|job| !job.pending.is_empty())
     );
     for _ in 0..9 {
         assert_eq!(c.reconcile(2), Vec::<String>::new());
@@ -27,64 +27,72 @@
 fn reconcile_finds_and_repairs_every_kind_of_inconsistency_in_one_pass() {
     type Corrupt = fn(&mut ClusterState);
     let corruptions: [(&str, Corrupt); 8] = [
-        ("a task is pending nowhere", |c| {
-            let job = c.jobs.values_mut().find(|j| !j.pending.is_empty()).unwrap();
-            let n = job.pending.nth(0).unwrap();
-            job.pending.remove(n);
+        ("a task is neither pending nor on a machine", |c| {
+            let job = c
+                .jobs
+                .values_mut()
+                .find(|job| !job.pending.is_empty())
+                .unwrap();
+            let task = job.pending.nth(0).unwrap();
+            job.pending.remove(task);
         }),
         ("a task is pending and on a machine", |c| {
             let job = c
                 .jobs
                 .values_mut()
-                .find(|j| !j.attempts_by_task.is_empty())
+                .find(|job| !job.attempts_by_task.is_empty())
                 .unwrap();
-            let n = *job.attempts_by_task.keys().next().unwrap();
-            job.pending.insert(n);
+            let task = *job.attempts_by_task.keys().next().unwrap();
+            job.pending.insert(task);
         }),
-        ("a task is on no machine", |c| {
-            let job = c.jobs.values_mut().find(|j| !j.pending.is_empty()).unwrap();
-            let n = job.pending.nth(0).unwrap();
-            job.pending.remove(n);
-            job.attempts_by_task.insert(n, 1);
+        ("a recorded attempt does not exist", |c| {
+            let job = c
+                .jobs
+                .values_mut()
+                .find(|job| !job.pending.is_empty())
+                .unwrap();
+            let task = job.pending.nth(0).unwrap();
+            job.pending.remove(task);
+            job.attempts_by_task.insert(task, 1);
         }),
-        ("a machine that is gone", |c| {
+        ("a recorded machine does not exist", |c| {
             let job = c.jobs.values_mut().next().unwrap();
             job.attempts_by_worker.insert("host-9".into(), 1);
         }),
-        ("an attempt that the job does not know of", |c| {
+        ("attempts are missing in a job's counts", |c| {
             let job = c
                 .jobs
                 .values_mut()
-                .find(|j| !j.attempts_by_worker.is_empty())
+                .find(|job| !job.attempts_by_worker.is_empty())
                 .unwrap();
             job.attempts_by_worker.clear();
         }),
-        ("free resources are too low", |c| {
+        ("free resources of a machine are too low", |c| {
             c.workers.get_mut("sa").unwrap().free_resources.cpus -= 1.0;
         }),
-        ("an unsaved chunk of a job that is not to be saved", |c| {
+        ("an unsaved chunk will not be saved", |c| {
             let job = c.jobs.get_mut("req-1").unwrap();
             job.unsaved_chunks.insert(0);
         }),
-        ("a completed job that is not to be saved", |c| {
-            let done = RangeSet::first(2);
-            c.add_job(spec(7, 2, 1.0), 1, 0.0, &done);
+        ("a completed job will not be saved", |c| {
+            let completed = RangeSet::first(2);
+            c.add_job(spec(7, 2, 1.0), 1, 0.0, &completed);
             c.jobs_with_unsaved_progress.clear();
         }),
     ];
-    for (what, corrupt) in corruptions {
+    for (fault, corrupt) in corruptions {
         let mut c = cluster_with_jobs();
         corrupt(&mut c);
         let found: Vec<String> = (0..4).flat_map(|_| c.reconcile(2)).collect();
-        assert!(!found.is_empty(), "{what} was not found");
+        assert!(!found.is_empty(), "not found: {fault}");
         let again: Vec<String> = (0..4).flat_map(|_| c.reconcile(2)).collect();
-        assert!(again.is_empty(), "{what} was not repaired: {again:?}");
-        for j in c.jobs.values() {
-            let waits = j.pending.len() + j.resumable.len() as u32;
+        assert!(again.is_empty(), "not repaired: {fault}: {again:?}");
+        for job in c.jobs.values() {
+            let unplaced = job.pending.len() + job.resumable.len() as u32;
             assert_eq!(
-                j.completed.len() + j.attempts_by_task.len() as u32 + waits,
-                j.spec.tasks,
-                "{what}"
+                job.completed.len() + job.attempts_by_task.len() as u32 + unplaced,
+                job.spec.tasks,
+                "{fault}"
             );
         }
     }
--- a/crates/tallygauge-scheduler/src/tests/recovery.rs
+++ b/crates/tallygauge-scheduler/src/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery of a whole cluster from stored records, as a failover to a new
-//! version does it. The records are the golden ones of the daemon.
+//! Recovery of a whole cluster from stored records, as on a failover to a new version.
+//! The records are those of the daemon's golden file.
 
 use super::*;
 use serde::de::DeserializeOwned;
@@ -7,15 +7,16 @@
 
 const RECORDS: &str = include_str!("../../../tallygauge/tests/golden/records.txt");
 
-/// Time of day of the failover, seconds: ten after the first job's acceptance.
+/// Unix time of the failover, in seconds: 10 s after the first job was accepted.
 const TIME_OF_DAY: f64 = 1_750_000_010.5;
 
+/// The new leader's steady clock at the failover, in seconds.
 const NOW: f64 = 100.0;
 
-/// A stored record: rest of its key, its version and its value.
+/// A stored record: its key without the prefix, its version and its value.
 type Row = (&'static str, u64, Value);
 
-/// Records whose keys begin with a prefix.
+/// The stored records whose keys begin with a prefix.
 fn rows(prefix: &str) -> Vec<Row> {
     let lines = RECORDS.lines().filter_map(|line| line.strip_prefix(prefix));
     lines
@@ -35,7 +36,7 @@
     value(&rows(key)[0].2)
 }
 
-/// Loads the records in the order in which a new leader does.
+/// Restores the records in the same order as a new leader.
 fn recover() -> ClusterState {
     let mut cluster = cluster(&[], NOW);
     cluster.set_time_of_day(NOW, TIME_OF_DAY);
@@ -46,21 +47,24 @@
     );
     cluster.restore_deadline_tracker(stored_value("s/calendar"));
     cluster.set_priority_rules(stored_value("s/ledger"));
-    let mut done: HashMap<String, RangeSet> = HashMap::new();
+    let mut completed_by_job: HashMap<String, RangeSet> = HashMap::new();
     for (page, version, record) in rows("f/") {
         let page = page.parse().unwrap();
         for (chunk, ranges) in cluster
             .completion_pages
             .restore(page, version, value(&record))
         {
-            done.entry(chunk.job).or_default().extend(&ranges, u32::MAX);
+            completed_by_job
+                .entry(chunk.job)
+                .or_default()
+                .extend(&ranges, u32::MAX);
         }
     }
     for (id, version, record) in rows("o/") {
         let accepted_at = record["at"].as_f64().unwrap();
-        let finished = done.get(id).cloned().unwrap_or_default();
-        let ago = TIME_OF_DAY - accepted_at;
-        cluster.add_job(value(&record["spec"]), version, NOW - ago, &finished);
+        let completed = completed_by_job.get(id).cloned().unwrap_or_default();
+        let age_s = TIME_OF_DAY - accepted_at;
+        cluster.add_job(value(&record["spec"]), version, NOW - age_s, &completed);
         cluster.set_accepted_time_of_day(id, accepted_at);
     }
     let jobs = &cluster.jobs;
@@ -74,7 +78,7 @@
 }
 
 #[test]
-fn a_cluster_recovered_from_stored_records_has_its_jobs_progress_attempts_and_quota() {
+fn recovery_from_stored_records_restores_jobs_progress_attempts_and_quota_usage() {
     let cluster = recover();
 
     let jobs: Vec<(&str, u64, f64)> = cluster
@@ -97,20 +101,20 @@
             running: 1
         })
     );
-    let waiting = |id: &str| cluster.jobs[id].pending.iter().collect::<Vec<u32>>();
-    assert_eq!((waiting("req-1"), waiting("req-2")), (vec![5], vec![1]));
+    let pending = |id: &str| cluster.jobs[id].pending.iter().collect::<Vec<u32>>();
+    assert_eq!((pending("req-1"), pending("req-2")), (vec![5], vec![1]));
 
     let mut attempts: Vec<(String, &str, u64, u64, f64, bool)> = Vec::new();
     for worker in cluster.workers.values() {
-        attempts.extend(worker.attempts.iter().map(|h| {
-            let stopped = h.stop.is_some();
+        attempts.extend(worker.attempts.iter().map(|attempt| {
+            let is_stopping = attempt.stop.is_some();
             (
-                h.task_name(),
+                attempt.task_name(),
                 &*worker.name,
-                h.number,
-                h.incarnation,
-                h.checkpointed_s,
-                stopped,
+                attempt.number,
+                attempt.incarnation,
+                attempt.checkpointed_s,
+                is_stopping,
             )
         }));
     }
@@ -127,20 +131,23 @@
     );
     assert!(
         cluster.last_attempt > attempts[4].2,
-        "attempts never repeat"
+        "attempt numbers never repeat"
     );
 
-    let used: Vec<f64> = cluster.quota_usage.iter().map(|l| l.cpus).collect();
-    assert_eq!(used, [4.5, 3.0]);
+    let used_cpus: Vec<f64> = cluster.quota_usage.iter().map(|usage| usage.cpus).collect();
+    assert_eq!(used_cpus, [4.5, 3.0]);
 
     assert_eq!(
-        cluster.priority_rules().current().map(|e| e.number),
+        cluster
+            .priority_rules()
+            .current()
+            .map(|revision| revision.number),
         Some(1)
     );
     assert_eq!(
         serde_json::to_value(cluster.deadline_tracker()).unwrap()["m"][0],
         "night@1"
     );
-    let floor = serde_json::to_value(cluster.service_counts_record(4096)).unwrap();
-    assert_eq!(floor["t"][0][1], serde_json::json!([5, 1, 2, 1]));
+    let service_counts = serde_json::to_value(cluster.service_counts_record(4096)).unwrap();
+    assert_eq!(service_counts["t"][0][1], serde_json::json!([5, 1, 2, 1]));
 }
