--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -124,16 +124,16 @@
                 self.end_incarnation(&machine.name, u64::MAX, now);
             }
         }
-        let gone: Vec<String> = self
+        let nonexistent: Vec<String> = self
             .workers
             .values()
             .filter(|w| w.known_at < accurate_until && !listed.contains(w.name.as_str()))
             .map(|w| w.name.clone())
             .collect();
-        for name in &gone {
+        for name in &nonexistent {
             self.deregister_machine(name, now);
         }
-        gone
+        nonexistent
     }
 
     /// Removes a machine that certainly no longer exists, and ends its attempts.
@@ -193,10 +193,10 @@
                 continue;
             };
             let incarnations = worker.attempts.iter().map(|attempt| attempt.incarnation);
-            let last = incarnations.max().unwrap_or(0).max(worker.incarnation);
+            let last_incarnation = incarnations.max().unwrap_or(0).max(worker.incarnation);
             let lease_expiry = self.lease_expiry(worker);
             if let Some(worker) = self.workers.get_mut(&machine) {
-                worker.last_dead_incarnation = worker.last_dead_incarnation.max(last);
+                worker.last_dead_incarnation = worker.last_dead_incarnation.max(last_incarnation);
             }
             self.end_attempts(&machine, now, |attempt| {
                 now > attempt.certain_end(lease_expiry, lease_s)
@@ -356,13 +356,13 @@
     now: f64,
 ) -> bool {
     let remaining_notice_s = reclaimed_at - now;
-    let remaining_s = (attempt.spec.expected_s * runtime_ratio
+    let remaining_run_time_s = (attempt.spec.expected_s * runtime_ratio
         - attempt.checkpointed_s
         - attempt.run_time_s(now))
     .max(0.0);
     let saves_checkpoints = attempt.spec.checkpoint_every_s > 0.0;
     let is_starting = attempt.running_since.is_none();
-    (saves_checkpoints && remaining_s > remaining_notice_s * 0.5) || is_starting
+    (saves_checkpoints && remaining_run_time_s > remaining_notice_s * 0.5) || is_starting
 }
 
 /// Whether an attempt must be stopped so that its machine can be returned; otherwise the
--- a/crates/tallygauge-scheduler/src/placements.rs
+++ b/crates/tallygauge-scheduler/src/placements.rs
@@ -1,6 +1,6 @@
-//! Durable placements. The placements of a scheduling round are stored in batches: a few
-//! records, each written once and removed when all attempts in it are over. A hundred
-//! starts thus take one write.
+//! Durable placements. The placements of a scheduling round are stored in few records, the
+//! placement batches. Each is written once, and removed when all attempts in it are over:
+//! a hundred starts take one write.
 
 mod batch_builder;
 
@@ -221,7 +221,7 @@
         // ever being started. All attempts of the batch have to be counted before any is
         // dropped: otherwise the batch could become obsolete while some are uncounted.
         for placed in &batch.record.workers {
-            self.drop_unsent_stops(&placed.name, now);
+            self.drop_unsent_stopped_attempts(&placed.name, now);
         }
         if !self.live_attempts_by_batch.contains_key(&batch.name) {
             self.obsolete_batches.insert(batch.name.clone());
@@ -230,7 +230,7 @@
 
     /// Drops the attempts on a machine that are to be stopped and whose start was never
     /// sent.
-    fn drop_unsent_stops(&mut self, machine: &str, now: f64) {
+    fn drop_unsent_stopped_attempts(&mut self, machine: &str, now: f64) {
         let is_unsent = |attempt: &mut Attempt| {
             attempt.phase == AttemptPhase::Recorded && attempt.stop.is_some() && !attempt.start_sent
         };
@@ -272,10 +272,10 @@
 impl PlacementBatch {
     /// Whether this batch lists an attempt under the given worker.
     fn contains(&self, worker: &PlacedWorkerRecord, attempt: &Attempt) -> bool {
-        let first = self.record.first_attempt;
+        let first_attempt = self.record.first_attempt;
         worker
             .tasks
             .iter()
-            .any(|task| first + task.attempt_offset == attempt.number)
+            .any(|task| first_attempt + task.attempt_offset == attempt.number)
     }
 }
