--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -119,7 +119,9 @@
             if machine.state == MachineState::Running {
                 worker.booted_at.get_or_insert(now);
             }
-            if machine.state == MachineState::Failed && worker.leave(LeaveReason::Failed, now) {
+            if machine.state == MachineState::Failed
+                && worker.decide_return(ReturnReason::Failed, now)
+            {
                 worker.last_dead_incarnation = worker.last_dead_incarnation.max(worker.incarnation);
                 self.end_incarnation(&machine.name, u64::MAX, now);
             }
@@ -139,7 +141,7 @@
     /// Removes a machine that certainly no longer exists, and ends its attempts.
     pub fn deregister_machine(&mut self, name: &str, now: f64) {
         self.end_incarnation(name, u64::MAX, now);
-        self.tombstones.record_departure(name, now);
+        self.tombstones.record_deregistration(name, now);
         self.workers.remove(name);
     }
 
@@ -150,7 +152,7 @@
         let earlier_leaders_fenced_at = worker.fencing_token_seen_at.unwrap_or_else(|| {
             // An earlier leader that could not confirm its term may have answered
             // heartbeats until its fencing timeout.
-            self.term_started_at + self.config.with_clock_drift(self.config.fence_s)
+            self.term_started_at + self.config.with_clock_drift(self.config.fencing_timeout_s)
         });
         worker
             .lease_renewed_at
@@ -168,8 +170,8 @@
             .workers
             .values()
             .filter(|worker| {
-                worker.leaving.is_some()
-                    || worker.spot_notice_until.is_some()
+                worker.return_decision.is_some()
+                    || worker.spot_reclaim_at.is_some()
                     || self.return_reason(worker, now).is_some()
             })
             .map(|worker| worker.name.clone())
@@ -199,20 +201,20 @@
                 worker.last_dead_incarnation = worker.last_dead_incarnation.max(last_incarnation);
             }
             self.end_attempts(&machine, now, |attempt| {
-                now > attempt.certain_end(lease_expiry, lease_s)
+                now > attempt.latest_end(lease_expiry, lease_s)
             });
         }
     }
 
     /// Why a machine should be returned to the cloud; `None` if it should be kept.
-    fn return_reason(&self, worker: &Worker, now: f64) -> Option<LeaveReason> {
+    fn return_reason(&self, worker: &Worker, now: f64) -> Option<ReturnReason> {
         let config = &self.config;
         // A new leader has received no heartbeat from any worker yet, so a missing heartbeat
         // alone does not mean that an old machine has failed to boot.
-        if !worker.is_up() && worker.booted_at.is_none() {
+        if !worker.has_reported() && worker.booted_at.is_none() {
             return self
                 .has_boot_timed_out(worker, now)
-                .then_some(LeaveReason::BootTimeout);
+                .then_some(ReturnReason::BootTimeout);
         }
         // Whole zones may be partitioned for several leases and recover. Until then, other
         // machines are rented if pending work needs them, but none of the silent ones is
@@ -223,20 +225,20 @@
             .max(self.term_started_at);
         let max_silence_s = config.lease_s * MAX_SILENCE_LEASES;
         if worker.attempts.is_empty() && now - last_contact > max_silence_s {
-            return Some(LeaveReason::Silent);
+            return Some(ReturnReason::Silent);
         }
         // The same holds for machines that send heartbeats but receive nothing: a zone may
         // be partitioned in one direction only.
         let unreachable_for = worker.reachability.unreachable_for(now);
         if unreachable_for.is_some_and(|s| s > max_silence_s) {
-            return Some(LeaveReason::Unreachable);
+            return Some(ReturnReason::Unreachable);
         }
         if worker.runtime_ratio.count >= MIN_COMPARED_TASKS
             && worker.runtime_ratio.mean() > MAX_RUNTIME_RATIO
         {
-            return Some(LeaveReason::Slow);
+            return Some(ReturnReason::Slow);
         }
-        has_unconfirmed_cancellation(worker, config, now).then_some(LeaveReason::Unconfirmed)
+        has_unconfirmed_cancellation(worker, config, now).then_some(ReturnReason::Unconfirmed)
     }
 
     /// Whether a machine that has not booted has had enough time to, and this leader has
@@ -259,15 +261,15 @@
             return;
         };
         if let Some(reason) = reason
-            && worker.leave(reason, now)
+            && worker.decide_return(reason, now)
         {
-            self.events.push(ClusterEvent::MachineLeaving {
+            self.events.push(ClusterEvent::MachineReturnDecided {
                 machine: machine.to_string(),
                 reason,
             });
         }
         self.needs_direct_message.insert(machine.to_string());
-        let (reclaimed_at, leaving) = (worker.spot_notice_until, worker.leaving);
+        let (reclaimed_at, leaving) = (worker.spot_reclaim_at, worker.return_decision);
         for attempt in &mut worker.attempts {
             if attempt.stop.is_some()
                 || !attempt.occupies_capacity()
@@ -280,7 +282,7 @@
                 if must_stop_before_reclaim(attempt, reclaimed_at, ratio.unwrap_or(1.0), now) {
                     attempt.request_stop(StopReason::SpotNotice, now);
                 }
-            } else if let Some(LeaveDecision { reason, .. }) = leaving
+            } else if let Some(ReturnDecision { reason, .. }) = leaving
                 && must_stop_before_return(attempt, reason)
             {
                 attempt.request_stop(StopReason::Drained, now);
@@ -292,7 +294,7 @@
     /// machine with a spot notice; empty for a machine without, which does not need it.
     fn runtime_ratios_if_reclaimed(&self, machine: &str) -> HashMap<String, f64> {
         let worker = &self.workers[machine];
-        if worker.spot_notice_until.is_none() {
+        if worker.spot_reclaim_at.is_none() {
             return HashMap::new();
         }
         worker
@@ -309,7 +311,7 @@
     #[must_use]
     pub fn cpu_usage(&self) -> CpuUsage {
         let mut usage = CpuUsage::default();
-        for worker in self.workers.values().filter(|w| w.is_up()) {
+        for worker in self.workers.values().filter(|w| w.has_reported()) {
             usage.free += worker.free_resources.cpus;
             for attempt in worker.attempts.iter().filter(|a| a.occupies_capacity()) {
                 let cpus = match attempt.phase {
@@ -367,8 +369,8 @@
 
 /// Whether an attempt must be stopped so that its machine can be returned; otherwise the
 /// machine is kept until the attempt ends.
-fn must_stop_before_return(attempt: &Attempt, reason: LeaveReason) -> bool {
-    let is_urgent = matches!(reason, LeaveReason::Unconfirmed | LeaveReason::Faulty);
+fn must_stop_before_return(attempt: &Attempt, reason: ReturnReason) -> bool {
+    let is_urgent = matches!(reason, ReturnReason::Unconfirmed | ReturnReason::Faulty);
     let saves_checkpoints = attempt.spec.checkpoint_every_s > 0.0;
     let is_starting = attempt.running_since.is_none();
     saves_checkpoints || is_urgent || is_starting || attempt.spec.shape == Shape::Service
--- a/crates/tallygauge-scheduler/src/placements.rs
+++ b/crates/tallygauge-scheduler/src/placements.rs
@@ -145,15 +145,15 @@
 
     /// Allocates an attempt number. Numbers never repeat, as the term is part of them.
     pub(crate) fn next_attempt_number(&mut self) -> u64 {
-        self.last_attempt += 1;
-        self.last_attempt
+        self.last_attempt_number += 1;
+        self.last_attempt_number
     }
 
     /// Whether the attempt numbers of this term are used up, so that the leader must step
     /// down.
     #[must_use]
     pub fn attempt_numbers_exhausted(&self) -> bool {
-        self.last_attempt >> ATTEMPT_BITS > self.config.term
+        self.last_attempt_number >> ATTEMPT_SEQUENCE_BITS > self.config.term
     }
 
     /// Takes the attempts that were placed or adopted and are in no batch yet. Returns
--- a/crates/tallygauge-scheduler/src/reachability.rs
+++ b/crates/tallygauge-scheduler/src/reachability.rs
@@ -62,7 +62,7 @@
     /// as unreachable.
     pub(crate) fn confirm_reachable(&mut self) {
         self.reachability.confirm();
-        self.revoke_leave(&[LeaveReason::Unreachable]);
+        self.revoke_return(&[ReturnReason::Unreachable]);
     }
 }
 
--- a/crates/tallygauge-scheduler/src/tests/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/tests/image_locality.rs
@@ -39,14 +39,14 @@
     cache_image(&mut old, "l-3", "llm", 18.0);
     cache_image(&mut old, "l-4", "small", 0.1);
     let mut cluster = ClusterState::new(config(), 200.0, 16, 4096);
-    cluster.set_machine_types(&types());
+    cluster.set_machine_types(&machine_types());
     for shard in old.image_locations(1.0, 2000, 2) {
         assert_eq!(cluster.restore_image_locations(&shard), 0);
     }
     for (seq, machine) in (1..).zip(machines) {
         cluster.apply_heartbeat(
             200.0,
-            &report(machine, 1, seq, TERM, vec![]),
+            &heartbeat_from(machine, 1, seq, TERM, vec![]),
             HeartbeatSource::Periodic,
         );
     }
@@ -65,11 +65,11 @@
     );
     // If the image is missing on the machine after all, the heartbeat that reports the
     // fetch corrects the expected location.
-    let attempt = start_of(&cluster, "l-3", 200.0)[0].1;
+    let attempt = start_commands(&cluster, "l-3", 200.0)[0].1;
     let fetching = vec![task("req-1/0", attempt, TaskState::Fetching, None)];
     cluster.apply_heartbeat(
         201.0,
-        &report("l-3", 1, 9, TERM, fetching),
+        &heartbeat_from("l-3", 1, 9, TERM, fetching),
         HeartbeatSource::Periodic,
     );
     let images = &cluster.workers["l-3"].images;
@@ -194,7 +194,7 @@
             let with_room = names.iter().filter(|name| by_machine.get(*name).copied().unwrap_or(0) < 5);
             let best = with_room.min_by(|a, b| cost(a).total_cmp(&cost(b)).then(a.cmp(b))).unwrap();
             *by_machine.entry(*best).or_default() += 1;
-            workers.get_mut(*best).unwrap().images.request(&service_spec(1, 1), &machine_type, 100.0);
+            workers.get_mut(*best).unwrap().images.request_for(&service_spec(1, 1), &machine_type, 100.0);
             expected.push(((*best).to_string(), replica));
         }
         let actual: Vec<(String, u32)> = round(&mut cluster, 100.0).into_iter().map(|placement| (placement.2, placement.1)).collect();
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -8,7 +8,7 @@
     // the tasks that run there: batches still list attempts of jobs that are over, and
     // nothing confirmed that those attempts had stopped.
     let mut c = cluster(&[], 100.0);
-    c.restore_placements("2-7", &left_record(), 100.0, 0.0);
+    c.restore_placements("2-7", &earlier_leader_batch(), 100.0, 0.0);
     let stop = c.workers["sa"].attempts[0].stop.map(|s| s.reason);
     assert_eq!(stop, Some(StopReason::Cancelled));
     c.apply_machine_list(&[listed(MachineState::Running)], 101.0, 101.0);
@@ -19,26 +19,34 @@
     );
     c.advance_time(lease_expiry - 0.1);
     assert_eq!(
-        (c.workers["sa"].attempts.len(), c.workers["sa"].leaving),
+        (
+            c.workers["sa"].attempts.len(),
+            c.workers["sa"].return_decision
+        ),
         (1, None)
     );
     c.advance_time(lease_expiry + 0.1);
     assert_eq!(
-        (c.workers["sa"].attempts.len(), c.workers["sa"].leaving),
+        (
+            c.workers["sa"].attempts.len(),
+            c.workers["sa"].return_decision
+        ),
         (0, None)
     );
     // A machine is returned if its heartbeats show that a cancelled attempt still runs.
     let mut c = cluster(&[], 100.0);
-    c.restore_placements("2-7", &left_record(), 100.0, 0.0);
+    c.restore_placements("2-7", &earlier_leader_batch(), 100.0, 0.0);
     for (seq, now) in [110.0, 120.0, 129.0].into_iter().enumerate() {
         let running_tasks = vec![task("req-1/0", 77, TaskState::Running, None)];
-        let heartbeat = report("sa", 1, seq as u64 + 1, TERM, running_tasks);
+        let heartbeat = heartbeat_from("sa", 1, seq as u64 + 1, TERM, running_tasks);
         c.apply_heartbeat(now, &heartbeat, HeartbeatSource::Periodic);
         c.record_heartbeat_response("sa", &[], now);
         c.advance_time(now);
     }
-    let leaving = c.workers["sa"].leaving.map(|decision| decision.reason);
-    assert_eq!(leaving, Some(LeaveReason::Unconfirmed));
+    let leaving = c.workers["sa"]
+        .return_decision
+        .map(|decision| decision.reason);
+    assert_eq!(leaving, Some(ReturnReason::Unconfirmed));
 }
 
 /// Entry of the machine list for machine `sa`, which was rented 900 s ago.
@@ -60,16 +68,20 @@
     // booted, because the new leader has had no heartbeat from them yet.
     let mut c = cluster(&[], 100.0);
     let old = listed(MachineState::Booting);
-    let leaving = |c: &ClusterState| c.workers["sa"].leaving.map(|decision| decision.reason);
+    let leaving = |c: &ClusterState| {
+        c.workers["sa"]
+            .return_decision
+            .map(|decision| decision.reason)
+    };
     c.apply_machine_list(std::slice::from_ref(&old), 100.5, 100.5);
     c.advance_time(101.0);
     assert_eq!(leaving(&c), None);
     c.apply_machine_list(std::slice::from_ref(&old), 125.0, 125.0);
     c.advance_time(125.0);
-    assert_eq!(leaving(&c), Some(LeaveReason::BootTimeout));
+    assert_eq!(leaving(&c), Some(ReturnReason::BootTimeout));
     c.apply_heartbeat(
         126.0,
-        &report("sa", 1, 1, TERM, vec![]),
+        &heartbeat_from("sa", 1, 1, TERM, vec![]),
         HeartbeatSource::Periodic,
     );
     assert_eq!(leaving(&c), None, "a heartbeat revokes the decision");
@@ -82,7 +94,11 @@
     let mut c = cluster(&[], 100.0);
     let running = listed(MachineState::Running);
     c.apply_machine_list(&[running], 101.0, 101.0);
-    let leaving = |c: &ClusterState| c.workers["sa"].leaving.map(|decision| decision.reason);
+    let leaving = |c: &ClusterState| {
+        c.workers["sa"]
+            .return_decision
+            .map(|decision| decision.reason)
+    };
     for now in [125.0, 150.0, 175.0] {
         c.advance_time(now);
         assert_eq!(leaving(&c), None, "at {now}");
@@ -91,7 +107,7 @@
     c.add_job(spec(1, 2, 1.0), 1, 150.0, &RangeSet::default());
     assert!(!c.rentals(150.0).is_empty());
     c.advance_time(182.0);
-    assert_eq!(leaving(&c), Some(LeaveReason::Silent));
+    assert_eq!(leaving(&c), Some(ReturnReason::Silent));
 }
 
 #[test]
@@ -102,16 +118,16 @@
     let mut c = cluster(&["sa", "s2b"], 100.0);
     c.add_job(spec(1, 1, 1.0), 1, 90.0, &RangeSet::default());
     let first = round(&mut c, 100.0).remove(0).2;
-    let (name, attempt) = start_of(&c, &first, 100.0).remove(0);
+    let (name, attempt) = start_commands(&c, &first, 100.0).remove(0);
     let running = task(&name, attempt, TaskState::Running, None);
     c.apply_heartbeat(
         103.0,
-        &report(&first, 1, 5, TERM, vec![running]),
+        &heartbeat_from(&first, 1, 5, TERM, vec![running]),
         HeartbeatSource::Periodic,
     );
     let other = if first == "sa" { "s2b" } else { "sa" };
     let job_spec = spec(1, 1, 1.0);
-    let small_type = &types()[0];
+    let small_type = &machine_types()[0];
     let fetch_s = |c: &ClusterState, machine: &str, now| {
         c.workers[machine].images.fetch_s(
             &job_spec.image,
@@ -123,7 +139,7 @@
     assert_eq!(fetch_s(&c, &first, 103.0), 0.0);
     assert_eq!(fetch_s(&c, other, 103.0), 2.5);
     let worker = c.workers.get_mut(other).unwrap();
-    worker.images.request(&job_spec, small_type, 103.0);
+    worker.images.request_for(&job_spec, small_type, 103.0);
     assert_eq!(fetch_s(&c, other, 104.0), 1.5, "the rest of the fetch");
     // The fetch is cancelled with the last task that needs the image.
     c.workers
@@ -141,15 +157,15 @@
     // as idle.
     let mut c = ClusterState::new(config(), 100.0, 16, 4096);
     c.add_job(spec(1, 2, 1.5), 1, 90.0, &RangeSet::default());
-    c.restore_placements("2-7", &left_record(), 100.0, 0.0);
+    c.restore_placements("2-7", &earlier_leader_batch(), 100.0, 0.0);
     let running = task("req-1/0", 77, TaskState::Running, None);
     c.apply_heartbeat(
         101.0,
-        &report("sa", 1, 4, TERM, vec![running]),
+        &heartbeat_from("sa", 1, 4, TERM, vec![running]),
         HeartbeatSource::Periodic,
     );
     assert!(round(&mut c, 101.0).is_empty());
-    c.set_machine_types(&types());
+    c.set_machine_types(&machine_types());
     assert_eq!(c.workers["sa"].free_resources.cpus, 2.5);
     assert_eq!(round(&mut c, 101.0).len(), 1);
 }
@@ -187,7 +203,7 @@
                     .collect();
                 c.apply_heartbeat(
                     now,
-                    &report(machine, 1, seq, TERM, tasks),
+                    &heartbeat_from(machine, 1, seq, TERM, tasks),
                     HeartbeatSource::Periodic,
                 );
             };
@@ -200,15 +216,15 @@
             seq += 2;
             c.apply_heartbeat(
                 now,
-                &report(machine, 1, seq, TERM, vec![]),
+                &heartbeat_from(machine, 1, seq, TERM, vec![]),
                 HeartbeatSource::Periodic,
             );
         }
         c.advance_time(now);
         let is_slow = |machine: &str| {
             c.workers[machine]
-                .leaving
-                .is_some_and(|decision| decision.reason == LeaveReason::Slow)
+                .return_decision
+                .is_some_and(|decision| decision.reason == ReturnReason::Slow)
         };
         assert!(!is_slow("l1a"));
         assert_eq!(
@@ -230,12 +246,12 @@
         c.add_job(job_spec, 1, 90.0, &RangeSet::default());
     }
     round(&mut c, 100.0);
-    let tasks: Vec<TaskStatus> = start_of(&c, "l1a", 100.0)
+    let tasks: Vec<TaskStatus> = start_commands(&c, "l1a", 100.0)
         .into_iter()
         .map(|(name, attempt)| task(&name, attempt, TaskState::Running, None))
         .collect();
     assert_eq!(tasks.len(), 3);
-    let mut heartbeat = report("l1a", 1, 5, TERM, tasks);
+    let mut heartbeat = heartbeat_from("l1a", 1, 5, TERM, tasks);
     c.apply_heartbeat(101.0, &heartbeat, HeartbeatSource::Periodic);
     heartbeat.sequence += 1;
     heartbeat.spot_notice_s = Some(20.0);
@@ -294,7 +310,7 @@
                 if c.workers.contains_key(*name) {
                     c.apply_heartbeat(
                         now,
-                        &report(name, 1, seq, TERM, vec![]),
+                        &heartbeat_from(name, 1, seq, TERM, vec![]),
                         HeartbeatSource::Periodic,
                     );
                 }
@@ -338,7 +354,7 @@
     c.add_job(spec(2, 20, 8.0), 1, now, &RangeSet::default());
     c.mark_surplus_machines(100.0 + 60.5);
     for (n, name) in names.iter().enumerate() {
-        let heartbeat = report(name, 1, 900 + n as u64, TERM, vec![]);
+        let heartbeat = heartbeat_from(name, 1, 900 + n as u64, TERM, vec![]);
         c.apply_heartbeat(161.0, &heartbeat, HeartbeatSource::Periodic);
     }
     c.mark_surplus_machines(161.0);
--- a/crates/tallygauge-scheduler/src/tests/reachability.rs
+++ b/crates/tallygauge-scheduler/src/tests/reachability.rs
@@ -34,7 +34,7 @@
 
     fn report(&mut self, name: &str) -> Heartbeat {
         self.sequence += 1;
-        report(
+        heartbeat_from(
             name,
             self.incarnation,
             self.sequence,
@@ -127,7 +127,7 @@
         if newly_placed > 0 {
             last_placed_at = now;
         }
-        if return_decided_at.is_none() && c.workers["sa"].leaving.is_some() {
+        if return_decided_at.is_none() && c.workers["sa"].return_decision.is_some() {
             return_decided_at = Some(now);
         }
     }
@@ -140,8 +140,10 @@
         "{return_decided_at}"
     );
     assert_eq!(
-        c.workers["sa"].leaving.map(|decision| decision.reason),
-        Some(LeaveReason::Unreachable)
+        c.workers["sa"]
+            .return_decision
+            .map(|decision| decision.reason),
+        Some(ReturnReason::Unreachable)
     );
     // Its incarnations have ended, and the tasks are pending again.
     assert_eq!(c.jobs["req-1"].unfinished(), 3);
@@ -169,7 +171,7 @@
         c.workers["sa"].reachability,
         Reachability::Unreachable { .. }
     ));
-    assert!(c.workers["sa"].leaving.is_some());
+    assert!(c.workers["sa"].return_decision.is_some());
     // It is probed until it answers, but not at each of its heartbeats.
     let mut probes = 0;
     while now < 260.0 && c.workers["sa"].reachability.needs_probe() {
@@ -181,7 +183,7 @@
         (1..=2).contains(&probes) && now < 222.0,
         "{probes} at {now}"
     );
-    assert_eq!(c.workers["sa"].leaving, None);
+    assert_eq!(c.workers["sa"].return_decision, None);
     assert_eq!(round(&mut c, now).len(), 2);
 }
 
@@ -295,7 +297,13 @@
     let mut duplicates = Vec::new();
     for now in [102.0, 104.0, 106.0] {
         exchange_heartbeat(&mut c, &mut agent, "sa", false, now);
-        duplicates.push(report("sa", 1, agent.sequence, TERM, agent.tasks.clone()));
+        duplicates.push(heartbeat_from(
+            "sa",
+            1,
+            agent.sequence,
+            TERM,
+            agent.tasks.clone(),
+        ));
     }
     assert_eq!(c.jobs["req-1"].attempts_by_task.len(), 1);
     // The machine dies. Duplicates of its heartbeats arrive every second.
@@ -399,7 +407,7 @@
     assert_eq!(occupying, 0, "its tasks are pending again at once");
     assert!(!c.workers["sa"].accepts_work(now, &c.config));
     // Duplicates from before the restart, of any sequence number, change nothing.
-    let duplicate = report(
+    let duplicate = heartbeat_from(
         "sa",
         1,
         newest.sequence + 1,
@@ -439,7 +447,7 @@
     let probe = loop {
         c.apply_heartbeat(
             104.0,
-            &report("sa", 1, 0, 0, vec![]),
+            &heartbeat_from("sa", 1, 0, 0, vec![]),
             HeartbeatSource::Periodic,
         );
         let mut messages = c.take_direct_messages(104.0, 1.0);
@@ -448,7 +456,7 @@
         }
     };
     c.record_direct_message_result(&probe, true, false, 104.1);
-    c.apply_direct_reply(104.1, &probe, &report("sa", 1, 1, TERM, vec![]));
+    c.apply_direct_reply(104.1, &probe, &heartbeat_from("sa", 1, 1, TERM, vec![]));
     assert_eq!(
         c.jobs["req-1"].attempts_by_task.len(),
         2,
@@ -472,7 +480,7 @@
     assert_eq!(
         c.apply_heartbeat(
             102.0,
-            &report("sa", 1, 9, 0, vec![]),
+            &heartbeat_from("sa", 1, 9, 0, vec![]),
             HeartbeatSource::Periodic
         ),
         HeartbeatOutcome::DeadIncarnation
@@ -481,7 +489,7 @@
     assert_eq!(
         c.apply_heartbeat(
             123.0,
-            &report("sa", 2, 1, TERM, vec![]),
+            &heartbeat_from("sa", 2, 1, TERM, vec![]),
             HeartbeatSource::Periodic
         ),
         HeartbeatOutcome::Applied
--- a/crates/tallygauge-scheduler/src/tests/recovery.rs
+++ b/crates/tallygauge-scheduler/src/tests/recovery.rs
@@ -130,7 +130,7 @@
         ]
     );
     assert!(
-        cluster.last_attempt > attempts[4].2,
+        cluster.last_attempt_number > attempts[4].2,
         "attempt numbers never repeat"
     );
 
