--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -269,7 +269,7 @@
             });
         }
         self.needs_direct_message.insert(machine.to_string());
-        let (reclaimed_at, leaving) = (worker.spot_reclaim_at, worker.return_decision);
+        let (reclaimed_at, return_decision) = (worker.spot_reclaim_at, worker.return_decision);
         for attempt in &mut worker.attempts {
             if attempt.stop.is_some()
                 || !attempt.occupies_capacity()
@@ -282,7 +282,7 @@
                 if must_stop_before_reclaim(attempt, reclaimed_at, ratio.unwrap_or(1.0), now) {
                     attempt.request_stop(StopReason::SpotNotice, now);
                 }
-            } else if let Some(ReturnDecision { reason, .. }) = leaving
+            } else if let Some(ReturnDecision { reason, .. }) = return_decision
                 && must_stop_before_return(attempt, reason)
             {
                 attempt.request_stop(StopReason::Drained, now);
