--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -68,23 +68,19 @@
     // booted, because the new leader has had no heartbeat from them yet.
     let mut c = cluster(&[], 100.0);
     let old = listed(MachineState::Booting);
-    let return_reason = |c: &ClusterState| {
-        c.workers["sa"]
-            .return_decision
-            .map(|decision| decision.reason)
-    };
+    let reason = |c: &ClusterState| c.workers["sa"].return_decision.map(|d| d.reason);
     c.apply_machine_list(std::slice::from_ref(&old), 100.5, 100.5);
     c.advance_time(101.0);
-    assert_eq!(return_reason(&c), None);
+    assert_eq!(reason(&c), None);
     c.apply_machine_list(std::slice::from_ref(&old), 125.0, 125.0);
     c.advance_time(125.0);
-    assert_eq!(return_reason(&c), Some(ReturnReason::BootTimeout));
+    assert_eq!(reason(&c), Some(ReturnReason::BootTimeout));
     c.apply_heartbeat(
         126.0,
         &heartbeat_from("sa", 1, 1, TERM, vec![]),
         HeartbeatSource::Periodic,
     );
-    assert_eq!(return_reason(&c), None, "a heartbeat revokes the decision");
+    assert_eq!(reason(&c), None, "a heartbeat revokes the decision");
 }
 
 #[test]
@@ -94,20 +90,16 @@
     let mut c = cluster(&[], 100.0);
     let running = listed(MachineState::Running);
     c.apply_machine_list(&[running], 101.0, 101.0);
-    let return_reason = |c: &ClusterState| {
-        c.workers["sa"]
-            .return_decision
-            .map(|decision| decision.reason)
-    };
+    let reason = |c: &ClusterState| c.workers["sa"].return_decision.map(|d| d.reason);
     for now in [125.0, 150.0, 175.0] {
         c.advance_time(now);
-        assert_eq!(return_reason(&c), None, "at {now}");
+        assert_eq!(reason(&c), None, "at {now}");
     }
     // Meanwhile, other machines are rented for pending tasks.
     c.add_job(spec(1, 2, 1.0), 1, 150.0, &RangeSet::default());
     assert!(!c.rentals(150.0).is_empty());
     c.advance_time(182.0);
-    assert_eq!(return_reason(&c), Some(ReturnReason::Silent));
+    assert_eq!(reason(&c), Some(ReturnReason::Silent));
 }
 
 #[test]
