--- a/crates/tallygauge-fairness/src/selection.rs
+++ b/crates/tallygauge-fairness/src/selection.rs
@@ -33,7 +33,7 @@
     /// Minimum share: jobs that a group needs to reach it come first.
     pub min_share: f64,
     /// Share to reach.
-    pub share: f64,
+    pub target_share: f64,
 }
 
 /// How far a group is behind, in jobs.
@@ -246,7 +246,7 @@
             let total = f64::from(served) + f64::from(overdue);
             let missing = |share: f64| ((total * share).ceil() as u32).saturating_sub(served);
             shortfall.to_min_share = shortfall.to_min_share.max(missing(target.min_share));
-            shortfall.to_target_share = shortfall.to_target_share.max(missing(target.share));
+            shortfall.to_target_share = shortfall.to_target_share.max(missing(target.target_share));
         }
     }
     shortfalls
--- a/crates/tallygauge-fairness/src/selection/tests.rs
+++ b/crates/tallygauge-fairness/src/selection/tests.rs
@@ -4,7 +4,7 @@
 
 const TARGET: ShareTarget = ShareTarget {
     min_share: 0.55,
-    share: 0.65,
+    target_share: 0.65,
 };
 
 /// Jobs that must yet be done, of one group: to the minimum share, to the target share.
@@ -35,7 +35,10 @@
             let served = counts.done_in_windows(group, at)[window] + open;
             let within = |j: &&Candidate| is_overdue(j) && j.overdue_s < Some(*window_s);
             let overdue = jobs.iter().filter(within).count() as u32;
-            for (n, share) in [TARGET.min_share, TARGET.share].into_iter().enumerate() {
+            for (n, share) in [TARGET.min_share, TARGET.target_share]
+                .into_iter()
+                .enumerate()
+            {
                 missing[n] = missing[n].max(plain_missing(served, overdue, share));
             }
         }
--- a/crates/tallygauge-scheduler/src/minimum_share/selection.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/selection.rs
@@ -99,10 +99,10 @@
 
     fn select_jobs(&self, open_jobs: &[OpenJob], now: f64) -> Selection {
         let backlog = self.backlog(open_jobs, now);
-        let share = self.config.minimum_share.share;
+        let target_share = self.config.minimum_share.share;
         let target = ShareTarget {
-            min_share: share * MIN_SHARE_FRACTION,
-            share,
+            min_share: target_share * MIN_SHARE_FRACTION,
+            target_share,
         };
         let time_of_day = self.time_of_day(now);
         let select = |rule: OverdueRule| {
