--- a/crates/tallygauge-fairness/src/service_counts.rs
+++ b/crates/tallygauge-fairness/src/service_counts.rs
@@ -209,7 +209,7 @@
     #[must_use]
     pub fn is_large(&self, class: usize, size: JobSize, fraction: f64) -> bool {
         let sizes = self.sizes.get(&class);
-        sizes.is_some_and(|sizes| sizes.thresholds(fraction).is_at_least(size))
+        sizes.is_some_and(|sizes| sizes.thresholds(fraction).is_reached_by(size))
     }
 
     /// Keys of all groups, by group id.
--- a/crates/tallygauge-fairness/src/size_histogram.rs
+++ b/crates/tallygauge-fairness/src/size_histogram.rs
@@ -31,7 +31,7 @@
 impl SizeThresholds {
     /// Whether a job of this size is among the largest by any dimension.
     #[must_use]
-    pub fn is_at_least(&self, size: JobSize) -> bool {
+    pub fn is_reached_by(&self, size: JobSize) -> bool {
         let mut dimensions = self.0.iter().zip(size);
         dimensions.any(|(threshold, size)| bucket_of(size) >= *threshold)
     }
--- a/crates/tallygauge-fairness/src/size_histogram/tests.rs
+++ b/crates/tallygauge-fairness/src/size_histogram/tests.rs
@@ -16,7 +16,9 @@
 }
 
 fn is_largest(closed: &SizeHistogram, open: &SizeHistogram, size: JobSize) -> bool {
-    let large = closed.thresholds(open, LARGEST_FRACTION).is_at_least(size);
+    let large = closed
+        .thresholds(open, LARGEST_FRACTION)
+        .is_reached_by(size);
     assert_eq!(large, is_largest_by_counting(closed, open, size));
     large
 }
@@ -35,7 +37,7 @@
     // Thresholds computed once give the same.
     let thresholds = closed.thresholds(&open, LARGEST_FRACTION);
     let again: Vec<u32> = (1..=100)
-        .filter(|n| thresholds.is_at_least(size(*n)))
+        .filter(|n| thresholds.is_reached_by(size(*n)))
         .collect();
     assert_eq!(again, largest);
     // By tasks those with the most, by work those with the fewest here; all
--- a/crates/tallygauge-scheduler/src/minimum_share/selection.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/selection.rs
@@ -76,7 +76,7 @@
         }
         let groups = self.jobs.values().map(|job| {
             let class = job.group_ids[0];
-            let is_largest = thresholds.get(&class)?.is_at_least(job.size());
+            let is_largest = thresholds.get(&class)?.is_reached_by(job.size());
             is_largest.then(|| group_by_class[&class])
         });
         let groups: Vec<Option<usize>> = groups.collect();
--- a/crates/tallygauge-scheduler/src/start_deadline/mod.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/mod.rs
@@ -58,7 +58,7 @@
 
 fn is_large(thresholds: &LargeJobThresholds, job: &Job) -> bool {
     let threshold = thresholds.get(&job.group_ids[0]);
-    threshold.is_some_and(|t| t.is_at_least(job.size()))
+    threshold.is_some_and(|t| t.is_reached_by(job.size()))
 }
 
 /// Which tasks of a job have started.
