--- a/crates/tallygauge-fairness/src/selection.rs
+++ b/crates/tallygauge-fairness/src/selection.rs
@@ -44,7 +44,7 @@
     /// Open jobs that should have been served by now.
     pub overdue: u32,
     /// Open jobs that fit on no machine.
-    pub unfit: u32,
+    pub unplaceable: u32,
     /// Jobs that must yet be done to reach the minimum share.
     pub to_min_share: u32,
     /// Jobs that must yet be done to reach the target share.
@@ -264,7 +264,7 @@
         open.served += 1;
         return;
     }
-    shortfall.unfit += u32::from(!candidate.fits);
+    shortfall.unplaceable += u32::from(!candidate.fits);
     let Some(overdue_s) = candidate.overdue_s else {
         return;
     };
--- a/crates/tallygauge-fairness/src/selection/tests.rs
+++ b/crates/tallygauge-fairness/src/selection/tests.rs
@@ -174,7 +174,7 @@
     };
     let selection = select_underserved(&counts, &[job.clone(), job.clone()], TARGET, 1e9);
     let class = selection.shortfalls[0];
-    assert_eq!((class.unfit, class.to_target_share), (2, 2));
+    assert_eq!((class.unplaceable, class.to_target_share), (2, 2));
     assert!(selection.selected.is_empty());
     // A service whose replicas all run is served.
     let fits = Candidate {
--- a/crates/tallygauge-scheduler/tests/minimum_share_under_overload.rs
+++ b/crates/tallygauge-scheduler/tests/minimum_share_under_overload.rs
@@ -178,7 +178,7 @@
         day.run(jobs, |day, _| for s in day.cluster.group_statuses().into_iter().filter(|s| s.key.kind != GroupKind::Largest) {
             let key = (s.key.kind, s.key.name.to_string());
             let entry = unserved_by_group.entry(key).or_insert((s.counts.done, 0.0));
-            if entry.0 != s.counts.done || s.shortfall.to_target_share == 0 || s.shortfall.unfit >= s.open {
+            if entry.0 != s.counts.done || s.shortfall.to_target_share == 0 || s.shortfall.unplaceable >= s.open {
                 *entry = (s.counts.done, 0.0);
             } else {
                 entry.1 += STEP;
--- a/crates/tallygauge/src/fairness_summary.rs
+++ b/crates/tallygauge/src/fairness_summary.rs
@@ -39,7 +39,7 @@
     if shortfall.to_target_share > 0 {
         let _ = write!(field, "!{}", shortfall.to_target_share);
     }
-    if shortfall.unfit > 0 {
-        let _ = write!(field, "?{}", shortfall.unfit);
+    if shortfall.unplaceable > 0 {
+        let _ = write!(field, "?{}", shortfall.unplaceable);
     }
 }
