--- a/crates/tallygauge-fairness/src/lib.rs
+++ b/crates/tallygauge-fairness/src/lib.rs
@@ -20,4 +20,4 @@
 pub use service_counts::{Counts, GroupIds, GroupKey, GroupKind, JobEnd, ServiceCounts};
 pub use service_counts_record::ServiceCountsRecord;
 pub use size_histogram::{JobSize, LARGEST_FRACTION, SizeHistogram, SizeThresholds};
-pub use sliding_window::{BUCKETS, SlidingWindow};
+pub use sliding_window::{BUCKETS_PER_WINDOW, SlidingWindow};
--- a/crates/tallygauge-fairness/src/service_counts_record.rs
+++ b/crates/tallygauge-fairness/src/service_counts_record.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     size_histogram::SizeHistogram,
-    sliding_window::{BUCKETS, SlidingWindow},
+    sliding_window::{BUCKETS_PER_WINDOW, SlidingWindow},
 };
 use serde::{Deserialize, Serialize, Serializer};
 use tallygauge_records::{Durability, Record};
@@ -20,7 +20,7 @@
 const MAX_TOTALS_BYTES: usize = 64;
 
 /// Bytes of a window at the most: of each bucket, two numbers with brackets.
-const MAX_WINDOW_BYTES: usize = BUCKETS * 26 + 2;
+const MAX_WINDOW_BYTES: usize = BUCKETS_PER_WINDOW * 26 + 2;
 
 /// Bytes around a class's sizes at the most.
 const SIZES_OVERHEAD_BYTES: usize = 24;
--- a/crates/tallygauge-fairness/src/sliding_window.rs
+++ b/crates/tallygauge-fairness/src/sliding_window.rs
@@ -3,12 +3,12 @@
 use serde::{Deserialize, Serialize};
 
 /// Buckets that a window is divided into.
-pub const BUCKETS: usize = 8;
+pub const BUCKETS_PER_WINDOW: usize = 8;
 
 /// Shortest bucket, seconds.
 const MIN_BUCKET_S: f64 = 1e-3;
 
-/// Number of events in a sliding window of fixed length, counted in [`BUCKETS`]
+/// Number of events in a sliding window of fixed length, counted in [`BUCKETS_PER_WINDOW`]
 /// buckets by wall-clock time. Buckets that have left the window are dropped.
 ///
 /// The window's length is not stored: all calls for one counter must pass the same.
@@ -39,12 +39,12 @@
 
 /// Number of the bucket that a wall-clock time falls into.
 fn bucket_number(at: f64, window_s: f64) -> u64 {
-    (at.max(0.0) / (window_s / BUCKETS as f64).max(MIN_BUCKET_S)) as u64
+    (at.max(0.0) / (window_s / BUCKETS_PER_WINDOW as f64).max(MIN_BUCKET_S)) as u64
 }
 
 /// Number of the oldest bucket in the window that ends at a wall-clock time.
 fn oldest_bucket_number(at: f64, window_s: f64) -> u64 {
-    bucket_number(at, window_s).saturating_sub(BUCKETS as u64 - 1)
+    bucket_number(at, window_s).saturating_sub(BUCKETS_PER_WINDOW as u64 - 1)
 }
 
 impl SlidingWindow {
@@ -66,7 +66,7 @@
         self.0.sort_unstable();
         // A clock that leaps ahead leaves buckets in the future, which must
         // not accumulate.
-        let excess = self.0.len().saturating_sub(BUCKETS);
+        let excess = self.0.len().saturating_sub(BUCKETS_PER_WINDOW);
         self.0.drain(..excess);
     }
 
--- a/crates/tallygauge-fairness/src/sliding_window/tests.rs
+++ b/crates/tallygauge-fairness/src/sliding_window/tests.rs
@@ -12,6 +12,6 @@
     // However the time of day leaps, the number of buckets is bounded.
     for n in 0..100 {
         window.add(f64::from(n * 7919 % 100) * 50.0, 80.0);
-        assert!(window.0.len() <= BUCKETS);
+        assert!(window.0.len() <= BUCKETS_PER_WINDOW);
     }
 }
