--- a/crates/tallygauge-deadlines/src/deadline_tracker.rs
+++ b/crates/tallygauge-deadlines/src/deadline_tracker.rs
@@ -124,7 +124,7 @@
     /// Tracks the cutoff of a job that was accepted. Returns
     /// [`Opened`](CutoffEvent::Opened) if it was not tracked before; `None` also if as
     /// many cutoffs are tracked as may be.
-    pub fn add_job(&mut self, window: &CutoffWindow) -> Option<CutoffEvent> {
+    pub fn track_cutoff(&mut self, window: &CutoffWindow) -> Option<CutoffEvent> {
         if self.open.contains_key(&*window.name) || self.open.len() >= MAX_OPEN {
             return None;
         }
@@ -187,14 +187,14 @@
     }
 
     /// Open cutoffs with their names, in the order of these.
-    pub fn open(&self) -> impl Iterator<Item = (&str, &CutoffProgress)> {
+    pub fn open_cutoffs(&self) -> impl Iterator<Item = (&str, &CutoffProgress)> {
         self.open
             .iter()
             .map(|(name, progress)| (name.as_str(), progress))
     }
 
     /// The last closed cutoffs with their names, the oldest first.
-    pub fn results(&self) -> impl Iterator<Item = (&str, &CutoffProgress)> {
+    pub fn closed_cutoffs(&self) -> impl Iterator<Item = (&str, &CutoffProgress)> {
         self.results
             .iter()
             .map(|result| (result.name(), result.progress()))
--- a/crates/tallygauge-deadlines/src/deadline_tracker/tests.rs
+++ b/crates/tallygauge-deadlines/src/deadline_tracker/tests.rs
@@ -14,10 +14,10 @@
 fn a_cutoff_opens_is_missed_and_closes_with_one_event_each() {
     let mut tracker = DeadlineTracker::default();
     assert_eq!(
-        tracker.add_job(&window(1)),
+        tracker.track_cutoff(&window(1)),
         Some(CutoffEvent::Opened("night@1".into()))
     );
-    assert_eq!(tracker.add_job(&window(1)), None);
+    assert_eq!(tracker.track_cutoff(&window(1)), None);
     tracker.record_job_done("night@1", 5, 90.0);
     let one_open = |_: &str| 1;
     assert!(tracker.expire(99.0, &one_open).is_empty());
@@ -33,14 +33,14 @@
         [CutoffEvent::Closed("night@1".into(), false, 30.0)]
     );
     let results: Vec<(&str, DoneJobs, u64)> = tracker
-        .results()
+        .closed_cutoffs()
         .map(|(n, l)| (n, l.done, l.tasks))
         .collect();
     let done = DoneJobs { total: 2, late: 1 };
     assert_eq!(results, [("night@1", done, 12)]);
     // Last night's is late while tonight's has opened.
-    tracker.add_job(&window(2));
-    tracker.add_job(&window(3));
+    tracker.track_cutoff(&window(2));
+    tracker.track_cutoff(&window(3));
     assert_eq!(
         tracker.expire(250.0, &|n| usize::from(n == "night@2")),
         [CutoffEvent::Missed("night@2".into())]
@@ -59,7 +59,7 @@
         let mut now = 0.0;
         for (what, n) in steps {
             match what {
-                0 => { tracker.add_job(&window(n)); *open.entry(n).or_default() += 1; }
+                0 => { tracker.track_cutoff(&window(n)); *open.entry(n).or_default() += 1; }
                 1 => if let Some(count) = open.get_mut(&n).filter(|c| **c > 0) {
                     *count -= 1;
                     *done.entry(n).or_default() += 1;
@@ -77,7 +77,7 @@
             }
             for (n, count) in &done {
                 let name = format!("night@{n}");
-                let all = tracker.open().chain(tracker.results());
+                let all = tracker.open_cutoffs().chain(tracker.closed_cutoffs());
                 let counted: Vec<u32> = all.filter(|l| l.0 == name).map(|l| l.1.done.total).collect();
                 prop_assert_eq!(counted, vec![*count]);
             }
@@ -89,12 +89,15 @@
 fn the_stored_tracker_is_bounded() {
     let mut tracker = DeadlineTracker::default();
     for n in 0..1000 {
-        tracker.add_job(&window(n));
+        tracker.track_cutoff(&window(n));
         tracker.record_job_done(&format!("night@{n}"), 1, 0.0);
         if n % 3 == 0 {
             tracker.expire(f64::from(n) * 50.0, &|_| 0);
         }
     }
-    assert!(tracker.open().count() <= MAX_OPEN && tracker.results().count() <= MAX_RESULTS);
+    assert!(
+        tracker.open_cutoffs().count() <= MAX_OPEN
+            && tracker.closed_cutoffs().count() <= MAX_RESULTS
+    );
     assert!(serde_json::to_string(&tracker).unwrap().len() < 6500);
 }
--- a/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
@@ -119,7 +119,8 @@
         job.accepted_time_of_day = Some(time_of_day);
         job.cutoff = cutoff;
         if let Some(window) = job.cutoff.clone()
-            && let Some(CutoffEvent::Opened(name)) = self.batch_deadlines.tracker.add_job(&window)
+            && let Some(CutoffEvent::Opened(name)) =
+                self.batch_deadlines.tracker.track_cutoff(&window)
         {
             self.events.push(ClusterEvent::CutoffOpened {
                 cutoff: name,
@@ -292,7 +293,7 @@
         for cutoff in self.jobs.values().filter_map(|j| j.cutoff.as_ref()) {
             *open_jobs.entry(&cutoff.name).or_default() += 1;
         }
-        let cutoffs = self.batch_deadlines.tracker.open();
+        let cutoffs = self.batch_deadlines.tracker.open_cutoffs();
         cutoffs
             .map(|(name, counts)| CutoffStatus {
                 name: name.to_string(),
--- a/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
@@ -161,7 +161,7 @@
         "{:?}",
         next.events
     );
-    assert_eq!(next.deadline_tracker().results().count(), 1);
+    assert_eq!(next.deadline_tracker().closed_cutoffs().count(), 1);
 }
 
 /// Adds a job that was accepted 20 s before `now` of the steady clock, and at the time of day
