--- a/crates/tallygauge-deadlines/src/forecast.rs
+++ b/crates/tallygauge-deadlines/src/forecast.rs
@@ -9,9 +9,9 @@
     pub cpu_s: f64,
     /// CPUs that it may use at a time, by the limits of its teams and the machines that
     /// its tasks fit on.
-    pub cpus: f64,
+    pub max_cpus: f64,
     /// Seconds that its longest task still takes.
-    pub longest_s: f64,
+    pub longest_task_s: f64,
 }
 
 /// Forecast for one cutoff.
@@ -62,8 +62,8 @@
 /// Forecast for a load that is done when `cumulative_cpu_s` CPU-seconds of work are, its
 /// own and those of all earlier cutoffs.
 fn forecast(load: &CutoffLoad, cumulative_cpu_s: f64, cpus: f64) -> Forecast {
-    let usable_cpus = load.cpus.min(cpus).max(MIN_DIVISOR);
-    let time_alone_s = (load.cpu_s / usable_cpus).max(load.longest_s);
+    let usable_cpus = load.max_cpus.min(cpus).max(MIN_DIVISOR);
+    let time_alone_s = (load.cpu_s / usable_cpus).max(load.longest_task_s);
     let end_s = time_alone_s.max(cumulative_cpu_s / cpus.max(MIN_DIVISOR));
     let slack_s = load.left_s - end_s;
     let latest_start_s = load.left_s - time_alone_s;
--- a/crates/tallygauge-deadlines/src/forecast/tests.rs
+++ b/crates/tallygauge-deadlines/src/forecast/tests.rs
@@ -3,11 +3,11 @@
 
 #[test]
 fn a_cutoff_is_at_risk_if_it_can_be_met_but_has_too_little_slack() {
-    let load = |left_s, work, cpus, longest_s| CutoffLoad {
+    let load = |left_s, work, max_cpus, longest_task_s| CutoffLoad {
         left_s,
         cpu_s: work,
-        cpus,
-        longest_s,
+        max_cpus,
+        longest_task_s,
     };
     let loads = [
         load(100.0, 500.0, 100.0, 20.0),  // enough slack
@@ -30,7 +30,7 @@
     // only the CPUs of all together limit it.
     #[test]
     fn the_end_is_that_of_a_simulation_in_small_steps(works in prop::collection::vec((1.0f64..300.0, 0.0f64..500.0), 1..8), cpus in 1.0f64..20.0) {
-        let loads: Vec<CutoffLoad> = works.iter().map(|(left_s, work)| CutoffLoad { left_s: *left_s, cpu_s: *work, cpus: f64::MAX, longest_s: 0.0 }).collect();
+        let loads: Vec<CutoffLoad> = works.iter().map(|(left_s, work)| CutoffLoad { left_s: *left_s, cpu_s: *work, max_cpus: f64::MAX, longest_task_s: 0.0 }).collect();
         let found = forecast_cutoffs(&loads, cpus);
         let mut left: Vec<f64> = loads.iter().map(|l| l.cpu_s).collect();
         let mut ends = vec![0.0; loads.len()];
--- a/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
@@ -213,8 +213,8 @@
             .map(|work| CutoffLoad {
                 left_s: work.cutoff - time_of_day,
                 cpu_s: work.cpu_s,
-                cpus: work.max_cpus_by_team.values().sum(),
-                longest_s: work.longest_task_s,
+                max_cpus: work.max_cpus_by_team.values().sum(),
+                longest_task_s: work.longest_task_s,
             })
             .collect();
         let forecasts = forecast_cutoffs(&loads, self.usable_or_booting_cpus(now));
