--- a/crates/tallygauge-deadlines/src/deadline_tracker.rs
+++ b/crates/tallygauge-deadlines/src/deadline_tracker.rs
@@ -28,7 +28,7 @@
     pub tasks: u64,
     /// When the last job was done, wall-clock time in seconds; 0: none was.
     #[serde(rename = "l")]
-    pub last: f64,
+    pub last_done_at: f64,
     /// Whether operators declared it; otherwise it was inferred from jobs.
     #[serde(rename = "o")]
     pub declared: bool,
@@ -108,7 +108,7 @@
             cutoff: window.cutoff,
             done: DoneJobs::default(),
             tasks: 0,
-            last: 0.0,
+            last_done_at: 0.0,
             declared: window.declared,
         }
     }
@@ -147,7 +147,7 @@
             progress.done.total += 1;
             progress.done.late += u32::from(at > progress.cutoff);
             progress.tasks += u64::from(tasks);
-            progress.last = progress.last.max(at);
+            progress.last_done_at = progress.last_done_at.max(at);
         }
     }
 
@@ -178,7 +178,7 @@
 
     fn close(&mut self, name: String) -> Option<CutoffEvent> {
         let progress = self.open.remove(&name)?;
-        let late_s = (progress.last - progress.cutoff).max(0.0);
+        let late_s = (progress.last_done_at - progress.cutoff).max(0.0);
         let event = CutoffEvent::Closed(name.as_str().into(), progress.is_met(), late_s);
         self.results.push_back(CutoffResult(name, progress));
         let excess = self.results.len().saturating_sub(MAX_RESULTS);
