--- a/crates/tallygauge-priority/src/priority_rules/tests.rs
+++ b/crates/tallygauge-priority/src/priority_rules/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use proptest::prelude::*;
 
-fn rule(class: &str, team: &str, window: &str, rank: Rank) -> RankRule {
+fn rule(class: &str, team: &str, cutoff_rule: &str, rank: Rank) -> RankRule {
     let some = |s: &str| (!s.is_empty()).then(|| s.to_string());
     RankRule {
         class: some(class),
         team: some(team),
-        window: some(window),
+        cutoff_rule: some(cutoff_rule),
         rank,
     }
 }
--- a/crates/tallygauge-priority/src/rank.rs
+++ b/crates/tallygauge-priority/src/rank.rs
@@ -22,7 +22,7 @@
     pub team: Option<String>,
     /// Name of the cutoff in whose window alone it holds; `None`: always.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
-    pub window: Option<String>,
+    pub cutoff_rule: Option<String>,
     /// The rank.
     #[serde(rename = "r")]
     pub rank: Rank,
@@ -34,13 +34,16 @@
 impl RankRule {
     /// What the rule is for: a rule declared later for the same scope replaces it.
     fn scope(&self) -> Scope<'_> {
-        (&self.class, &self.team, &self.window)
+        (&self.class, &self.team, &self.cutoff_rule)
     }
 
     fn matches(&self, class: &str, team: &str, is_window_open: &dyn Fn(&str) -> bool) -> bool {
         self.class.as_ref().is_none_or(|own| own == class)
             && self.team.as_ref().is_none_or(|own| own == team)
-            && self.window.as_ref().is_none_or(|own| is_window_open(own))
+            && self
+                .cutoff_rule
+                .as_ref()
+                .is_none_or(|own| is_window_open(own))
     }
 
     /// Orders rules by how specific they are: by class, then team, then window.
@@ -48,7 +51,7 @@
         [
             self.class.is_some(),
             self.team.is_some(),
-            self.window.is_some(),
+            self.cutoff_rule.is_some(),
         ]
     }
 }
--- a/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
@@ -188,10 +188,10 @@
 // rules file is older than the recorded rules must not replace them.
 #[test]
 fn ranks_order_jobs_of_equal_priority_under_every_leader() {
-    let rank = |class: &str, window: Option<&str>, rank| RankRule {
+    let rank = |class: &str, cutoff_rule: Option<&str>, rank| RankRule {
         class: Some(class.into()),
         team: None,
-        window: window.map(str::to_string),
+        cutoff_rule: cutoff_rule.map(str::to_string),
         rank,
     };
     let declared = DeclaredRules {
--- a/crates/tallygauge/src/deadline_settings.rs
+++ b/crates/tallygauge/src/deadline_settings.rs
@@ -231,7 +231,7 @@
         Ok(RankRule {
             class: self.class.clone(),
             team: self.team.clone(),
-            window: self.during.clone(),
+            cutoff_rule: self.during.clone(),
             rank: self.value,
         })
     }
