--- a/crates/tallygauge-priority/src/priority_rules.rs
+++ b/crates/tallygauge-priority/src/priority_rules.rs
@@ -18,7 +18,7 @@
     pub number: u64,
     /// Version of the declaration that it was made from.
     #[serde(rename = "d")]
-    pub declared: u64,
+    pub declared_version: u64,
     /// Wall-clock time since which it is in force, seconds; never before that of the
     /// revision before it.
     #[serde(rename = "s")]
@@ -72,11 +72,11 @@
             let rules = merge_rules(&[], &declared.rules);
             return self.with_revision(declared.version, 1, at, rules);
         };
-        if declared.version < current.declared {
+        if declared.version < current.declared_version {
             return RulesChange::Unchanged;
         }
         let rules = merge_rules(&current.rules, &declared.rules);
-        if declared.version == current.declared {
+        if declared.version == current.declared_version {
             return if rules == current.rules {
                 RulesChange::Unchanged
             } else {
@@ -90,7 +90,7 @@
 
     fn with_revision(
         &self,
-        declared: u64,
+        declared_version: u64,
         number: u64,
         since: f64,
         mut rules: Vec<RankRule>,
@@ -99,7 +99,7 @@
         let mut changed = self.clone();
         changed.revisions.push(RulesRevision {
             number,
-            declared,
+            declared_version,
             since,
             rules,
         });
--- a/crates/tallygauge-priority/src/priority_rules/tests.rs
+++ b/crates/tallygauge-priority/src/priority_rules/tests.rs
@@ -144,7 +144,7 @@
                     on_record = next;
                 }
             }
-            prop_assert_eq!(on_record.current().map(|e| e.declared), newest);
+            prop_assert_eq!(on_record.current().map(|e| e.declared_version), newest);
             if let Some(v) = newest {
                 let text = serde_json::to_string(&on_record).unwrap();
                 let read: PriorityRules = serde_json::from_str(&text).unwrap();
--- a/crates/tallygauge-sim/tests/batch_deadlines.rs
+++ b/crates/tallygauge-sim/tests/batch_deadlines.rs
@@ -43,7 +43,7 @@
         cluster
             .priority_rules()
             .current()
-            .map(|e| (e.number, e.declared))
+            .map(|e| (e.number, e.declared_version))
     });
     epoch.flatten()
 }
