--- a/crates/tallygauge-locality/src/image_index.rs
+++ b/crates/tallygauge-locality/src/image_index.rs
@@ -38,7 +38,7 @@
     /// whose fetches cost most time for each byte that they take in the record; those
     /// that a machine fetches in less than `min_fetch_s` seconds are left out there.
     #[must_use]
-    pub fn shards(
+    pub fn build_shards(
         cached: &[CachedImage],
         min_fetch_s: f64,
         max_bytes: usize,
--- a/crates/tallygauge-locality/src/image_index/tests.rs
+++ b/crates/tallygauge-locality/src/image_index/tests.rs
@@ -18,7 +18,7 @@
             machine: &names[*m as usize], image: &images[usize::from(*i)],
             gb: f64::from(*i) + 0.5, fetch_s: f64::from(*i) * 2.0,
         }).collect();
-        let shards = ImageIndex::shards(&cached, 5.0, max_bytes, max_shards);
+        let shards = ImageIndex::build_shards(&cached, 5.0, max_bytes, max_shards);
         prop_assert!(shards.len() <= max_shards);
         let mut index = ImageIndex::default();
         for shard in &shards {
@@ -54,7 +54,7 @@
         gb: 60.0,
         fetch_s: 120.0,
     });
-    let mut shards = ImageIndex::shards(&cached, 1.0, 4000, 2);
+    let mut shards = ImageIndex::build_shards(&cached, 1.0, 4000, 2);
     assert_eq!(shards.len(), 1);
     let mut index = ImageIndex::default();
     assert_eq!(index.restore(&shards[0]), 0);
@@ -71,5 +71,5 @@
     });
     let mut index = ImageIndex::default();
     assert_eq!((index.restore(&shards[0]), index.machine_count()), (2, 0));
-    assert!(ImageIndex::shards(&[], 1.0, 4000, 2).is_empty());
+    assert!(ImageIndex::build_shards(&[], 1.0, 4000, 2).is_empty());
 }
--- a/crates/tallygauge-scheduler/src/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/image_locality.rs
@@ -50,7 +50,7 @@
                 fetch_s: gb / gb_per_s,
             }));
         }
-        ImageIndex::shards(&images, min_fetch_s, shard_bytes, max_shards)
+        ImageIndex::build_shards(&images, min_fetch_s, shard_bytes, max_shards)
     }
 }
 
