--- a/crates/tallygauge-locality/examples/curve.rs
+++ b/crates/tallygauge-locality/examples/curve.rs
@@ -31,12 +31,12 @@
     let mut on_machine = vec![0u32; machines];
     let mut in_zone = vec![0u32; zones as usize];
     let mut fetches = 0;
-    for running in 0..replicas {
+    for in_all_zones in 0..replicas {
         let cost = |m: usize| {
             let replicas = ReplicaCounts {
                 on_machine: on_machine[m],
                 in_zone: in_zone[zone(m) as usize],
-                running,
+                in_all_zones,
                 zones,
             };
             spread.cost_s(replicas) + if has_image[m] { 0.0 } else { FETCH_S }
--- a/crates/tallygauge-locality/src/replica_spread.rs
+++ b/crates/tallygauge-locality/src/replica_spread.rs
@@ -8,7 +8,7 @@
     /// Replicas of the job in the machine's zone.
     pub in_zone: u32,
     /// Replicas of the job in all zones.
-    pub running: u32,
+    pub in_all_zones: u32,
     /// Zones in which the job may run.
     pub zones: u32,
 }
@@ -36,7 +36,7 @@
     /// seconds.
     #[must_use]
     pub fn zone_cost_s(&self, replicas: ReplicaCounts) -> f64 {
-        let even_share = (replicas.running + 1).div_ceil(replicas.zones.max(1));
+        let even_share = (replicas.in_all_zones + 1).div_ceil(replicas.zones.max(1));
         let beyond_share = (replicas.in_zone + 1).saturating_sub(even_share);
         self.risk_s * f64::from(beyond_share)
     }
--- a/crates/tallygauge-locality/src/replica_spread/tests.rs
+++ b/crates/tallygauge-locality/src/replica_spread/tests.rs
@@ -14,7 +14,7 @@
     let spread = ReplicaSpread { risk_s };
     let (mut replicas_on, mut fetched_s) = (vec![0u32; warm.len()], 0.0);
     let mut has_image: Vec<bool> = warm.to_vec();
-    for running in 0..replicas {
+    for in_all_zones in 0..replicas {
         let zone = |m: usize| m as u32 % zones;
         let cost = |m: usize| {
             let in_zone = (0..replicas_on.len())
@@ -23,7 +23,7 @@
             let replicas = ReplicaCounts {
                 on_machine: replicas_on[m],
                 in_zone: in_zone.sum(),
-                running,
+                in_all_zones,
                 zones,
             };
             let fetch = if has_image[m] { 0.0 } else { 120.0 };
--- a/crates/tallygauge-scheduler/src/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/image_locality.rs
@@ -69,7 +69,7 @@
     ReplicaCounts {
         on_machine: 0,
         in_zone: replicas_by_zone.get(zone).copied().unwrap_or(0),
-        running: replicas_by_zone.values().sum(),
+        in_all_zones: replicas_by_zone.values().sum(),
         zones: zone_count,
     }
 }
