--- a/crates/tallygauge-fairness/src/lib.rs
+++ b/crates/tallygauge-fairness/src/lib.rs
@@ -1,12 +1,16 @@
-//! Minimum share: no class of jobs and no team is served less than a set fraction of
-//! its work.
+//! Minimum share of service: no class of jobs and no team is served less than a set
+//! fraction of its work.
 //!
-//! Pure: no clock, no input or output. [`ServiceCounts`] counts the jobs that have
-//! ended by class, by team, and for the largest jobs of each class.
-//! [`select_underserved`] compares the counts with the open jobs and selects those that
-//! come first where a class or a team has fallen behind; below overload it selects
-//! none. The minimum share of the scheduler calls both. `docs/minimum-share.md` says why the
-//! rules are as they are.
+//! The crate does no I/O and reads no clock.
+//!
+//! - [`ServiceCounts`] counts the jobs that have ended, by class, by team, and for the
+//!   largest jobs of each class.
+//! - [`select_underserved`] compares these counts with the open jobs and selects the jobs
+//!   to place first when a class or a team is underserved. Without overload it selects
+//!   none.
+//!
+//! The scheduler's minimum share uses both. `docs/minimum-share.md` gives the reasons for
+//! the rules.
 
 mod selection;
 mod service_counts;
--- a/crates/tallygauge-fairness/src/selection.rs
+++ b/crates/tallygauge-fairness/src/selection.rs
@@ -1,93 +1,107 @@
-//! Selection of the jobs that come first for groups (classes and teams) which have
-//! fallen behind their share.
+//! Selection of the jobs to place first because their groups (classes and teams) are
+//! underserved.
 
 use crate::service_counts::{GroupIds, ServiceCounts, WINDOW_COUNT};
 use std::cmp::Ordering;
 
-/// Overdue jobs from which on a group may be behind; fewer may be chance.
+/// Fewest overdue jobs for which a group counts as underserved; fewer may be overdue by
+/// chance.
 const MIN_OVERDUE_JOBS: u32 = 4;
 
-/// An open job, as far as the selection looks at it.
+/// An open job, as input of the selection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// Groups that it counts for.
+    /// Groups that the job counts for.
     pub groups: GroupIds,
-    /// CPU-seconds until its last task is done.
+    /// CPU-seconds of work left until its last task is done.
     pub remaining_cpu_s: f64,
-    /// Seconds since it should have been served; `None`: it need not be yet.
+    /// Seconds since the time by which it should have been served; `None` if that time
+    /// has not come yet.
     pub overdue_s: Option<f64>,
-    /// Whether it can't meet its loosest service-level objective any more.
+    /// Whether it can no longer meet its loosest service-level objective.
     pub late: bool,
-    /// Whether it is overdue for so long that it shows by itself that its groups
-    /// are behind.
+    /// Whether it has been overdue for so long that this job alone shows that its groups
+    /// are underserved.
     pub long_overdue: bool,
-    /// Whether a task of it fits on any machine that there is or that can be rented.
+    /// Whether any machine that exists or can be rented is large enough for one of its
+    /// tasks.
     pub fits: bool,
-    /// Whether it is served though it is open: a service whose replicas all run.
+    /// Whether it counts as served although it is open: a service whose replicas all
+    /// run.
     pub served: bool,
 }
 
-/// Fractions of the jobs done or overdue that are to be done, 0 to 1.
+/// Fractions, 0 to 1, of a group's jobs served or overdue that are to be served.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ShareTarget {
-    /// Minimum share: jobs that a group needs to reach it come first.
+    /// Minimum share. Jobs that a group needs to reach it are selected first.
     pub min_share: f64,
-    /// Share to reach.
+    /// Share to reach after the minimum share.
     pub target_share: f64,
 }
 
-/// How far a group is behind, in jobs.
+/// How far a group is below its shares, in jobs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Shortfall {
     /// Open jobs.
     pub open: u32,
     /// Open jobs that should have been served by now.
     pub overdue: u32,
-    /// Open jobs that fit on no machine.
+    /// Open jobs whose tasks fit on no machine that exists or can be rented.
     pub unplaceable: u32,
-    /// Jobs that must yet be done to reach the minimum share.
+    /// Further jobs that must be served to reach the minimum share.
     pub to_min_share: u32,
-    /// Jobs that must yet be done to reach the target share.
+    /// Further jobs that must be served to reach the target share.
     pub to_target_share: u32,
 }
 
-/// A job that comes first.
+/// A job to place first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SelectedJob {
     /// Index of the candidate.
     pub candidate: usize,
-    /// Whether a group doesn't reach its minimum share without it.
+    /// Whether it was selected because a class or team needs it to reach its minimum
+    /// share.
     pub for_min_share: bool,
 }
 
 /// Result of a selection.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Selection {
-    /// Shortfalls by group id.
+    /// Shortfalls, by group id.
     pub shortfalls: Vec<Shortfall>,
-    /// Jobs that come first, in this order.
+    /// Jobs to place first, in this order.
     pub selected: Vec<SelectedJob>,
 }
 
-/// Selects, for each class and each team that is behind, those of its open jobs that
-/// have the least work left, as many as it is short of. After those for the minimum
-/// share come the largest jobs of a class that has reached it, as many as those are
-/// short of, and then jobs for the target share, those that are not late first.
+/// Selects open jobs of the classes and teams that are underserved. The jobs are selected
+/// in this order:
 ///
-/// A group is behind if it has served less than the target's share of its jobs done
-/// or overdue, within either window of `counts`. A few overdue jobs don't count unless
-/// one is long overdue. Jobs that need not be served yet don't count, so that no group
-/// is behind while work is done in time. A job counts for all its groups alike.
+/// 1. For each class and each team below its minimum share, the jobs with the least work
+///    left, as many as the group is short of.
+/// 2. For each class that has its minimum share while its largest jobs do not have
+///    theirs, jobs of these, as many as they are short of.
+/// 3. For each class and each team below its target share, as many jobs as the group is
+///    short of: first those that are not late, then those with the least work left.
 ///
-/// `at` is wall-clock time in seconds. Called by the scheduler's minimum share.
+/// A group is underserved if it has served less than the target share of its jobs served
+/// or overdue, within either window of `counts`, with these exceptions:
+///
+/// - A few overdue jobs do not count, unless one of them is long overdue.
+/// - Jobs that need not be served yet do not count, so that no group is underserved while
+///   its work is done in time.
+///
+/// A job counts alike for all its groups.
+///
+/// `unix_time_s` is the present time. Called by the scheduler's minimum share.
 #[must_use]
 pub fn select_underserved(
     counts: &ServiceCounts,
     candidates: &[Candidate],
     target: ShareTarget,
-    at: f64,
+    unix_time_s: f64,
 ) -> Selection {
-    let shortfalls = compute_shortfalls(counts, candidates, target, at);
+    let shortfalls = compute_shortfalls(counts, candidates, target, unix_time_s);
     if shortfalls.iter().all(|s| s.to_target_share == 0) {
         return Selection {
             shortfalls,
@@ -96,7 +110,7 @@
     }
     let mut selector = Selector::new(candidates, &shortfalls);
     selector.select_for_min_share();
-    selector.select_largest();
+    selector.select_largest_jobs();
     selector.select_for_target_share();
     let selected = selector.selected;
     Selection {
@@ -109,12 +123,12 @@
 struct Selector<'a> {
     candidates: &'a [Candidate],
     shortfalls: &'a [Shortfall],
-    /// Indices of the candidates that may yet be selected, in the order in which
-    /// they are looked at.
+    /// Indices of the candidates that can still be selected, in the order in which they
+    /// are considered.
     unselected: Vec<usize>,
-    /// By group id: jobs that must yet be selected to reach the minimum share.
+    /// Jobs still to be selected to reach the minimum share, by group id.
     missing_to_min_share: Vec<u32>,
-    /// By group id: jobs that must yet be selected to reach the target share.
+    /// Jobs still to be selected to reach the target share, by group id.
     missing_to_target_share: Vec<u32>,
     selected: Vec<SelectedJob>,
 }
@@ -138,7 +152,7 @@
     fn select_for_min_share(&mut self) {
         for candidate in std::mem::take(&mut self.unselected) {
             let groups = self.candidates[candidate].groups;
-            if is_missing_job(&self.missing_to_min_share, groups) {
+            if lacks_jobs(&self.missing_to_min_share, groups) {
                 self.select(candidate, true);
             } else {
                 self.unselected.push(candidate);
@@ -146,15 +160,15 @@
         }
     }
 
-    /// Selects the largest jobs of classes. They cost most: the class itself must
-    /// have its minimum share.
-    fn select_largest(&mut self) {
+    /// Selects the largest jobs of classes. As they take the most resources, the class
+    /// itself must have its minimum share first.
+    fn select_largest_jobs(&mut self) {
         for candidate in std::mem::take(&mut self.unselected) {
             let groups = self.candidates[candidate].groups;
-            let is_missing = groups
+            let lacks_largest_jobs = groups
                 .largest
                 .is_some_and(|group| self.missing_to_min_share[group] > 0);
-            if is_missing && self.shortfalls[groups.class].to_min_share == 0 {
+            if lacks_largest_jobs && self.shortfalls[groups.class].to_min_share == 0 {
                 self.select(candidate, false);
             } else {
                 self.unselected.push(candidate);
@@ -170,7 +184,7 @@
         });
         for candidate in std::mem::take(&mut self.unselected) {
             let groups = self.candidates[candidate].groups;
-            if is_missing_job(&self.missing_to_target_share, groups) {
+            if lacks_jobs(&self.missing_to_target_share, groups) {
                 self.select(candidate, false);
             }
         }
@@ -192,12 +206,12 @@
     }
 }
 
-/// Whether the class or the team of a job misses jobs.
-fn is_missing_job(missing: &[u32], groups: GroupIds) -> bool {
+/// Whether the class or the team of a job needs further jobs; `missing` is by group id.
+fn lacks_jobs(missing: &[u32], groups: GroupIds) -> bool {
     missing[groups.class] > 0 || missing[groups.team] > 0
 }
 
-/// The candidate with less work left first; of equal ones, the lower index.
+/// Orders candidates by the work left, least first, and then by index.
 fn compare_remaining_work(candidates: &[Candidate], a: usize, b: usize) -> Ordering {
     candidates[a]
         .remaining_cpu_s
@@ -205,27 +219,27 @@
         .then(a.cmp(&b))
 }
 
-/// What the open jobs of a group contribute to its shortfall.
+/// Counts of the open jobs of a group, from which its shortfall is computed.
 #[derive(Debug, Clone, Copy, Default)]
-struct OpenJobs {
+struct OpenJobCounts {
     /// Open jobs that are served: services whose replicas all run.
     served: u32,
-    /// Jobs that became overdue within each window.
+    /// Jobs that became overdue within each window and are not served.
     overdue_in_windows: [u32; WINDOW_COUNT],
     has_long_overdue: bool,
 }
 
-/// Shortfalls by group id.
+/// Computes the shortfalls, by group id.
 fn compute_shortfalls(
     counts: &ServiceCounts,
     candidates: &[Candidate],
     target: ShareTarget,
-    at: f64,
+    unix_time_s: f64,
 ) -> Vec<Shortfall> {
     let window_lengths_s = counts.window_lengths_s();
     let group_count = counts.keys().len();
     let mut shortfalls = vec![Shortfall::default(); group_count];
-    let mut open_jobs = vec![OpenJobs::default(); group_count];
+    let mut open_jobs = vec![OpenJobCounts::default(); group_count];
     for candidate in candidates {
         for group in candidate.groups.iter() {
             count_open_job(
@@ -240,7 +254,7 @@
         if shortfall.overdue < MIN_OVERDUE_JOBS && !open.has_long_overdue {
             continue;
         }
-        let done_in_windows = counts.done_in_windows(group, at);
+        let done_in_windows = counts.done_in_windows(group, unix_time_s);
         for (done, overdue) in done_in_windows.into_iter().zip(open.overdue_in_windows) {
             let served = done + open.served;
             let total = f64::from(served) + f64::from(overdue);
@@ -252,12 +266,12 @@
     shortfalls
 }
 
-/// Counts an open job for one of its groups.
+/// Adds an open job to the counts of one of its groups.
 fn count_open_job(
     candidate: &Candidate,
     window_lengths_s: [f64; WINDOW_COUNT],
     shortfall: &mut Shortfall,
-    open: &mut OpenJobs,
+    open: &mut OpenJobCounts,
 ) {
     shortfall.open += 1;
     if candidate.served {
--- a/crates/tallygauge-fairness/src/selection/tests.rs
+++ b/crates/tallygauge-fairness/src/selection/tests.rs
@@ -7,39 +7,45 @@
     target_share: 0.65,
 };
 
-/// Jobs that must yet be done, of one group: to the minimum share, to the target share.
+/// Further jobs that one group must serve: to the minimum share, and to the target share.
 type Missing = [u32; 2];
 
 const TO_MIN_SHARE: usize = 0;
 const TO_TARGET_SHARE: usize = 1;
 
-/// The least number of jobs that must yet be done for a share, tried one by one.
-fn plain_missing(served: u32, overdue: u32, share: f64) -> u32 {
+/// The least number of further jobs to serve for a share, found by trying each number in
+/// turn.
+fn reference_missing(served: u32, overdue: u32, share: f64) -> u32 {
     let is_enough =
         |more: &u32| f64::from(served + more) + 1e-9 >= f64::from(served + overdue) * share;
     (0..).find(is_enough).unwrap()
 }
 
-/// Missing jobs of each group as the documentation words them.
-fn plain_shortfalls(counts: &ServiceCounts, jobs: &[Candidate], at: f64) -> Vec<Missing> {
+/// Reference model of the shortfalls: the missing jobs of each group, computed directly
+/// from the documented rule.
+fn reference_shortfalls(
+    counts: &ServiceCounts,
+    jobs: &[Candidate],
+    unix_time_s: f64,
+) -> Vec<Missing> {
     let mut shortfalls = Vec::new();
     for group in 0..counts.keys().len() {
         let is_member = |j: &&Candidate| j.groups.iter().any(|g| g == group);
         let is_overdue = |j: &&Candidate| is_member(j) && !j.served && j.overdue_s.is_some();
-        let may_be_behind = jobs.iter().filter(is_overdue).count() >= 4
+        let may_be_underserved = jobs.iter().filter(is_overdue).count() >= 4
             || jobs.iter().filter(is_overdue).any(|j| j.long_overdue);
         let mut missing = [0; 2];
         let windows = counts.window_lengths_s();
-        for (window, window_s) in windows.iter().enumerate().filter(|_| may_be_behind) {
+        for (window, window_s) in windows.iter().enumerate().filter(|_| may_be_underserved) {
             let open = jobs.iter().filter(|j| is_member(j) && j.served).count() as u32;
-            let served = counts.done_in_windows(group, at)[window] + open;
+            let served = counts.done_in_windows(group, unix_time_s)[window] + open;
             let within = |j: &&Candidate| is_overdue(j) && j.overdue_s < Some(*window_s);
             let overdue = jobs.iter().filter(within).count() as u32;
             for (n, share) in [TARGET.min_share, TARGET.target_share]
                 .into_iter()
                 .enumerate()
             {
-                missing[n] = missing[n].max(plain_missing(served, overdue, share));
+                missing[n] = missing[n].max(reference_missing(served, overdue, share));
             }
         }
         shortfalls.push(missing);
@@ -47,12 +53,14 @@
     shortfalls
 }
 
-/// The selection as the documentation words it: over and over, of all jobs that a class
-/// or team below its minimum share could use, the one with the least work left; then
-/// the same of the largest jobs of a class that has reached it; then, of those that a
-/// group below the target share could use, the one that can still be in time and has
-/// the least work left.
-fn plain_selection(shortfalls: &[Missing], jobs: &[Candidate]) -> Vec<SelectedJob> {
+/// Reference model of the selection, one job at a time, by the documented rule. Each step
+/// selects the first of these jobs that exists:
+///
+/// 1. the job with the least work left that a class or team below its minimum share needs;
+/// 2. the same of the largest jobs of a class that has its minimum share;
+/// 3. of the jobs that a class or team below its target share needs, those that are not
+///    late before the others, the one with the least work left.
+fn reference_selection(shortfalls: &[Missing], jobs: &[Candidate]) -> Vec<SelectedJob> {
     let mut missing = shortfalls.to_vec();
     let mut selected = Vec::<SelectedJob>::new();
     loop {
@@ -115,9 +123,9 @@
         )
 }
 
-/// Counts with three classes (ids 0 to 2), two teams (3 and 4) and the largest jobs of
-/// the classes (5 to 7).
-fn counts_of_eight_groups() -> ServiceCounts {
+/// Counts without jobs, of three classes (ids 0 to 2), two teams (3 and 4) and the largest
+/// jobs of the classes (5 to 7).
+fn empty_counts_of_eight_groups() -> ServiceCounts {
     let mut counts = ServiceCounts::new(200.0);
     for (kind, name) in [
         (GroupKind::Class, "a"),
@@ -137,26 +145,26 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn the_selection_is_that_of_the_plain_model(
+    fn selection_matches_reference_model(
         jobs in prop::collection::vec(any_candidate(), 0..40),
         ended in prop::collection::vec((0usize..3, 3usize..5, 0.0f64..500.0), 0..30),
     ) {
-        let mut counts = counts_of_eight_groups();
+        let mut counts = empty_counts_of_eight_groups();
         let now = 1e9;
         for (class, team, ago_s) in ended {
             let groups = GroupIds { class, team, largest: (ago_s > 400.0).then_some(5 + class) };
             counts.record_end(groups, JobEnd::Done { late: false }, now - ago_s);
         }
         let selection = select_underserved(&counts, &jobs, TARGET, now);
-        let shortfalls = plain_shortfalls(&counts, &jobs, now);
+        let shortfalls = reference_shortfalls(&counts, &jobs, now);
         let found: Vec<Missing> = selection.shortfalls.iter().map(|s| [s.to_min_share, s.to_target_share]).collect();
         prop_assert_eq!(found, &shortfalls[..]);
-        prop_assert_eq!(selection.selected, plain_selection(&shortfalls, &jobs));
+        prop_assert_eq!(selection.selected, reference_selection(&shortfalls, &jobs));
     }
 }
 
 #[test]
-fn a_job_that_fits_nowhere_is_reported_but_not_selected() {
+fn unplaceable_jobs_are_reported_but_not_selected() {
     let mut counts = ServiceCounts::new(200.0);
     let groups = GroupIds {
         class: counts.group_id(GroupKind::Class, "giant"),
@@ -176,7 +184,7 @@
     let class = selection.shortfalls[0];
     assert_eq!((class.unplaceable, class.to_target_share), (2, 2));
     assert!(selection.selected.is_empty());
-    // A service whose replicas all run is served.
+    // A service whose replicas all run counts as served, which leaves no shortfall.
     let fits = Candidate {
         fits: true,
         ..job.clone()
--- a/crates/tallygauge-fairness/src/service_counts.rs
+++ b/crates/tallygauge-fairness/src/service_counts.rs
@@ -1,5 +1,5 @@
-//! Counts of the jobs that have ended, by class, by team, and for the largest jobs of
-//! each class.
+//! Counts of the jobs that have ended: by class, by team, and for the largest jobs of each
+//! class.
 
 use crate::{
     service_counts_record::{
@@ -13,36 +13,36 @@
 /// What jobs are grouped by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum GroupKind {
-    /// Their class.
+    /// By class.
     Class,
-    /// Their team.
+    /// By team.
     Team,
-    /// The largest jobs of a class.
+    /// The largest jobs of a class, by that class.
     Largest,
 }
 
 /// Ids of the groups that a job counts for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupIds {
-    /// Its class.
+    /// Group of its class.
     pub class: usize,
-    /// Its team.
+    /// Group of its team.
     pub team: usize,
-    /// The largest jobs of its class, if it is one of them.
+    /// Group of the largest jobs of its class, if it is one of them.
     pub largest: Option<usize>,
 }
 
 impl GroupIds {
-    /// The ids, class and team first.
+    /// The ids, those of the class and the team first.
     pub fn iter(self) -> impl Iterator<Item = usize> {
         [self.class, self.team].into_iter().chain(self.largest)
     }
 }
 
-/// Name of a group.
+/// Kind and name that identify a group.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupKey {
-    /// What its jobs have in common.
+    /// What the jobs of the group have in common.
     pub kind: GroupKind,
     /// Name of the class or team.
     pub name: Arc<str>,
@@ -53,12 +53,12 @@
 pub enum JobEnd {
     /// All its tasks are done.
     Done {
-        /// Whether that was after its loosest service-level objective.
+        /// Whether that was later than its loosest service-level objective.
         late: bool,
     },
     /// Its user cancelled it.
     Cancelled {
-        /// Whether a task of it had run.
+        /// Whether any of its tasks had started.
         started: bool,
     },
 }
@@ -68,11 +68,11 @@
 pub struct Counts {
     /// Jobs done.
     pub done: u64,
-    /// Those of `done` that were after their loosest service-level objective.
+    /// Jobs of `done` that missed their loosest service-level objective.
     pub late: u64,
     /// Jobs cancelled.
     pub cancelled: u64,
-    /// Those of `cancelled` of which a task had run.
+    /// Jobs of `cancelled` of which a task had started.
     pub cancelled_after_start: u64,
     /// Jobs done in the longer window.
     done_in_day: SlidingWindow,
@@ -80,25 +80,26 @@
     done_recently: SlidingWindow,
 }
 
-/// Number of windows over which jobs done are counted.
+/// Number of sliding windows over which the jobs done are counted.
 pub(crate) const WINDOW_COUNT: usize = 2;
 
 /// Length of the longer window, seconds.
-const DAY_S: f64 = 86_400.0;
+const DAY_WINDOW_S: f64 = 86_400.0;
 
-/// Length of the shorter window at the least, seconds.
-const MIN_RECENT_S: f64 = 1.0;
+/// Minimum length of the shorter window, seconds.
+const MIN_RECENT_WINDOW_S: f64 = 1.0;
 
-/// Most classes that are counted apart; jobs of further ones are counted together.
+/// Maximum number of classes with counts of their own; the jobs of further classes are
+/// counted together.
 const MAX_CLASSES: usize = 200;
 
-/// Name under which the classes beyond [`MAX_CLASSES`] are counted.
+/// Name of the group in which the classes beyond [`MAX_CLASSES`] are counted together.
 const OTHER_CLASSES: &str = "(others)";
 
-/// Bytes around the entries of a record.
+/// Bytes of a record as JSON besides its entries.
 const RECORD_OVERHEAD_BYTES: usize = 32;
 
-/// Sizes of the jobs of a class.
+/// Histograms of the sizes of a class's jobs.
 #[derive(Debug, Clone, Default)]
 struct ClassSizes {
     /// Jobs that have ended.
@@ -113,37 +114,42 @@
     }
 }
 
-/// Numbers of jobs that have ended, by group, and sizes of jobs, by class. The ids of
-/// groups are indices that never change.
+/// Counts of the jobs that have ended, by group, and histograms of job sizes, by class.
+///
+/// A group id is an index that never changes during the life of the value. Ids are not
+/// stored.
 #[derive(Debug, Clone)]
 pub struct ServiceCounts {
-    /// By group id.
+    /// Keys of the groups, by group id.
     keys: Vec<GroupKey>,
-    /// By group id.
+    /// Counts of the groups, by group id.
     counts: Vec<Counts>,
     group_ids: HashMap<GroupKey, usize>,
+    /// Classes with counts of their own.
     class_count: usize,
     /// Length of the shorter window, seconds.
-    recent_s: f64,
-    /// By group id of the class.
+    recent_window_s: f64,
+    /// Sizes of the jobs of classes, by the group id of the class.
     sizes: HashMap<usize, ClassSizes>,
 }
 
 impl ServiceCounts {
-    /// No counts; the shorter window has `recent_s` seconds.
+    /// Creates empty counts. `recent_window_s` is the length of the shorter window in
+    /// seconds; it is limited to the range from 1 s to a day.
     #[must_use]
-    pub fn new(recent_s: f64) -> Self {
+    pub fn new(recent_window_s: f64) -> Self {
         Self {
             keys: Vec::new(),
             counts: Vec::new(),
             group_ids: HashMap::new(),
             class_count: 0,
-            recent_s: recent_s.clamp(MIN_RECENT_S, DAY_S),
+            recent_window_s: recent_window_s.clamp(MIN_RECENT_WINDOW_S, DAY_WINDOW_S),
             sizes: HashMap::new(),
         }
     }
 
-    /// Id of a group, which is added if it is new.
+    /// Returns the id of a group, which is added if it is new. A class beyond the maximum
+    /// number of classes gets the id of the group that these classes share.
     pub fn group_id(&mut self, kind: GroupKind, name: &str) -> usize {
         let mut key = GroupKey {
             kind,
@@ -153,8 +159,8 @@
             return *id;
         }
         if kind != GroupKind::Team && name != OTHER_CLASSES {
-            let is_counted_apart = kind == GroupKind::Largest || self.class_count < MAX_CLASSES;
-            if !is_counted_apart {
+            let has_own_group = kind == GroupKind::Largest || self.class_count < MAX_CLASSES;
+            if !has_own_group {
                 key.name = OTHER_CLASSES.into();
                 if let Some(id) = self.group_ids.get(&key) {
                     return *id;
@@ -170,32 +176,32 @@
         id
     }
 
-    /// Counts the size of a job that was opened; `class` is the id of its class.
+    /// Adds the size of a job that was opened to those of the open jobs. `class` is the group
+    /// id of its class.
     pub fn record_opened(&mut self, class: usize, size: JobSize) {
         self.sizes.entry(class).or_default().open.add(size);
     }
 
-    /// Counts the size of an open job as that of one that has ended.
+    /// Moves the size of a job that has ended from the open to the closed jobs of its class.
     pub fn record_closed(&mut self, class: usize, size: JobSize) {
         let sizes = self.sizes.entry(class).or_default();
         sizes.open.remove(size);
         sizes.closed.add(size);
     }
 
-    /// Id of the group of a class's largest jobs, if a job of this size is one of
-    /// them.
+    /// Returns the group id of a class's largest jobs if a job of this size is one of them.
     pub fn largest_group_of_job(&mut self, class: usize, size: JobSize) -> Option<usize> {
         let is_large = self.is_large(class, size, LARGEST_FRACTION);
         is_large.then(|| self.largest_group_id(class))
     }
 
-    /// Id of the group of a class's largest jobs.
+    /// Returns the group id of a class's largest jobs, which is added if it is new.
     pub fn largest_group_id(&mut self, class: usize) -> usize {
         let name = self.keys[class].name.clone();
         self.group_id(GroupKind::Largest, &name)
     }
 
-    /// Size thresholds of the largest `fraction` of jobs, by the id of their class.
+    /// Size thresholds of the largest `fraction` of each class, by the group id of the class.
     #[must_use]
     pub fn size_thresholds(&self, fraction: f64) -> HashMap<usize, SizeThresholds> {
         let sizes = self.sizes.iter();
@@ -204,15 +210,15 @@
             .collect()
     }
 
-    /// Whether a job of this size is among the largest `fraction` of its class by any
-    /// dimension.
+    /// Whether a job of this size is, in any dimension, among the largest `fraction` of its
+    /// class.
     #[must_use]
     pub fn is_large(&self, class: usize, size: JobSize, fraction: f64) -> bool {
         let sizes = self.sizes.get(&class);
         sizes.is_some_and(|sizes| sizes.thresholds(fraction).is_reached_by(size))
     }
 
-    /// Keys of all groups, by group id.
+    /// Keys of all groups; the index is the group id.
     #[must_use]
     pub fn keys(&self) -> &[GroupKey] {
         &self.keys
@@ -221,7 +227,7 @@
     /// Counts of a group.
     ///
     /// # Panics
-    /// If the id is not one of [`group_id`](Self::group_id).
+    /// If the id was not returned by [`group_id`](Self::group_id).
     #[must_use]
     pub fn counts(&self, group: usize) -> &Counts {
         &self.counts[group]
@@ -230,33 +236,33 @@
     /// Lengths of the windows in seconds, the longer first.
     #[must_use]
     pub fn window_lengths_s(&self) -> [f64; WINDOW_COUNT] {
-        [DAY_S, self.recent_s]
+        [DAY_WINDOW_S, self.recent_window_s]
     }
 
-    /// Jobs of a group that were done within each window before the wall-clock time `at`,
-    /// in the order of [`window_lengths_s`](Self::window_lengths_s).
+    /// Number of jobs of a group that were done within each window, in the order of
+    /// [`window_lengths_s`](Self::window_lengths_s). The windows end at `unix_time_s`.
     ///
     /// # Panics
-    /// If the id is not one of [`group_id`](Self::group_id).
+    /// If the id was not returned by [`group_id`](Self::group_id).
     #[must_use]
-    pub fn done_in_windows(&self, group: usize, at: f64) -> [u32; WINDOW_COUNT] {
+    pub fn done_in_windows(&self, group: usize, unix_time_s: f64) -> [u32; WINDOW_COUNT] {
         let counts = &self.counts[group];
         [
-            counts.done_in_day.sum(at, DAY_S),
-            counts.done_recently.sum(at, self.recent_s),
+            counts.done_in_day.sum(unix_time_s, DAY_WINDOW_S),
+            counts.done_recently.sum(unix_time_s, self.recent_window_s),
         ]
     }
 
-    /// Counts a job that ended at the wall-clock time `at`, in seconds, for its groups.
-    pub fn record_end(&mut self, groups: GroupIds, end: JobEnd, at: f64) {
+    /// Counts a job that ended at `unix_time_s` for each of its groups.
+    pub fn record_end(&mut self, groups: GroupIds, end: JobEnd, unix_time_s: f64) {
         for group in groups.iter() {
             let counts = &mut self.counts[group];
             match end {
                 JobEnd::Done { late } => {
                     counts.done += 1;
                     counts.late += u64::from(late);
-                    counts.done_in_day.add(at, DAY_S);
-                    counts.done_recently.add(at, self.recent_s);
+                    counts.done_in_day.add(unix_time_s, DAY_WINDOW_S);
+                    counts.done_recently.add(unix_time_s, self.recent_window_s);
                 }
                 JobEnd::Cancelled { started } => {
                     counts.cancelled += 1;
@@ -266,8 +272,9 @@
         }
     }
 
-    /// The record to store, of at most `max_bytes` bytes as JSON: groups with the most
-    /// jobs first, then sizes of classes.
+    /// Builds the record to store, of at most `max_bytes` bytes as JSON. Groups are added
+    /// first, then the sizes of classes, each with the most ended jobs first. Entries that no
+    /// longer fit are left out.
     #[must_use]
     pub fn to_record(&self, max_bytes: usize) -> ServiceCountsRecord {
         let mut record = ServiceCountsRecord {
@@ -275,33 +282,33 @@
             ..ServiceCountsRecord::default()
         };
         let mut free_bytes = max_bytes.saturating_sub(RECORD_OVERHEAD_BYTES);
-        for group in self.groups_by_jobs() {
+        for group in self.groups_by_ended_jobs() {
             let entry = self.group_record(group);
-            let Some(rest) = free_bytes.checked_sub(entry.max_bytes()) else {
+            let Some(remaining_bytes) = free_bytes.checked_sub(entry.max_bytes()) else {
                 continue;
             };
-            free_bytes = rest;
+            free_bytes = remaining_bytes;
             match self.keys[group].kind {
                 GroupKind::Class => record.classes.push(entry),
                 GroupKind::Team => record.teams.push(entry),
                 GroupKind::Largest => record.largest.push(entry),
             }
         }
-        for entry in self.sizes_by_jobs() {
-            if let Some(rest) = free_bytes.checked_sub(entry.max_bytes()) {
-                free_bytes = rest;
+        for entry in self.sizes_by_ended_jobs() {
+            if let Some(remaining_bytes) = free_bytes.checked_sub(entry.max_bytes()) {
+                free_bytes = remaining_bytes;
                 record.sizes.push(entry);
             }
         }
         record
     }
 
-    /// Ids of groups of which jobs have ended, those with the most first.
-    fn groups_by_jobs(&self) -> Vec<usize> {
-        let jobs = |group: &usize| self.counts[*group].done + self.counts[*group].cancelled;
+    /// Ids of the groups with ended jobs, sorted by their number, the most first.
+    fn groups_by_ended_jobs(&self) -> Vec<usize> {
+        let ended_jobs = |group: &usize| self.counts[*group].done + self.counts[*group].cancelled;
         let mut groups: Vec<usize> = (0..self.keys.len()).collect();
-        groups.retain(|group| jobs(group) > 0);
-        groups.sort_by_key(|group| (Reverse(jobs(group)), &self.keys[*group]));
+        groups.retain(|group| ended_jobs(group) > 0);
+        groups.sort_by_key(|group| (Reverse(ended_jobs(group)), &self.keys[*group]));
         groups
     }
 
@@ -320,8 +327,8 @@
         }
     }
 
-    /// Sizes of classes of which jobs have ended, those with the most first.
-    fn sizes_by_jobs(&self) -> Vec<ClassSizesRecord> {
+    /// Sizes of the ended jobs of each class, sorted by their number, the most first.
+    fn sizes_by_ended_jobs(&self) -> Vec<ClassSizesRecord> {
         let mut entries: Vec<ClassSizesRecord> = self
             .sizes
             .iter()
@@ -338,8 +345,9 @@
         entries
     }
 
-    /// Adds the counts that an earlier leader stored. Returns whether their format is
-    /// known; nothing is added if it is not.
+    /// Restores the counts that an earlier leader stored: adds its totals, and replaces the
+    /// windows and the sizes. Returns false and changes nothing if the record's format is not
+    /// known.
     pub fn restore(&mut self, record: ServiceCountsRecord) -> bool {
         if record.version != FORMAT_VERSION {
             return false;
--- a/crates/tallygauge-fairness/src/service_counts/tests.rs
+++ b/crates/tallygauge-fairness/src/service_counts/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn a_record_restores_the_counts_and_keeps_its_size_limit() {
+fn record_restores_counts_and_respects_size_limit() {
     let mut counts = ServiceCounts::new(100.0);
     for n in 0..600u32 {
-        // A hostile name is all escapes.
+        // Control characters take the most bytes in JSON, as each is escaped.
         let class = format!("\u{1}\u{2}class-{}", n % 300);
         let class = counts.group_id(GroupKind::Class, &class);
         let size = [f64::from(n), 1.0, 2.0];
@@ -24,15 +24,15 @@
         counts.record_end(groups, end, 1e9 + f64::from(n));
     }
     assert!(counts.keys().len() <= (MAX_CLASSES + 1) * 2 + 40);
-    let all = counts.to_record(1 << 20);
+    let full_record = counts.to_record(1 << 20);
     let mut restored = ServiceCounts::new(100.0);
-    assert!(restored.restore(all.clone()));
-    assert!(restored.to_record(1 << 20) == all);
+    assert!(restored.restore(full_record.clone()));
+    assert!(restored.to_record(1 << 20) == full_record);
     let other_classes = restored.group_id(GroupKind::Class, OTHER_CLASSES);
     assert_eq!(
         restored.counts(other_classes).done,
         160,
-        "two rounds of a hundred classes"
+        "80 done jobs in each of two passes over the 100 classes beyond the limit"
     );
     for limit in [100, 2_000, 7_000, 30_000] {
         let text = serde_json::to_string(&counts.to_record(limit)).unwrap();
@@ -40,6 +40,6 @@
     }
     assert!(
         !restored.restore(ServiceCountsRecord::default()),
-        "an unknown format"
+        "the format version is unknown"
     );
 }
--- a/crates/tallygauge-fairness/src/service_counts_record.rs
+++ b/crates/tallygauge-fairness/src/service_counts_record.rs
@@ -1,7 +1,7 @@
 //! Stored form of the service counts.
 //!
-//! The names and the tuples of the JSON are those of records in the key-value store;
-//! they are mapped here, once, by serde.
+//! The field names and tuples in JSON are those of the records in the key-value store.
+//! Only this module maps them to Rust types, through serde.
 
 use crate::{
     size_histogram::SizeHistogram,
@@ -13,26 +13,26 @@
 /// Version of the record's format.
 pub(crate) const FORMAT_VERSION: u32 = 1;
 
-/// Bytes that one byte of a name takes in JSON at the most, as an escape.
+/// Maximum number of bytes in JSON for one byte of a name, which may be escaped.
 const MAX_BYTES_PER_NAME_BYTE: usize = 6;
 
-/// Bytes of a group's totals, and around them, at the most.
+/// Maximum number of bytes of a group's totals in JSON, with the punctuation of the entry.
 const MAX_TOTALS_BYTES: usize = 64;
 
-/// Bytes of a window at the most: of each bucket, two numbers with brackets.
+/// Maximum number of bytes of a window in JSON: two numbers with brackets for each bucket.
 const MAX_WINDOW_BYTES: usize = BUCKETS_PER_WINDOW * 26 + 2;
 
-/// Bytes around a class's sizes at the most.
+/// Maximum number of bytes in JSON of a class's entry besides its name and buckets.
 const SIZES_OVERHEAD_BYTES: usize = 24;
 
-/// Bytes of a bucket of a histogram at the most.
+/// Maximum number of bytes of a histogram bucket in JSON.
 const MAX_SIZE_BUCKET_BYTES: usize = 18;
 
-/// What a leader stores of its service counts for the next one, small and bounded. If
-/// it is lost, counting starts anew.
+/// Service counts that a leader stores for its successor, of bounded size. If the record
+/// is lost, counting starts from zero.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCountsRecord {
-    /// Version of the format.
+    /// Version of the record's format.
     #[serde(rename = "v")]
     pub version: u32,
     /// Counts of classes.
@@ -41,10 +41,11 @@
     /// Counts of teams.
     #[serde(rename = "t")]
     pub(crate) teams: Vec<GroupRecord>,
-    /// Counts of the largest jobs of classes. Versions that don't know them skip them.
+    /// Counts of the largest jobs of classes. Releases that do not know this field ignore
+    /// it.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub(crate) largest: Vec<GroupRecord>,
-    /// Sizes of the jobs of classes.
+    /// Sizes of the ended jobs of classes.
     #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
     pub(crate) sizes: Vec<ClassSizesRecord>,
 }
@@ -55,7 +56,7 @@
     const DURABILITY: Durability = Durability::WriteBehind;
 }
 
-/// Counts of a group. Stored as the tuple (name, totals, day, recent).
+/// Counts of a group. Stored as the tuple (name, totals, done in a day, done recently).
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(from = "(String, GroupTotals, SlidingWindow, SlidingWindow)")]
 pub(crate) struct GroupRecord {
@@ -69,7 +70,7 @@
 }
 
 impl GroupRecord {
-    /// Bytes that it takes as JSON at the most, with numbers of up to ten digits.
+    /// Upper bound of its size as JSON in bytes, for numbers of up to ten digits.
     pub(crate) fn max_bytes(&self) -> usize {
         self.name.len() * MAX_BYTES_PER_NAME_BYTE + MAX_TOTALS_BYTES + 2 * MAX_WINDOW_BYTES
     }
@@ -105,7 +106,7 @@
     }
 }
 
-/// Numbers of jobs of a group that have ended. Stored as an array in this order.
+/// Numbers of the ended jobs of a group. Stored as an array in the order of the fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "[u64; 4]", into = "[u64; 4]")]
 pub(crate) struct GroupTotals {
@@ -137,7 +138,7 @@
     }
 }
 
-/// Sizes of the jobs of a class that have ended. Stored as the pair (class, sizes).
+/// Sizes of the ended jobs of a class. Stored as the pair (class, sizes).
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(from = "(String, SizeHistogram)")]
 pub(crate) struct ClassSizesRecord {
@@ -147,7 +148,7 @@
 }
 
 impl ClassSizesRecord {
-    /// Bytes that it takes as JSON at the most.
+    /// Upper bound of its size as JSON in bytes.
     pub(crate) fn max_bytes(&self) -> usize {
         self.class.len() * MAX_BYTES_PER_NAME_BYTE
             + SIZES_OVERHEAD_BYTES
--- a/crates/tallygauge-fairness/src/size_histogram/tests.rs
+++ b/crates/tallygauge-fairness/src/size_histogram/tests.rs
@@ -1,30 +1,31 @@
 use super::*;
 
-/// Whether a job is among the largest, counted one by one: with those at least as
-/// large by some dimension it is a tenth at most, or the only one.
+/// Reference for the thresholds: whether a job is among the largest. It is if, in some
+/// dimension, the jobs at least as large as it, itself included, are at most a tenth of
+/// all, rounded up.
 fn is_largest_by_counting(closed: &SizeHistogram, open: &SizeHistogram, size: JobSize) -> bool {
     let total = f64::from(closed.total() + open.total());
-    let max_largest = (total * LARGEST_FRACTION).ceil().max(1.0);
+    let max_largest_jobs = (total * LARGEST_FRACTION).ceil().max(1.0);
     let mut dimensions = closed.0.iter().zip(&open.0).zip(size);
     dimensions.any(|((closed, open), size)| {
-        let all = closed.iter().chain(open);
-        let above = all
+        let buckets = closed.iter().chain(open);
+        let at_least_as_large = buckets
             .filter(|c| *c.0 >= bucket_of(size))
             .map(|c| f64::from(*c.1));
-        above.sum::<f64>() <= max_largest
+        at_least_as_large.sum::<f64>() <= max_largest_jobs
     })
 }
 
 fn is_largest(closed: &SizeHistogram, open: &SizeHistogram, size: JobSize) -> bool {
-    let large = closed
+    let is_largest = closed
         .thresholds(open, LARGEST_FRACTION)
         .is_reached_by(size);
-    assert_eq!(large, is_largest_by_counting(closed, open, size));
-    large
+    assert_eq!(is_largest, is_largest_by_counting(closed, open, size));
+    is_largest
 }
 
 #[test]
-fn the_largest_are_a_tenth_by_each_dimension() {
+fn largest_jobs_are_a_tenth_in_each_dimension() {
     let (mut closed, mut open) = (SizeHistogram::default(), SizeHistogram::default());
     let size = |n: u32| [f64::from(n), f64::from(101 - n), 16.0];
     for n in 1..=100 {
@@ -34,14 +35,14 @@
     let largest: Vec<u32> = (1..=100)
         .filter(|n| is_largest_by_counting(&closed, &open, size(*n)))
         .collect();
-    // Thresholds computed once give the same.
+    // Thresholds that are computed once for all sizes give the same jobs.
     let thresholds = closed.thresholds(&open, LARGEST_FRACTION);
-    let again: Vec<u32> = (1..=100)
+    let by_thresholds: Vec<u32> = (1..=100)
         .filter(|n| thresholds.is_reached_by(size(*n)))
         .collect();
-    assert_eq!(again, largest);
-    // By tasks those with the most, by work those with the fewest here; all
-    // have tasks of one size, which makes none of them large.
+    assert_eq!(by_thresholds, largest);
+    // The largest are those with the most tasks (high n) and those with the most work (low
+    // n). All jobs need the same CPUs for a task, so none is among the largest by that.
     assert!(largest.contains(&100) && largest.contains(&1));
     assert!(!largest.contains(&50));
     assert!((4..=20).contains(&largest.len()), "{largest:?}");
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn at_least_one_job_is_largest_and_the_buckets_are_bounded() {
+fn at_least_one_job_is_largest_and_bucket_count_is_bounded() {
     let mut sizes = SizeHistogram::default();
     sizes.add([1.0, 5.0, 2.0]);
     assert!(is_largest(
