--- a/crates/tallygauge-deadlines/src/deadline_tracker.rs
+++ b/crates/tallygauge-deadlines/src/deadline_tracker.rs
@@ -1,4 +1,4 @@
-//! Progress of cutoffs, and how the last ones ended.
+//! Progress of open cutoffs, and the closed of the latest closed ones.
 
 use crate::rule::CutoffWindow;
 use serde::{Deserialize, Serialize};
@@ -8,28 +8,28 @@
 };
 use tallygauge_records::{Durability, Record};
 
-/// Most closed cutoffs whose results are kept.
-const MAX_RESULTS: usize = 24;
+/// Maximum number of closed cutoffs whose closed are kept.
+const MAX_CLOSED_CUTOFFS: usize = 24;
 
-/// Most cutoffs that are tracked at a time; jobs of further ones are not counted.
-const MAX_OPEN: usize = 32;
+/// Maximum number of open cutoffs. Jobs of further cutoffs are not counted.
+const MAX_OPEN_CUTOFFS: usize = 32;
 
-/// Progress of one cutoff, as far as the open jobs don't show it.
+/// Progress of one cutoff that cannot be computed from its open jobs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CutoffProgress {
-    /// The cutoff, wall-clock time in seconds.
+    /// The cutoff, Unix time in seconds.
     #[serde(rename = "c")]
     pub cutoff: f64,
     /// Jobs done.
     #[serde(rename = "d")]
     pub done: DoneJobs,
-    /// Tasks of the jobs done.
+    /// Number of tasks of the jobs done.
     #[serde(rename = "t")]
     pub tasks: u64,
-    /// When the last job was done, wall-clock time in seconds; 0: none was.
+    /// When the last job was done, Unix time in seconds; 0 if none is done.
     #[serde(rename = "l")]
     pub last_done_at: f64,
-    /// Whether operators declared it; otherwise it was inferred from jobs.
+    /// Whether it follows from a declared rule; otherwise it was inferred from jobs.
     #[serde(rename = "o")]
     pub declared: bool,
 }
@@ -40,7 +40,7 @@
 pub struct DoneJobs {
     /// All jobs done.
     pub total: u32,
-    /// Those that were done after the cutoff.
+    /// Jobs done after the cutoff, which `total` includes.
     pub late: u32,
 }
 
@@ -56,37 +56,37 @@
     }
 }
 
-/// What happened to a cutoff, with its name.
+/// Change of a cutoff's state. The first field is its name.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CutoffEvent {
-    /// The first job that counts for it was accepted.
+    /// It is tracked from now on: a job that counts for it was accepted.
     Opened(Arc<str>),
-    /// It has passed with jobs still open.
+    /// It has passed while some of its jobs are still open.
     Missed(Arc<str>),
-    /// It has passed and all its jobs have ended: whether it was met, and by how many
-    /// seconds its last job was late.
+    /// It has passed and all its jobs have ended. The other fields are whether it was met,
+    /// and by how many seconds its last job was late.
     Closed(Arc<str>, bool, f64),
 }
 
-/// Progress of all cutoffs. Bounded.
+/// Progress of open cutoffs and closed of closed ones, of bounded size.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct DeadlineTracker {
-    /// Open cutoffs, by name.
+    /// Progress of open cutoffs, by name.
     #[serde(rename = "o")]
     open: BTreeMap<String, CutoffProgress>,
-    /// The last closed cutoffs, the oldest first.
+    /// The latest closed cutoffs, the oldest first.
     #[serde(rename = "r")]
-    results: VecDeque<CutoffResult>,
-    /// Names of open cutoffs that were missed.
+    closed: VecDeque<ClosedCutoff>,
+    /// Names of the open cutoffs that were reported as missed.
     #[serde(rename = "m", default)]
     missed: BTreeSet<String>,
 }
 
 /// A closed cutoff. Stored as the pair (name, progress).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct CutoffResult(String, CutoffProgress);
+struct ClosedCutoff(String, CutoffProgress);
 
-impl CutoffResult {
+impl ClosedCutoff {
     fn name(&self) -> &str {
         &self.0
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Whether the cutoff was met so far: no job was done after it.
+    /// Whether no job was done after the cutoff so far.
     #[must_use]
     pub fn is_met(&self) -> bool {
         self.done.late == 0
@@ -121,41 +121,46 @@
 }
 
 impl DeadlineTracker {
-    /// Tracks the cutoff of a job that was accepted. Returns
-    /// [`Opened`](CutoffEvent::Opened) if it was not tracked before; `None` also if as
-    /// many cutoffs are tracked as may be.
+    /// Starts to track the cutoff of a job that was accepted, and returns
+    /// [`Opened`](CutoffEvent::Opened). Returns `None` if the cutoff is already tracked or if
+    /// the maximum number of cutoffs is tracked.
     pub fn track_cutoff(&mut self, window: &CutoffWindow) -> Option<CutoffEvent> {
-        if self.open.contains_key(&*window.name) || self.open.len() >= MAX_OPEN {
+        if self.open.contains_key(&*window.name) || self.open.len() >= MAX_OPEN_CUTOFFS {
             return None;
         }
-        // A cutoff that was closed already goes on from where it was.
-        let closed = self
-            .results
+        // A cutoff that was already closed is reopened with its progress.
+        let closed_index = self
+            .closed
             .iter()
-            .position(|result| result.name() == &*window.name);
-        let progress = closed
-            .and_then(|index| self.results.remove(index))
-            .map_or_else(|| CutoffProgress::new(window), |CutoffResult(_, p)| p);
+            .position(|cutoff| cutoff.name() == &*window.name);
+        let progress = closed_index
+            .and_then(|index| self.closed.remove(index))
+            .map_or_else(|| CutoffProgress::new(window), |ClosedCutoff(_, p)| p);
         self.open.insert(window.name.to_string(), progress);
         Some(CutoffEvent::Opened(window.name.clone()))
     }
 
-    /// Counts a job that was done at the wall-clock time `at`, in seconds, for the cutoff
-    /// of this name.
-    pub fn record_job_done(&mut self, name: &str, tasks: u32, at: f64) {
+    /// Counts a job of `tasks` tasks, done at `unix_time_s`, for the cutoff with this name.
+    /// Does nothing if the cutoff is not open.
+    pub fn record_job_done(&mut self, name: &str, tasks: u32, unix_time_s: f64) {
         if let Some(progress) = self.open.get_mut(name) {
             progress.done.total += 1;
-            progress.done.late += u32::from(at > progress.cutoff);
+            progress.done.late += u32::from(unix_time_s > progress.cutoff);
             progress.tasks += u64::from(tasks);
-            progress.last_done_at = progress.last_done_at.max(at);
+            progress.last_done_at = progress.last_done_at.max(unix_time_s);
         }
     }
 
-    /// Closes the cutoffs that have passed by the wall-clock time `at`, in seconds, and
-    /// have no open jobs; `open_jobs` gives the number of open jobs by a cutoff's name.
-    pub fn expire(&mut self, at: f64, open_jobs: &dyn Fn(&str) -> usize) -> Vec<CutoffEvent> {
+    /// Closes the cutoffs that have passed by `unix_time_s` and have no open jobs. Those that
+    /// have passed with open jobs are reported as missed, once each. `open_jobs` returns the
+    /// number of open jobs of a cutoff, by its name.
+    pub fn expire(
+        &mut self,
+        unix_time_s: f64,
+        open_jobs: &dyn Fn(&str) -> usize,
+    ) -> Vec<CutoffEvent> {
         let mut events = Vec::new();
-        for name in self.names_passed(at) {
+        for name in self.passed_cutoffs(unix_time_s) {
             if open_jobs(&name) > 0 {
                 if self.missed.insert(name.clone()) {
                     events.push(CutoffEvent::Missed(name.into()));
@@ -168,10 +173,11 @@
         events
     }
 
-    fn names_passed(&self, at: f64) -> Vec<String> {
+    /// Names of the open cutoffs that have passed by `unix_time_s`.
+    fn passed_cutoffs(&self, unix_time_s: f64) -> Vec<String> {
         self.open
             .iter()
-            .filter(|(_, progress)| progress.cutoff <= at)
+            .filter(|(_, progress)| progress.cutoff <= unix_time_s)
             .map(|(name, _)| name.clone())
             .collect()
     }
@@ -180,24 +186,24 @@
         let progress = self.open.remove(&name)?;
         let late_s = (progress.last_done_at - progress.cutoff).max(0.0);
         let event = CutoffEvent::Closed(name.as_str().into(), progress.is_met(), late_s);
-        self.results.push_back(CutoffResult(name, progress));
-        let excess = self.results.len().saturating_sub(MAX_RESULTS);
-        self.results.drain(..excess);
+        self.closed.push_back(ClosedCutoff(name, progress));
+        let excess = self.closed.len().saturating_sub(MAX_CLOSED_CUTOFFS);
+        self.closed.drain(..excess);
         Some(event)
     }
 
-    /// Open cutoffs with their names, in the order of these.
+    /// Open cutoffs: their names and progress, ordered by name.
     pub fn open_cutoffs(&self) -> impl Iterator<Item = (&str, &CutoffProgress)> {
         self.open
             .iter()
             .map(|(name, progress)| (name.as_str(), progress))
     }
 
-    /// The last closed cutoffs with their names, the oldest first.
+    /// The latest closed cutoffs: their names and progress, the oldest first.
     pub fn closed_cutoffs(&self) -> impl Iterator<Item = (&str, &CutoffProgress)> {
-        self.results
+        self.closed
             .iter()
-            .map(|result| (result.name(), result.progress()))
+            .map(|cutoff| (cutoff.name(), cutoff.progress()))
     }
 }
 
--- a/crates/tallygauge-deadlines/src/deadline_tracker/tests.rs
+++ b/crates/tallygauge-deadlines/src/deadline_tracker/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_cutoff_opens_is_missed_and_closes_with_one_event_each() {
+fn opening_missing_and_closing_are_reported_once_each() {
     let mut tracker = DeadlineTracker::default();
     assert_eq!(
         tracker.track_cutoff(&window(1)),
@@ -25,7 +25,10 @@
         tracker.expire(101.0, &one_open),
         [CutoffEvent::Missed("night@1".into())]
     );
-    assert!(tracker.expire(102.0, &one_open).is_empty(), "reported once");
+    assert!(
+        tracker.expire(102.0, &one_open).is_empty(),
+        "a missed cutoff is reported once"
+    );
     tracker.record_job_done("night@1", 7, 130.0);
     let none_open = |_: &str| 0;
     assert_eq!(
@@ -34,11 +37,11 @@
     );
     let results: Vec<(&str, DoneJobs, u64)> = tracker
         .closed_cutoffs()
-        .map(|(n, l)| (n, l.done, l.tasks))
+        .map(|(name, progress)| (name, progress.done, progress.tasks))
         .collect();
     let done = DoneJobs { total: 2, late: 1 };
     assert_eq!(results, [("night@1", done, 12)]);
-    // Last night's is late while tonight's has opened.
+    // A cutoff is missed while the next one is already open.
     tracker.track_cutoff(&window(2));
     tracker.track_cutoff(&window(3));
     assert_eq!(
@@ -49,16 +52,16 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, rng_seed: proptest::test_runner::RngSeed::Fixed(101), failure_persistence: None, ..ProptestConfig::default() })]
-    // Leaders take over from the record as it was last written: counts stay those of
-    // the jobs, and the record is bounded.
+    // A new leader starts from the record as it was last written: the counts stay correct,
+    // and the size of the record is bounded.
     #[test]
-    fn counts_are_those_of_the_jobs_under_any_leader(steps in prop::collection::vec((0u8..4, 0u32..6), 1..120)) {
+    fn counts_match_the_jobs_across_leader_changes(steps in prop::collection::vec((0u8..4, 0u32..6), 1..120)) {
         let mut tracker = DeadlineTracker::default();
         let mut open: BTreeMap<u32, usize> = BTreeMap::new();
         let mut done: BTreeMap<u32, u32> = BTreeMap::new();
         let mut now = 0.0;
-        for (what, n) in steps {
-            match what {
+        for (step, n) in steps {
+            match step {
                 0 => { tracker.track_cutoff(&window(n)); *open.entry(n).or_default() += 1; }
                 1 => if let Some(count) = open.get_mut(&n).filter(|c| **c > 0) {
                     *count -= 1;
@@ -78,7 +81,7 @@
             for (n, count) in &done {
                 let name = format!("night@{n}");
                 let all = tracker.open_cutoffs().chain(tracker.closed_cutoffs());
-                let counted: Vec<u32> = all.filter(|l| l.0 == name).map(|l| l.1.done.total).collect();
+                let counted: Vec<u32> = all.filter(|cutoff| cutoff.0 == name).map(|cutoff| cutoff.1.done.total).collect();
                 prop_assert_eq!(counted, vec![*count]);
             }
         }
@@ -86,7 +89,7 @@
 }
 
 #[test]
-fn the_stored_tracker_is_bounded() {
+fn stored_tracker_is_bounded() {
     let mut tracker = DeadlineTracker::default();
     for n in 0..1000 {
         tracker.track_cutoff(&window(n));
@@ -96,8 +99,8 @@
         }
     }
     assert!(
-        tracker.open_cutoffs().count() <= MAX_OPEN
-            && tracker.closed_cutoffs().count() <= MAX_RESULTS
+        tracker.open_cutoffs().count() <= MAX_OPEN_CUTOFFS
+            && tracker.closed_cutoffs().count() <= MAX_CLOSED_CUTOFFS
     );
     assert!(serde_json::to_string(&tracker).unwrap().len() < 6500);
 }
--- a/crates/tallygauge-deadlines/src/forecast.rs
+++ b/crates/tallygauge-deadlines/src/forecast.rs
@@ -1,42 +1,43 @@
-//! Forecast of which cutoffs can be met, with the earliest cutoff first.
+//! Forecast of which cutoffs can be met if the work is done in the order of cutoffs.
 
-/// Work that counts for one cutoff.
+/// Remaining work of the jobs that count for one cutoff.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CutoffLoad {
     /// Seconds until the cutoff.
     pub left_s: f64,
-    /// CPU-seconds until all its work is done.
+    /// CPU-seconds of work left.
     pub cpu_s: f64,
-    /// CPUs that it may use at a time, by the limits of its teams and the machines that
-    /// its tasks fit on.
+    /// CPUs that the work may use at a time, as limited by the quotas of its teams and by the
+    /// machines that its tasks fit on.
     pub max_cpus: f64,
-    /// Seconds that its longest task still takes.
+    /// Seconds of run time left of its longest task.
     pub longest_task_s: f64,
 }
 
 /// Forecast for one cutoff.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Forecast {
-    /// Seconds from the end of its work to the cutoff, if all work is done in the order
-    /// of cutoffs; below 0: it is late by as much.
+    /// Seconds from the end of its work to the cutoff, if all work is done in the order of
+    /// cutoffs. If negative, the work ends that much after the cutoff.
     pub slack_s: f64,
-    /// Seconds until its work must start at the latest, if it had all CPUs that it may
-    /// use; below 0: it can't be met any more.
+    /// Seconds until the latest time at which its work can start and still meet the cutoff,
+    /// given all CPUs that it may use. If negative, the cutoff can no longer be met.
     pub latest_start_s: f64,
-    /// Whether its slack is used up though it can still be met.
+    /// Whether its slack is too small although it can still be met.
     pub at_risk: bool,
-    /// CPUs that are missing to meet it along with all earlier cutoffs.
+    /// Further CPUs needed to meet it together with all earlier cutoffs.
     pub missing_cpus: f64,
 }
 
-/// Fraction of the time left that must be slack for a cutoff not to be at risk, as
-/// estimates of run times are inexact.
+/// Minimum slack of a cutoff that is not at risk, as a fraction of the time left until the
+/// cutoff. It allows for the error of run time estimates.
 const MIN_SLACK_FRACTION: f64 = 0.1;
 
-/// Least divisor, of CPUs and of seconds.
+/// Lower bound of divisors, CPUs or seconds, to avoid division by zero.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// Forecasts for all loads, in their order, with `cpus` CPUs for all of them together.
+/// Forecasts for all loads, in the order of `loads`. `cpus` is the number of CPUs for all of
+/// them together.
 #[must_use]
 pub fn forecast_cutoffs(loads: &[CutoffLoad], cpus: f64) -> Vec<Forecast> {
     let mut by_cutoff: Vec<usize> = (0..loads.len()).collect();
@@ -44,13 +45,13 @@
         let by_time_left = loads[*a].left_s.total_cmp(&loads[*b].left_s);
         by_time_left.then(a.cmp(b))
     });
-    let none = Forecast {
+    let empty_forecast = Forecast {
         slack_s: 0.0,
         latest_start_s: 0.0,
         at_risk: false,
         missing_cpus: 0.0,
     };
-    let mut forecasts = vec![none; loads.len()];
+    let mut forecasts = vec![empty_forecast; loads.len()];
     let mut cumulative_cpu_s = 0.0;
     for index in by_cutoff {
         cumulative_cpu_s += loads[index].cpu_s;
@@ -59,8 +60,8 @@
     forecasts
 }
 
-/// Forecast for a load that is done when `cumulative_cpu_s` CPU-seconds of work are, its
-/// own and those of all earlier cutoffs.
+/// Forecast for one load. Its work is done when `cumulative_cpu_s` CPU-seconds of work are
+/// done: its own and those of all earlier cutoffs.
 fn forecast(load: &CutoffLoad, cumulative_cpu_s: f64, cpus: f64) -> Forecast {
     let usable_cpus = load.max_cpus.min(cpus).max(MIN_DIVISOR);
     let time_alone_s = (load.cpu_s / usable_cpus).max(load.longest_task_s);
--- a/crates/tallygauge-deadlines/src/forecast/tests.rs
+++ b/crates/tallygauge-deadlines/src/forecast/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_cutoff_is_at_risk_if_it_can_be_met_but_has_too_little_slack() {
+fn cutoffs_are_at_risk_if_they_can_be_met_but_have_too_little_slack() {
     let load = |left_s, work, max_cpus, longest_task_s| CutoffLoad {
         left_s,
         cpu_s: work,
@@ -10,47 +10,50 @@
         longest_task_s,
     };
     let loads = [
-        load(100.0, 500.0, 100.0, 20.0),  // enough slack
-        load(200.0, 1400.0, 100.0, 20.0), // late beside the first
-        load(50.0, 10.0, 100.0, 80.0),    // its task is longer than the time left
-        load(300.0, 900.0, 3.0, 20.0),    // bound by its team's limit
-        load(10.0, 0.0, 9.0, 0.0),        // nothing left to do
+        load(100.0, 500.0, 100.0, 20.0),  // has enough slack
+        load(200.0, 1400.0, 100.0, 20.0), // too little slack after the first
+        load(50.0, 10.0, 100.0, 80.0),    // a task takes longer than the time left
+        load(300.0, 900.0, 3.0, 20.0),    // limited by its team's quota
+        load(10.0, 0.0, 9.0, 0.0),        // has no work left
     ];
-    let found = forecast_cutoffs(&loads, 10.0);
-    let risk: Vec<bool> = found.iter().map(|v| v.at_risk).collect();
-    assert_eq!(risk, [false, true, false, true, false]);
-    assert_eq!(found[0].slack_s, 100.0 - 51.0);
-    assert!(found[2].latest_start_s < 0.0, "can't be met any more");
-    assert_eq!(found[3].latest_start_s, 0.0);
+    let forecasts = forecast_cutoffs(&loads, 10.0);
+    let at_risk: Vec<bool> = forecasts.iter().map(|f| f.at_risk).collect();
+    assert_eq!(at_risk, [false, true, false, true, false]);
+    assert_eq!(forecasts[0].slack_s, 100.0 - 51.0);
+    assert!(
+        forecasts[2].latest_start_s < 0.0,
+        "the cutoff can no longer be met"
+    );
+    assert_eq!(forecasts[3].latest_start_s, 0.0);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, rng_seed: proptest::test_runner::RngSeed::Fixed(97), failure_persistence: None, ..ProptestConfig::default() })]
-    // Work done in small steps, earliest cutoff first, ends as forecast, to the step, where
-    // only the CPUs of all together limit it.
+    // Compares with a simulation in small steps that does the work of the earliest cutoff
+    // first, limited only by the CPUs for all loads together. The end_s agree to about a step_s.
     #[test]
-    fn the_end_is_that_of_a_simulation_in_small_steps(works in prop::collection::vec((1.0f64..300.0, 0.0f64..500.0), 1..8), cpus in 1.0f64..20.0) {
+    fn forecast_end_matches_simulation(works in prop::collection::vec((1.0f64..300.0, 0.0f64..500.0), 1..8), cpus in 1.0f64..20.0) {
         let loads: Vec<CutoffLoad> = works.iter().map(|(left_s, work)| CutoffLoad { left_s: *left_s, cpu_s: *work, max_cpus: f64::MAX, longest_task_s: 0.0 }).collect();
-        let found = forecast_cutoffs(&loads, cpus);
-        let mut left: Vec<f64> = loads.iter().map(|l| l.cpu_s).collect();
-        let mut ends = vec![0.0; loads.len()];
-        let (step, mut now) = (0.05, 0.0);
-        while left.iter().any(|w| *w > 0.0) {
-            now += step;
-            let mut capacity = cpus * step;
-            let mut order: Vec<usize> = (0..loads.len()).filter(|n| left[*n] > 0.0).collect();
+        let forecasts = forecast_cutoffs(&loads, cpus);
+        let mut left_cpu_s: Vec<f64> = loads.iter().map(|l| l.cpu_s).collect();
+        let mut end_s = vec![0.0; loads.len()];
+        let (step_s, mut now) = (0.05, 0.0);
+        while left_cpu_s.iter().any(|w| *w > 0.0) {
+            now += step_s;
+            let mut step_cpu_s = cpus * step_s;
+            let mut order: Vec<usize> = (0..loads.len()).filter(|n| left_cpu_s[*n] > 0.0).collect();
             order.sort_by(|a, b| loads[*a].left_s.total_cmp(&loads[*b].left_s).then(a.cmp(b)));
             for n in order {
-                let done = left[n].min(capacity);
-                left[n] -= done;
-                capacity -= done;
-                if left[n] <= 1e-9 { left[n] = 0.0; ends[n] = now; }
-                if capacity <= 1e-12 { break; }
+                let done = left_cpu_s[n].min(step_cpu_s);
+                left_cpu_s[n] -= done;
+                step_cpu_s -= done;
+                if left_cpu_s[n] <= 1e-9 { left_cpu_s[n] = 0.0; end_s[n] = now; }
+                if step_cpu_s <= 1e-12 { break; }
             }
         }
         for (n, load) in loads.iter().enumerate().filter(|l| l.1.cpu_s > 0.0) {
-            let forecast_end = load.left_s - found[n].slack_s;
-            prop_assert!((forecast_end - ends[n]).abs() <= step * 1.5 + 1e-6, "{} {}", forecast_end, ends[n]);
+            let forecast_end = load.left_s - forecasts[n].slack_s;
+            prop_assert!((forecast_end - end_s[n]).abs() <= step_s * 1.5 + 1e-6, "{} {}", forecast_end, end_s[n]);
         }
     }
 }
--- a/crates/tallygauge-deadlines/src/lib.rs
+++ b/crates/tallygauge-deadlines/src/lib.rs
@@ -1,13 +1,16 @@
-//! Batch deadlines in civil time: the cutoff of each night's batch and of each month
-//! end's runs.
+//! Batch deadlines in civil time: the cutoffs of nightly and month-end batches.
 //!
-//! Pure: no clock, no input or output; time zones are part of the program. A
-//! [`CutoffRule`] says which days have a cutoff, and which jobs count for it: those
-//! accepted within its window. Which [`CutoffWindow`] a job counts for follows from its
-//! record alone, so every leader finds the same. The [`DeadlineTracker`] counts what is
-//! done for each cutoff and how the last ones ended; [`forecast_cutoffs`] says which can still
-//! be met. The scheduler's batch deadlines call it. `docs/cutoff-rules.md` says why the
-//! rules are as they are.
+//! The crate does no I/O and reads no clock; the time zone data is compiled in.
+//!
+//! - A [`CutoffRule`] says which days have a cutoff and which jobs count for it: those
+//!   accepted within its window. The [`CutoffWindow`] that a job counts for follows from
+//!   the job's record alone, so every leader derives the same one.
+//! - The [`DeadlineTracker`] counts the jobs done for each cutoff and keeps the results of
+//!   the latest closed cutoffs.
+//! - [`forecast_cutoffs`] estimates which cutoffs can still be met.
+//!
+//! The scheduler's batch deadlines use it. `docs/cutoff-rules.md` gives the reasons for the
+//! rules.
 
 mod deadline_tracker;
 mod forecast;
