--- a/crates/tallygauge-priority/src/lib.rs
+++ b/crates/tallygauge-priority/src/lib.rs
@@ -1,13 +1,17 @@
-//! Priority rules: which work comes first among what is equally urgent.
+//! Priority rules: the order of work that is equally urgent.
 //!
-//! Pure: no clock, no input or output. Operators declare ranks by class, team and cutoff
-//! window ([`DeclaredRules`]). The leader merges them into the [`PriorityRules`], which
-//! are on record before anybody acts on them. Each change is a [`RulesRevision`] with
-//! the wall-clock time from which it is in force. The last revisions are kept, so that
-//! every leader finds the same rank for a job as that which it was accepted with.
+//! The crate does no I/O and reads no clock.
 //!
-//! Of two declarations the higher version wins: an older settings file never undoes a
-//! newer one, and a file that lacks a class removes nothing. `docs/priority-rules.md` says why.
+//! - Operators declare ranks by class, team and cutoff window ([`DeclaredRules`]).
+//! - The leader merges the declarations into the [`PriorityRules`]. They are stored before
+//!   they take effect.
+//! - Each change is a [`RulesRevision`] with the Unix time from which it is in force. The
+//!   latest revisions are kept, so that every leader derives the rank with which a job was
+//!   accepted.
+//!
+//! The declaration with the higher version wins: an older settings file never replaces a
+//! newer one. A file that lacks a class does not remove the rules of that class.
+//! `docs/priority-rules.md` gives the reasons.
 
 mod priority_rules;
 mod rank;
