--- a/crates/tallygauge-locality/examples/curve.rs
+++ b/crates/tallygauge-locality/examples/curve.rs
@@ -1,33 +1,35 @@
-//! Table of image fetches against replicas that one failure would take, by the weight on
-//! replicas at risk.
+//! Prints a table of the number of image fetches and of the replicas that a single failure
+//! would take down, by the weight of a replica at risk.
 //!
 //! `cargo run --release -p tallygauge-locality --example curve`
 //!
 //! Replicas are placed one after the other on machines in two or three zones. There are
-//! twice as many machines as replicas, with a capacity of eight each; a quarter of them,
-//! all in the first zone, hold the image.
+//! twice as many machines as replicas, with a capacity of eight replicas each. A quarter of
+//! the machines, all in the first zone, hold the image at the start.
 
 use tallygauge_locality::{ReplicaCounts, ReplicaSpread};
 
-/// Time of a fetch, seconds.
+/// Duration of an image fetch, seconds.
 const FETCH_S: f64 = 120.0;
 
-/// Replicas that a machine can run.
-const CAPACITY: u32 = 8;
+/// Maximum number of replicas on a machine.
+const MAX_REPLICAS_PER_MACHINE: u32 = 8;
 
-struct Outcome {
+struct PlacementOutcome {
     fetches: u32,
     max_on_machine: u32,
     max_in_zone: u32,
 }
 
-fn place_replicas(risk_s: f64, replicas: u32, zones: u32) -> Outcome {
+fn place_replicas(risk_s: f64, replicas: u32, zones: u32) -> PlacementOutcome {
     let spread = ReplicaSpread { risk_s };
     let machines = replicas as usize * 2;
     let zone = |m: usize| m as u32 % zones;
     let first_zone = (0..machines).filter(|m| zone(*m) == 0);
-    let warm: Vec<usize> = first_zone.take(machines / 4).collect();
-    let mut has_image: Vec<bool> = (0..machines).map(|m| warm.contains(&m)).collect();
+    let cached_at_start: Vec<usize> = first_zone.take(machines / 4).collect();
+    let mut has_image: Vec<bool> = (0..machines)
+        .map(|m| cached_at_start.contains(&m))
+        .collect();
     let mut on_machine = vec![0u32; machines];
     let mut in_zone = vec![0u32; zones as usize];
     let mut fetches = 0;
@@ -41,15 +43,15 @@
             };
             spread.cost_s(replicas) + if has_image[m] { 0.0 } else { FETCH_S }
         };
-        let free = (0..machines).filter(|m| on_machine[*m] < CAPACITY);
-        let best = free.min_by(|a, b| cost(*a).total_cmp(&cost(*b)).then(a.cmp(b)));
+        let with_capacity = (0..machines).filter(|m| on_machine[*m] < MAX_REPLICAS_PER_MACHINE);
+        let best = with_capacity.min_by(|a, b| cost(*a).total_cmp(&cost(*b)).then(a.cmp(b)));
         let Some(best) = best else { break };
         fetches += u32::from(!has_image[best]);
         has_image[best] = true;
         on_machine[best] += 1;
         in_zone[zone(best) as usize] += 1;
     }
-    Outcome {
+    PlacementOutcome {
         fetches,
         max_on_machine: on_machine.into_iter().max().unwrap_or(0),
         max_in_zone: in_zone.into_iter().max().unwrap_or(0),
--- a/crates/tallygauge-locality/src/image_index.rs
+++ b/crates/tallygauge-locality/src/image_index.rs
@@ -1,4 +1,4 @@
-//! Index of which machines hold which images, as one leader stores it for the next.
+//! Index of which machines hold which images, which a leader stores for its successor.
 
 use crate::image_locations::{
     ImageEntry, ImageLocations, MAX_BYTES_PER_NAME_BYTE, MachineNameFormat,
@@ -6,10 +6,10 @@
 use roaring::RoaringBitmap;
 use std::collections::{BTreeMap, HashMap};
 
-/// Bytes around the entries and the prefix of a shard.
+/// Bytes of a shard as JSON besides its entries and the prefix of machine names.
 const SHARD_OVERHEAD_BYTES: usize = 80;
 
-/// An image in the cache of a machine.
+/// An image in the image cache of a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CachedImage<'a> {
     /// Name of the machine.
@@ -18,25 +18,26 @@
     pub image: &'a str,
     /// Size of the image, GB.
     pub gb: f64,
-    /// Seconds that the machine would take to fetch it.
+    /// Seconds that the machine would take to fetch the image.
     pub fetch_s: f64,
 }
 
-/// Which machines hold which images, as an earlier leader found. It may be out of date:
-/// a wrong entry costs time, and breaks no rule.
+/// Which machines hold which images, as inferred by an earlier leader. It may be out of date:
+/// a wrong entry costs only fetch time and violates no constraint.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ImageIndex {
-    /// Names and sizes in GB of images, by machine.
+    /// Names of the images with their sizes in GB, by name of the machine.
     by_machine: BTreeMap<String, Vec<(String, f64)>>,
 }
 
 impl ImageIndex {
-    /// Shards to store for `cached` images: at most `max_shards`, each of at most
-    /// `max_bytes` bytes as JSON.
+    /// Builds the shards to store for the `cached` images: at most `max_shards`, each of at
+    /// most `max_bytes` bytes as JSON.
     ///
-    /// They cover the machines with the most common form of name. Images come first
-    /// whose fetches cost most time for each byte that they take in the record; those
-    /// that a machine fetches in less than `min_fetch_s` seconds are left out there.
+    /// - Only machines whose names have the most common format are included.
+    /// - A machine's images that it fetches in less than `min_fetch_s` seconds are left out.
+    /// - Images are added in the order of the fetch time that they save for each byte of their
+    ///   entry, the most first. Those that no longer fit are left out.
     #[must_use]
     pub fn build_shards(
         cached: &[CachedImage],
@@ -44,30 +45,30 @@
         max_bytes: usize,
         max_shards: usize,
     ) -> Vec<ImageLocations> {
-        let Some(names) = most_common_name_format(cached) else {
+        let Some(name_format) = most_common_name_format(cached) else {
             return Vec::new();
         };
-        let costly = cached.iter().filter(|c| c.fetch_s >= min_fetch_s);
-        let machines_by_image = group_by_image(costly, &names);
+        let slow_to_fetch = cached.iter().filter(|image| image.fetch_s >= min_fetch_s);
+        let machines_by_image = group_by_image(slow_to_fetch, &name_format);
         let entries = encode_entries(machines_by_image);
-        let prefix_bytes = names.prefix.len() * MAX_BYTES_PER_NAME_BYTE;
-        let entry_bytes = max_bytes.saturating_sub(SHARD_OVERHEAD_BYTES + prefix_bytes);
-        pack_entries(entries, entry_bytes, max_shards)
+        let prefix_bytes = name_format.prefix.len() * MAX_BYTES_PER_NAME_BYTE;
+        let max_entry_bytes = max_bytes.saturating_sub(SHARD_OVERHEAD_BYTES + prefix_bytes);
+        pack_entries(entries, max_entry_bytes, max_shards)
             .into_iter()
             .map(|images| ImageLocations {
-                names: names.clone(),
+                names: name_format.clone(),
                 images,
             })
             .collect()
     }
 
-    /// Adds a shard that an earlier leader stored. Returns the number of images that
-    /// were skipped because their entry is corrupt.
+    /// Adds a shard that an earlier leader stored. Returns the number of images that were
+    /// skipped because their entries are corrupt.
     pub fn restore(&mut self, shard: &ImageLocations) -> usize {
-        let mut corrupt = 0;
+        let mut corrupt_entries = 0;
         for entry in &shard.images {
             let Some(machines) = entry.decode_machines(&shard.names) else {
-                corrupt += 1;
+                corrupt_entries += 1;
                 continue;
             };
             for number in &machines {
@@ -78,11 +79,11 @@
                 }
             }
         }
-        corrupt
+        corrupt_entries
     }
 
-    /// Removes and returns the images of a machine, each with its size in GB. Called
-    /// when the machine is registered.
+    /// Removes and returns the images of a machine, each with its size in GB. Called when the
+    /// machine registers.
     pub fn take_images_of(&mut self, machine: &str) -> Vec<(String, f64)> {
         self.by_machine.remove(machine).unwrap_or_default()
     }
@@ -94,16 +95,16 @@
     }
 }
 
-/// A machine's name taken apart.
+/// The parts of a machine's name.
 struct MachineName<'a> {
     prefix: &'a str,
-    /// Digits of the number.
+    /// Number of digits, including leading zeros.
     digits: usize,
     number: u32,
 }
 
 impl<'a> MachineName<'a> {
-    /// `None` if the name doesn't end in a number.
+    /// Splits a name; `None` if it does not end in a number, or in one that is too large.
     fn parse(name: &'a str) -> Option<Self> {
         let digits = name.bytes().rev().take_while(u8::is_ascii_digit).count();
         let (prefix, number) = name.split_at(name.len() - digits);
@@ -115,11 +116,15 @@
     }
 }
 
-/// The form of name that most cached images' machines have; of equally common ones, the
-/// first in alphabetical order.
+/// The most common format of the machines' names, where each machine counts once for each
+/// cached image. Of equally common formats, the first in the order of prefix and digits is
+/// taken. `None` if no name ends in a number.
 fn most_common_name_format(cached: &[CachedImage]) -> Option<MachineNameFormat> {
     let mut counts: HashMap<(&str, usize), usize> = HashMap::new();
-    for name in cached.iter().filter_map(|c| MachineName::parse(c.machine)) {
+    for name in cached
+        .iter()
+        .filter_map(|image| MachineName::parse(image.machine))
+    {
         *counts.entry((name.prefix, name.digits)).or_default() += 1;
     }
     let ((prefix, digits), _) =
@@ -139,23 +144,23 @@
 struct ImageMachines {
     /// Size of the image, GB.
     gb: f64,
-    /// Seconds that all the machines would take to fetch it, added up.
+    /// Sum of the seconds that each of the machines would take to fetch the image.
     fetch_s: f64,
     /// Numbers of the machines.
     numbers: RoaringBitmap,
 }
 
-/// Machines whose names have the form of `names`, by the name of the image.
+/// Groups the machines whose names have the format `name_format` by the name of the image.
 fn group_by_image<'a>(
     cached: impl Iterator<Item = &'a CachedImage<'a>>,
-    names: &MachineNameFormat,
+    name_format: &MachineNameFormat,
 ) -> BTreeMap<&'a str, ImageMachines> {
     let mut machines_by_image: BTreeMap<&str, ImageMachines> = BTreeMap::new();
     for image in cached {
         let Some(name) = MachineName::parse(image.machine) else {
             continue;
         };
-        if name.prefix == names.prefix && name.digits == names.digits {
+        if name.prefix == name_format.prefix && name.digits == name_format.digits {
             let machines = machines_by_image.entry(image.image).or_default();
             machines.gb = image.gb;
             machines.fetch_s += image.fetch_s;
@@ -165,7 +170,7 @@
     machines_by_image
 }
 
-/// Entries of a record, with those first that save most fetch time for each byte.
+/// Encodes entries, sorted by the fetch time that they save for each byte, the most first.
 fn encode_entries(machines_by_image: BTreeMap<&str, ImageMachines>) -> Vec<ImageEntry> {
     let mut entries: Vec<(f64, ImageEntry)> = machines_by_image
         .into_iter()
@@ -181,16 +186,17 @@
     entries.into_iter().map(|(_, entry)| entry).collect()
 }
 
-/// Entries of one shard, while it is filled.
+/// A shard that is being filled.
 #[derive(Default)]
 struct Shard {
+    /// Upper bound of the size of the entries as JSON, bytes.
     used_bytes: usize,
     entries: Vec<ImageEntry>,
 }
 
-/// Packs entries into shards, each into the first that it fits in; entries that fit in
-/// none are left out. Each shard is ordered by name, so that equal contents are equal
-/// records whatever the order in which they were packed.
+/// Packs entries into shards of at most `max_bytes` bytes: each entry into the first shard
+/// that it fits in. Entries that fit in no shard are left out. Each shard is sorted by name,
+/// so that shards with the same contents are equal records, whatever the order of packing.
 fn pack_entries(
     entries: Vec<ImageEntry>,
     max_bytes: usize,
--- a/crates/tallygauge-locality/src/image_index/tests.rs
+++ b/crates/tallygauge-locality/src/image_index/tests.rs
@@ -2,20 +2,20 @@
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
-fn names(count: u32) -> Vec<String> {
+fn machine_names(count: u32) -> Vec<String> {
     (0..count).map(|n| format!("host-{n:06}")).collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: proptest::test_runner::RngSeed::Fixed(29), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn the_next_leader_restores_what_was_stored(
-        held in prop::collection::btree_set((0u32..200, 0u8..20), 0..400), max_bytes in 400usize..8000, max_shards in 1usize..5,
+    fn next_leader_restores_stored_images(
+        held_images in prop::collection::btree_set((0u32..200, 0u8..20), 0..400), max_bytes in 400usize..8000, max_shards in 1usize..5,
     ) {
-        let names = names(200);
+        let machine_names = machine_names(200);
         let images: Vec<String> = (0..20).map(|n| format!("img-{n}")).collect();
-        let cached: Vec<CachedImage> = held.iter().map(|(m, i)| CachedImage {
-            machine: &names[*m as usize], image: &images[usize::from(*i)],
+        let cached: Vec<CachedImage> = held_images.iter().map(|(m, i)| CachedImage {
+            machine: &machine_names[*m as usize], image: &images[usize::from(*i)],
             gb: f64::from(*i) + 0.5, fetch_s: f64::from(*i) * 2.0,
         }).collect();
         let shards = ImageIndex::build_shards(&cached, 5.0, max_bytes, max_shards);
@@ -27,27 +27,27 @@
             prop_assert_eq!(index.restore(&serde_json::from_str(&text).unwrap()), 0);
         }
         let mut restored = BTreeSet::new();
-        for (n, name) in names.iter().enumerate() {
+        for (n, name) in machine_names.iter().enumerate() {
             for (image, gb) in index.take_images_of(name) {
                 let i: u8 = image[4..].parse().unwrap();
                 prop_assert_eq!(gb, f64::from(i) + 0.5);
                 restored.insert((n as u32, i));
             }
         }
-        // Only what was cached is restored, an image with all its machines or not at
-        // all, and with enough bytes only images below the least fetch time are missing.
-        prop_assert!(restored.is_subset(&held));
+        // Only cached images are restored, each either for all its machines or for none. If the
+        // shards have enough bytes, only images below the minimum fetch time are missing.
+        prop_assert!(restored.is_subset(&held_images));
         for i in 0..20u8 {
-            let all: Vec<_> = held.iter().filter(|h| h.1 == i).collect();
-            let some = restored.iter().filter(|h| h.1 == i).count();
-            prop_assert!(some == 0 || some == all.len());
-            if max_bytes * max_shards > 20_000 { prop_assert_eq!(some == all.len() || all.is_empty(), i > 2 || all.is_empty()); }
+            let held_on: Vec<_> = held_images.iter().filter(|held| held.1 == i).collect();
+            let restored_count = restored.iter().filter(|held| held.1 == i).count();
+            prop_assert!(restored_count == 0 || restored_count == held_on.len());
+            if max_bytes * max_shards > 20_000 { prop_assert_eq!(restored_count == held_on.len() || held_on.is_empty(), i > 2 || held_on.is_empty()); }
         }
     }
 }
 
 #[test]
-fn corrupt_entries_and_uncommon_names_are_skipped() {
+fn corrupt_entries_and_uncommon_machine_names_are_skipped() {
     let cached = ["host-7", "host-8", "odd", "rack-1"].map(|machine| CachedImage {
         machine,
         image: "llm",
@@ -61,7 +61,7 @@
     assert_eq!(
         index.machine_count(),
         2,
-        "those with the most common form of name"
+        "only machines with the most common name format are included"
     );
     shards[0].images[0].machines = "AAAA".into();
     shards[0].images.push(ImageEntry {
--- a/crates/tallygauge-locality/src/image_locations.rs
+++ b/crates/tallygauge-locality/src/image_locations.rs
@@ -1,30 +1,30 @@
 //! Stored form of image locations: which machines hold which images.
 //!
-//! The names and the tuples of the JSON are those of records in the key-value store;
-//! they are mapped here, once, by serde.
+//! The field names and tuples in JSON are those of the records in the key-value store.
+//! Only this module maps them to Rust types, through serde.
 
 use data_encoding::BASE64_NOPAD;
 use roaring::RoaringBitmap;
 use serde::{Deserialize, Serialize, Serializer};
 use tallygauge_records::{Durability, Record};
 
-/// Bytes that one byte of a name takes in JSON at the most, as an escape.
+/// Maximum number of bytes in JSON for one byte of a name, which may be escaped.
 pub(crate) const MAX_BYTES_PER_NAME_BYTE: usize = 6;
 
-/// Bytes around an image's name and machines at the most.
+/// Maximum number of bytes in JSON of an entry besides the image's name and machines.
 const ENTRY_OVERHEAD_BYTES: usize = 40;
 
-/// Digits of a machine's number from which on a record is not valid.
-const MAX_DIGITS: usize = 20;
+/// Smallest number of digits of a machine number for which a record counts as corrupt.
+const MIN_INVALID_DIGITS: usize = 20;
 
-/// One shard of the image locations that a leader stores for the next one: images with
-/// the numbers of the machines that hold them.
+/// One shard of the image locations that a leader stores for its successor: images with the
+/// numbers of the machines that hold them.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ImageLocations {
-    /// How the machines' names follow from their numbers.
+    /// Format from which the machines' names are built from their numbers.
     #[serde(rename = "n")]
     pub(crate) names: MachineNameFormat,
-    /// The images, in the order of their names.
+    /// The images, sorted by name.
     #[serde(rename = "i")]
     pub(crate) images: Vec<ImageEntry>,
 }
@@ -35,18 +35,18 @@
     const DURABILITY: Durability = Durability::WriteBehind;
 }
 
-/// Form of machines' names: a prefix, then a number with leading zeros. Stored as the
-/// pair (prefix, digits).
+/// Format of machine names: a prefix, then a number with leading zeros. Stored as the pair
+/// (prefix, digits).
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(from = "(String, usize)")]
 pub(crate) struct MachineNameFormat {
     pub(crate) prefix: String,
-    /// Digits of the number.
+    /// Number of digits, including leading zeros.
     pub(crate) digits: usize,
 }
 
 impl MachineNameFormat {
-    /// Name of the machine with this number.
+    /// Name of the machine with a number.
     pub(crate) fn name_of(&self, number: u32) -> String {
         format!("{}{number:0digits$}", self.prefix, digits = self.digits)
     }
@@ -71,12 +71,12 @@
     pub(crate) name: String,
     /// Size of the image, GB.
     pub(crate) gb: f64,
-    /// Numbers of the machines: a roaring bitmap in base 64.
+    /// Numbers of the machines: a serialized roaring bitmap in Base64.
     pub(crate) machines: String,
 }
 
 impl ImageEntry {
-    /// An entry with its machines encoded; `None` if that fails.
+    /// Builds an entry, encoding its machines; `None` if encoding fails.
     pub(crate) fn encode(name: &str, gb: f64, mut machines: RoaringBitmap) -> Option<Self> {
         machines.optimize();
         let mut bytes = Vec::with_capacity(machines.serialized_size());
@@ -88,16 +88,16 @@
         })
     }
 
-    /// The machines' numbers; `None` if the entry is corrupt.
-    pub(crate) fn decode_machines(&self, names: &MachineNameFormat) -> Option<RoaringBitmap> {
-        if !self.gb.is_finite() || self.gb < 0.0 || names.digits >= MAX_DIGITS {
+    /// Decodes the machines' numbers; `None` if the entry or the name format is corrupt.
+    pub(crate) fn decode_machines(&self, name_format: &MachineNameFormat) -> Option<RoaringBitmap> {
+        if !self.gb.is_finite() || self.gb < 0.0 || name_format.digits >= MIN_INVALID_DIGITS {
             return None;
         }
         let bytes = BASE64_NOPAD.decode(self.machines.as_bytes()).ok()?;
         RoaringBitmap::deserialize_from(&bytes[..]).ok()
     }
 
-    /// Bytes that it takes as JSON at the most.
+    /// Upper bound of its size as JSON in bytes.
     pub(crate) fn max_bytes(&self) -> usize {
         self.name.len() * MAX_BYTES_PER_NAME_BYTE + self.machines.len() + ENTRY_OVERHEAD_BYTES
     }
--- a/crates/tallygauge-locality/src/lib.rs
+++ b/crates/tallygauge-locality/src/lib.rs
@@ -1,13 +1,15 @@
 //! Image locality, and the spread of replicas over machines and zones.
 //!
-//! Pure: no clock, no input or output. No heartbeat says which images a machine holds: a
-//! leader infers it. [`ImageIndex`] is what it stores of that for the next leader, in
-//! bounded shards ([`ImageLocations`]), with the images first whose fetches would cost
-//! most. A wrong entry costs time, and breaks no rule.
+//! The crate does no I/O and reads no clock.
 //!
-//! [`ReplicaSpread`] weighs fetch time against replicas that one failure would take
-//! together. The scheduler's mapping calls it. `docs/locality.md` says why the rules are
-//! as they are.
+//! Heartbeats do not report which images a machine holds, so the leader infers it.
+//! [`ImageIndex`] holds what an earlier leader inferred. It is stored in shards of bounded
+//! size ([`ImageLocations`]), which prefer the images whose fetches would cost the most. A
+//! wrong entry costs only fetch time and violates no constraint.
+//!
+//! [`ReplicaSpread`] weighs fetch time against the number of replicas that a single failure
+//! would take down. The scheduler's mapping uses it. `docs/locality.md` gives the reasons
+//! for the rules.
 
 mod image_index;
 mod image_locations;
