--- a/crates/tallygauge-deadlines/src/deadline_tracker.rs
+++ b/crates/tallygauge-deadlines/src/deadline_tracker.rs
@@ -1,4 +1,4 @@
-//! Progress of open cutoffs, and the closed of the latest closed ones.
+//! Progress of open cutoffs, and the results of the latest closed ones.
 
 use crate::rule::CutoffWindow;
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 };
 use tallygauge_records::{Durability, Record};
 
-/// Maximum number of closed cutoffs whose closed are kept.
+/// Maximum number of closed cutoffs whose results are kept.
 const MAX_CLOSED_CUTOFFS: usize = 24;
 
 /// Maximum number of open cutoffs. Jobs of further cutoffs are not counted.
@@ -68,7 +68,7 @@
     Closed(Arc<str>, bool, f64),
 }
 
-/// Progress of open cutoffs and closed of closed ones, of bounded size.
+/// Progress of open cutoffs and results of closed ones, of bounded size.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct DeadlineTracker {
     /// Progress of open cutoffs, by name.
--- a/crates/tallygauge-deadlines/src/rule.rs
+++ b/crates/tallygauge-deadlines/src/rule.rs
@@ -70,7 +70,7 @@
 
 /// Number of characters to which the names of the class and the team are cut in the name of
 /// an inferred cutoff.
-const INFERRED_NAME_PART_CHARS: usize = 24;
+const INFERRED_NAME_CHARS: usize = 24;
 
 /// Minimum interval of inferred cutoffs, seconds.
 const MIN_INFERRED_INTERVAL_S: f64 = 1.0;
@@ -216,12 +216,8 @@
 ) -> CutoffWindow {
     let interval_s = interval_s.max(MIN_INFERRED_INTERVAL_S);
     let interval = ((accepted_at + deadline_s) / interval_s).floor();
-    let truncate_name = |name: &str| {
-        name.chars()
-            .take(INFERRED_NAME_PART_CHARS)
-            .collect::<String>()
-    };
-    let (class, team) = (truncate_name(class), truncate_name(team));
+    let truncate = |name: &str| name.chars().take(INFERRED_NAME_CHARS).collect::<String>();
+    let (class, team) = (truncate(class), truncate(team));
     CutoffWindow {
         name: format!("{class}/{team}~{interval:.0}").into(),
         opens: f64::NEG_INFINITY,
--- a/crates/tallygauge-fairness/src/selection.rs
+++ b/crates/tallygauge-fairness/src/selection.rs
@@ -4,8 +4,8 @@
 use crate::service_counts::{GroupIds, ServiceCounts, WINDOW_COUNT};
 use std::cmp::Ordering;
 
-/// Fewest overdue jobs for which a group counts as underserved; fewer may be overdue by
-/// chance.
+/// Minimum number of overdue jobs of an underserved group, unless one is long overdue; fewer
+/// may be overdue by chance.
 const MIN_OVERDUE_JOBS: u32 = 4;
 
 /// An open job, as input of the selection.
@@ -23,8 +23,7 @@
     /// Whether it has been overdue for so long that this job alone shows that its groups
     /// are underserved.
     pub long_overdue: bool,
-    /// Whether any machine that exists or can be rented is large enough for one of its
-    /// tasks.
+    /// Whether one of its tasks fits on a machine that exists or can be rented.
     pub fits: bool,
     /// Whether it counts as served although it is open: a service whose replicas all
     /// run.
--- a/crates/tallygauge-fairness/src/selection/tests.rs
+++ b/crates/tallygauge-fairness/src/selection/tests.rs
@@ -66,11 +66,11 @@
     loop {
         let is_selected = |n: usize| selected.iter().any(|s| s.candidate == n);
         let is_eligible = |n: &usize| !is_selected(*n) && jobs[*n].fits && !jobs[*n].served;
-        let is_missing = |n: usize, share: usize| {
+        let lacks_jobs = |n: usize, share: usize| {
             let groups = jobs[n].groups;
             missing[groups.class][share] > 0 || missing[groups.team][share] > 0
         };
-        let is_missing_largest = |n: &usize| {
+        let lacks_largest_jobs = |n: &usize| {
             let groups = jobs[*n].groups;
             shortfalls[groups.class][TO_MIN_SHARE] == 0
                 && groups.largest.is_some_and(|g| missing[g][TO_MIN_SHARE] > 0)
@@ -82,9 +82,9 @@
                 key(*a).partial_cmp(&key(*b)).unwrap()
             })
         };
-        let first = best(false, &|n| is_missing(*n, TO_MIN_SHARE));
-        let next = first.or(best(false, &is_missing_largest));
-        let next = next.or(best(true, &|n| is_missing(*n, TO_TARGET_SHARE)));
+        let first = best(false, &|n| lacks_jobs(*n, TO_MIN_SHARE));
+        let next = first.or(best(false, &lacks_largest_jobs));
+        let next = next.or(best(true, &|n| lacks_jobs(*n, TO_TARGET_SHARE)));
         let Some(candidate) = next else {
             return selected;
         };
--- a/crates/tallygauge-locality/src/image_index.rs
+++ b/crates/tallygauge-locality/src/image_index.rs
@@ -56,7 +56,7 @@
         pack_entries(entries, max_entry_bytes, max_shards)
             .into_iter()
             .map(|images| ImageLocations {
-                names: name_format.clone(),
+                name_format: name_format.clone(),
                 images,
             })
             .collect()
@@ -67,12 +67,12 @@
     pub fn restore(&mut self, shard: &ImageLocations) -> usize {
         let mut corrupt_entries = 0;
         for entry in &shard.images {
-            let Some(machines) = entry.decode_machines(&shard.names) else {
+            let Some(machines) = entry.decode_machines(&shard.name_format) else {
                 corrupt_entries += 1;
                 continue;
             };
             for number in &machines {
-                let machine = shard.names.name_of(number);
+                let machine = shard.name_format.name_of(number);
                 let images = self.by_machine.entry(machine).or_default();
                 if !images.iter().any(|(name, _)| *name == entry.name) {
                     images.push((entry.name.clone(), entry.gb));
--- a/crates/tallygauge-locality/src/image_locations.rs
+++ b/crates/tallygauge-locality/src/image_locations.rs
@@ -23,7 +23,7 @@
 pub struct ImageLocations {
     /// Format from which the machines' names are built from their numbers.
     #[serde(rename = "n")]
-    pub(crate) names: MachineNameFormat,
+    pub(crate) name_format: MachineNameFormat,
     /// The images, sorted by name.
     #[serde(rename = "i")]
     pub(crate) images: Vec<ImageEntry>,
--- a/crates/tallygauge-locality/src/replica_spread/tests.rs
+++ b/crates/tallygauge-locality/src/replica_spread/tests.rs
@@ -54,8 +54,8 @@
     (0..zones).map(in_zone).max().unwrap_or(0)
 }
 
-// Without a weight on risk, all replicas go to one machine that holds the image. With a very
-// high weight, cached images make no difference.
+// Guards against both extremes: without a weight on risk, all replicas go to one machine that
+// holds the image; with a very high weight, cached images are not preferred at all.
 #[test]
 fn first_replicas_spread_and_later_ones_are_placed_together() {
     // Two of the eight machines hold the image, both in the same one of two zones.
