--- a/crates/tallygauge-sim/tests/failover.rs
+++ b/crates/tallygauge-sim/tests/failover.rs
@@ -118,7 +118,7 @@
     simulation.set_store_partitioned("n-a", true);
     let cut_at = controller_a.now();
     let report = br#"{"bench":"x","endpoint":"x","build":"c8","site":"a","borrowed":false,"shift":1,"tick":9,"baton":0,"pieces":[]}"#;
-    sleep_s(controller_a.fence_s() * 0.5).await;
+    sleep_s(controller_a.fencing_timeout_s() * 0.5).await;
     assert!(
         matches!(
             handle_heartbeat(&controller_a, report),
--- a/crates/tallygauge-sim/tests/process_pauses.rs
+++ b/crates/tallygauge-sim/tests/process_pauses.rs
@@ -100,7 +100,7 @@
     submit_job(&simulation, &controller_b, 2, 2, 8.0, 60.0).await;
     assert!(eventually(8.0, async || count_starts(&simulation) == 4).await);
     // Past the fence, though the leases of its workers have not expired yet.
-    let rest = controller_a.fence_s() + 0.5 - (simulation.now() - paused_at);
+    let rest = controller_a.fencing_timeout_s() + 0.5 - (simulation.now() - paused_at);
     sleep_s(rest).await;
     simulation.set_store_partitioned("n-a", true);
     simulation.resume("n-a");
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -176,7 +176,7 @@
     /// The limit ensures that the worker leases which its last answers renewed expire
     /// before any cancellation accepted by another controller times out.
     #[must_use]
-    pub fn fence_s(&self) -> f64 {
+    pub fn fencing_timeout_s(&self) -> f64 {
         let workers = &self.settings.deployment.workers;
         (workers.cancel_timeout_s - workers.lease_s) * FENCE_FRACTION
     }
@@ -213,11 +213,11 @@
     /// [`Self::holds_unexpired_lease`].
     #[must_use]
     pub fn is_unfenced_leader(&self) -> bool {
-        let (now, fence_s) = (self.now(), self.fence_s());
+        let (now, fencing_timeout_s) = (self.now(), self.fencing_timeout_s());
         let leadership = self.leadership.lock();
         leadership
             .as_ref()
-            .is_some_and(|leadership| !leadership.is_fenced(now, fence_s))
+            .is_some_and(|leadership| !leadership.is_fenced(now, fencing_timeout_s))
     }
 
     /// Fraction of its optional work that this process currently has time for.
--- a/crates/tallygauge/src/direct_messages.rs
+++ b/crates/tallygauge/src/direct_messages.rs
@@ -36,12 +36,12 @@
 /// sends none. Called after every scheduling round, and whenever placements have become
 /// durable.
 pub fn send_direct_messages(controller: &Arc<Controller>) {
-    let (now, fence_s) = (controller.now(), controller.fence_s());
+    let (now, fencing_timeout_s) = (controller.now(), controller.fencing_timeout_s());
     let (term, messages) = {
         let mut leadership = controller.leadership.lock();
         let Some(leadership) = leadership
             .as_mut()
-            .filter(|own| !own.is_fenced(now, fence_s))
+            .filter(|own| !own.is_fenced(now, fencing_timeout_s))
         else {
             return;
         };
--- a/crates/tallygauge/src/job_watch_loop.rs
+++ b/crates/tallygauge/src/job_watch_loop.rs
@@ -17,7 +17,7 @@
 
 /// Watches for as long as the term lasts, from `revision` on.
 pub async fn run(controller: &Controller, mut revision: u64) {
-    let timeout = Duration::from_secs_f64(controller.fence_s() / WATCHES_PER_FENCE);
+    let timeout = Duration::from_secs_f64(controller.fencing_timeout_s() / WATCHES_PER_FENCE);
     loop {
         let sent_at = controller.now();
         let outcome = controller
--- a/crates/tallygauge/src/leadership.rs
+++ b/crates/tallygauge/src/leadership.rs
@@ -47,13 +47,13 @@
     /// It is fenced in each of these cases:
     ///
     /// - The cluster state may lack a cancellation that was acknowledged more than
-    ///   `fence_s` seconds ago.
-    /// - The term may have been superseded more than `fence_s` seconds ago.
+    ///   `fencing_timeout_s` seconds ago.
+    /// - The term may have been superseded more than `fencing_timeout_s` seconds ago.
     /// - The cluster state has not been recovered.
     #[must_use]
-    pub fn is_fenced(&self, now: f64, fence_s: f64) -> bool {
+    pub fn is_fenced(&self, now: f64, fencing_timeout_s: f64) -> bool {
         let confirmed_at = self.term_confirmed_at.min(self.watch_confirmed_at);
-        self.cluster.is_none() || now - confirmed_at > fence_s
+        self.cluster.is_none() || now - confirmed_at > fencing_timeout_s
     }
 }
 
--- a/crates/tallygauge/src/scheduler_config.rs
+++ b/crates/tallygauge/src/scheduler_config.rs
@@ -28,7 +28,7 @@
         heartbeat_interval_s: deployment.workers.heartbeat_interval_s,
         lease_s: deployment.workers.lease_s,
         cancel_timeout_s: deployment.workers.cancel_timeout_s,
-        fencing_timeout_s: controller.fence_s(),
+        fencing_timeout_s: controller.fencing_timeout_s(),
         list_lag_s: deployment.cloud.list_lag_s,
         clock_drift: CLOCK_DRIFT,
         min_remaining_s: operator.min_remaining,
--- a/crates/tallygauge/src/worker_api.rs
+++ b/crates/tallygauge/src/worker_api.rs
@@ -121,7 +121,7 @@
 /// Applies a heartbeat to the cluster state, if this controller is the leader, and
 /// makes up the response.
 fn apply_heartbeat(controller: &Controller, heartbeat: &Heartbeat) -> HeartbeatEffect {
-    let (now, fence) = (controller.now(), controller.fence_s());
+    let (now, fence) = (controller.now(), controller.fencing_timeout_s());
     let mut leadership = controller.leadership.lock();
     let Some(leadership) = leadership.as_mut() else {
         return HeartbeatEffect::NotLeader;
