--- a/crates/tallygauge-sim/tests/batch_deadlines.rs
+++ b/crates/tallygauge-sim/tests/batch_deadlines.rs
@@ -222,7 +222,7 @@
     let simulation = Simulation::new();
     tokio::spawn(simulation.clone().run_workers());
     let mut tuning = OperatorSettings::default();
-    tuning.locality.remember_from = 0.0;
+    tuning.locality.min_recorded_fetch_s = 0.0;
     let (controller_a, task_a) = simulation.start_controller_with("n-a", tuning.clone());
     let (controller_b, _task_b) = simulation.start_controller_with("n-b", tuning);
     let first = leader(&[&controller_a, &controller_b]).await;
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -239,7 +239,11 @@
         let max_bytes = self
             .max_record_bytes
             .saturating_sub(ENCODING_OVERHEAD_BYTES);
-        let min_fetch_s = self.controller.operator_settings.locality.remember_from;
+        let min_fetch_s = self
+            .controller
+            .operator_settings
+            .locality
+            .min_recorded_fetch_s;
         let Some((images, service_counts, deadlines)) = self.controller.with_cluster(|cluster| {
             (
                 cluster.image_locations(min_fetch_s, max_bytes, MAX_IMAGE_LOCATION_SHARDS),
--- a/crates/tallygauge/src/operator_settings.rs
+++ b/crates/tallygauge/src/operator_settings.rs
@@ -16,24 +16,27 @@
 pub struct OperatorSettings {
     /// Longest time between two scheduling rounds, seconds; events start them
     /// earlier.
-    pub round_interval: f64,
+    #[serde(rename = "round-interval")]
+    pub max_round_interval_s: f64,
     /// Least time between two scheduling rounds, as a fraction of the heartbeat
     /// interval.
     #[serde(rename = "round-gap")]
-    pub min_round_interval: f64,
+    pub min_round_interval_fraction: f64,
     /// Least remaining run time that a job is taken to have, seconds.
     #[serde(rename = "remaining-floor")]
-    pub min_remaining: f64,
+    pub min_remaining_s: f64,
     /// Utility of a job by its priority.
     #[serde(rename = "worth")]
     pub utility: UtilitySettings,
     /// Fraction of its utility that a job has after its deadline, 0 to 1.
     #[serde(rename = "late-worth")]
-    pub late_utility: f64,
+    pub late_utility_factor: f64,
     /// Idle time after which a machine is returned, in boot times of its type.
-    pub idle_wait: f64,
+    #[serde(rename = "idle-wait")]
+    pub idle_timeout_boot_times: f64,
     /// Time over which pending work is spread when scaling out, in boot times.
-    pub rent_horizon: f64,
+    #[serde(rename = "rent-horizon")]
+    pub rental_horizon_boot_times: f64,
     /// Minimum share of each class of jobs and of each team.
     #[serde(rename = "floor")]
     pub minimum_share: MinimumShareSettings,
@@ -54,17 +57,19 @@
 pub struct LocalitySettings {
     /// Seconds of image fetch that are accepted for each replica which would
     /// otherwise be lost along with others by one failure.
-    pub replica_risk: f64,
+    #[serde(rename = "replica-risk")]
+    pub replica_risk_s: f64,
     /// Fetch time from which on the location of an image is on record for the next
     /// leader, seconds.
-    pub remember_from: f64,
+    #[serde(rename = "remember-from")]
+    pub min_recorded_fetch_s: f64,
 }
 
 impl Default for LocalitySettings {
     fn default() -> Self {
         Self {
-            replica_risk: 60.0,
-            remember_from: 1.0,
+            replica_risk_s: 60.0,
+            min_recorded_fetch_s: 1.0,
         }
     }
 }
@@ -79,14 +84,14 @@
     /// Time after its acceptance by which every job is started, seconds; 0: no
     /// bound.
     #[serde(rename = "begin-within")]
-    pub start_within: f64,
+    pub start_within_s: f64,
 }
 
 impl Default for MinimumShareSettings {
     fn default() -> Self {
         Self {
             share: 0.65,
-            start_within: 240.0,
+            start_within_s: 240.0,
         }
     }
 }
@@ -119,13 +124,13 @@
 impl Default for OperatorSettings {
     fn default() -> Self {
         Self {
-            round_interval: 10.0,
-            min_round_interval: 0.05,
-            min_remaining: 5.0,
+            max_round_interval_s: 10.0,
+            min_round_interval_fraction: 0.05,
+            min_remaining_s: 5.0,
             utility: UtilitySettings::default(),
-            late_utility: 0.1,
-            idle_wait: 1.5,
-            rent_horizon: 1.0,
+            late_utility_factor: 0.1,
+            idle_timeout_boot_times: 1.5,
+            rental_horizon_boot_times: 1.0,
             minimum_share: MinimumShareSettings::default(),
             locality: LocalitySettings::default(),
             cutoffs: CutoffSettings::default(),
@@ -159,9 +164,9 @@
         self.validate_positive()?;
         self.validate_fractions()?;
         require_not_negative(&[
-            ("floor/begin-within", self.minimum_share.start_within),
-            ("weights/replica-risk", self.locality.replica_risk),
-            ("weights/remember-from", self.locality.remember_from),
+            ("floor/begin-within", self.minimum_share.start_within_s),
+            ("weights/replica-risk", self.locality.replica_risk_s),
+            ("weights/remember-from", self.locality.min_recorded_fetch_s),
         ])?;
         self.cutoffs.to_cutoff_rules()?;
         self.ranks.to_declared_rules(&self.cutoffs)?;
@@ -170,20 +175,20 @@
 
     fn validate_positive(&self) -> Result<(), SettingsError> {
         require_positive(&[
-            ("round-interval", self.round_interval),
-            ("round-gap", self.min_round_interval),
-            ("remaining-floor", self.min_remaining),
+            ("round-interval", self.max_round_interval_s),
+            ("round-gap", self.min_round_interval_fraction),
+            ("remaining-floor", self.min_remaining_s),
             ("worth/low", self.utility.low),
             ("worth/normal", self.utility.normal),
             ("worth/high", self.utility.high),
             ("worth/production", self.utility.production),
-            ("idle-wait", self.idle_wait),
-            ("rent-horizon", self.rent_horizon),
+            ("idle-wait", self.idle_timeout_boot_times),
+            ("rent-horizon", self.rental_horizon_boot_times),
         ])
     }
 
     fn validate_fractions(&self) -> Result<(), SettingsError> {
-        if !(0.0..=1.0).contains(&self.late_utility) {
+        if !(0.0..=1.0).contains(&self.late_utility_factor) {
             return Err(SettingsError::requirement("late-worth", "be 0 to 1"));
         }
         let share = self.minimum_share.share;
--- a/crates/tallygauge/src/operator_settings/tests.rs
+++ b/crates/tallygauge/src/operator_settings/tests.rs
@@ -10,7 +10,7 @@
         (
             settings.utility.high,
             settings.utility.low,
-            settings.idle_wait
+            settings.idle_timeout_boot_times
         ),
         (9.0, 1.0, 2.5)
     );
--- a/crates/tallygauge/src/scheduler_config.rs
+++ b/crates/tallygauge/src/scheduler_config.rs
@@ -31,16 +31,16 @@
         fencing_timeout_s: controller.fencing_timeout_s(),
         list_lag_s: deployment.cloud.list_lag_s,
         clock_drift: CLOCK_DRIFT,
-        min_remaining_s: operator.min_remaining,
+        min_remaining_s: operator.min_remaining_s,
         utility_by_priority: [
             operator.utility.low,
             operator.utility.normal,
             operator.utility.high,
             operator.utility.production,
         ],
-        late_utility_factor: operator.late_utility,
-        idle_timeout_boot_times: operator.idle_wait,
-        rental_horizon_boot_times: operator.rent_horizon,
+        late_utility_factor: operator.late_utility_factor,
+        idle_timeout_boot_times: operator.idle_timeout_boot_times,
+        rental_horizon_boot_times: operator.rental_horizon_boot_times,
         class_deadline_s: deployment
             .objectives
             .iter()
@@ -50,10 +50,10 @@
         objectives: controller.settings.loosest_completion_objectives(),
         minimum_share: MinimumShareConfig {
             share: operator.minimum_share.share,
-            start_within_s: operator.minimum_share.start_within,
+            start_within_s: operator.minimum_share.start_within_s,
         },
         replica_spread: ReplicaSpread {
-            risk_s: operator.locality.replica_risk,
+            risk_s: operator.locality.replica_risk_s,
         },
         // A heartbeat must fit in a request's body.
         max_tasks_per_worker: tallygauge_protocol::BODY_LIMIT / TASK_STATUS_BYTES,
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -45,10 +45,10 @@
 /// - The loop never waits for the store: placements in flight are polled during its pauses.
 pub async fn run(controller: &Arc<Controller>, term_condition: &Condition) {
     let heartbeat_interval_s = controller.settings.deployment.workers.heartbeat_interval_s;
-    let min_gap_s = heartbeat_interval_s * controller.operator_settings.min_round_interval;
+    let min_gap_s = heartbeat_interval_s * controller.operator_settings.min_round_interval_fraction;
     let round_interval_s = controller
         .operator_settings
-        .round_interval
+        .max_round_interval_s
         .min(heartbeat_interval_s);
     let mut time_updated_at = f64::NEG_INFINITY;
     let mut placements = PlacementWriter::new(controller, term_condition);
--- a/crates/tallygauge/tests/golden.rs
+++ b/crates/tallygauge/tests/golden.rs
@@ -78,25 +78,25 @@
 #[test]
 fn every_element_of_the_operators_settings_is_read() {
     let expected = OperatorSettings {
-        round_interval: 11.0,
-        min_round_interval: 0.06,
-        min_remaining: 6.0,
+        max_round_interval_s: 11.0,
+        min_round_interval_fraction: 0.06,
+        min_remaining_s: 6.0,
         utility: UtilitySettings {
             low: 1.5,
             normal: 2.5,
             high: 8.5,
             production: 16.5,
         },
-        late_utility: 0.2,
-        idle_wait: 1.75,
-        rent_horizon: 1.25,
+        late_utility_factor: 0.2,
+        idle_timeout_boot_times: 1.75,
+        rental_horizon_boot_times: 1.25,
         minimum_share: MinimumShareSettings {
             share: 0.7,
-            start_within: 250.0,
+            start_within_s: 250.0,
         },
         locality: LocalitySettings {
-            replica_risk: 61.0,
-            remember_from: 1.5,
+            replica_risk_s: 61.0,
+            min_recorded_fetch_s: 1.5,
         },
         cutoffs: CutoffSettings {
             version: 4,
