--- a/crates/tallygauge/src/cloud.rs
+++ b/crates/tallygauge/src/cloud.rs
@@ -47,7 +47,8 @@
     /// Seconds between two reads of the machine list.
     fn list_interval_s(&self) -> f64 {
         let limits = &self.controller.settings.deployment.cloud;
-        (limits.list_lag_s * LIST_INTERVAL_LAG_FRACTION).max(MIN_REQUESTS_PER_LIST / limits.rps)
+        (limits.list_lag_s * LIST_INTERVAL_LAG_FRACTION)
+            .max(MIN_REQUESTS_PER_LIST / limits.requests_per_s)
     }
 }
 
@@ -56,7 +57,7 @@
 pub async fn run(controller: &Arc<Controller>, term: u64) {
     let session = CloudSession {
         controller,
-        rate_limiter: RateLimiter::new(controller.settings.deployment.cloud.rps),
+        rate_limiter: RateLimiter::new(controller.settings.deployment.cloud.requests_per_s),
         has_machine_list: AtomicBool::new(false),
         term,
     };
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -123,7 +123,7 @@
             http.connection_count().clone(),
         ];
         let connection_limits = ConnectionLimits::new(resources.connections, outgoing);
-        let cached_jobs = (resources.memory_mb * CACHED_JOBS_PER_MB) as usize;
+        let cached_jobs = (resources.memory_mib * CACHED_JOBS_PER_MB) as usize;
         let (version_checks, version_check_queue) =
             VersionChecks::new(resources.connections as usize);
         let controller = Self {
--- a/crates/tallygauge/src/leader.rs
+++ b/crates/tallygauge/src/leader.rs
@@ -102,7 +102,7 @@
 /// Sets this controller's share of the store's request rate limits.
 fn set_request_share(controller: &Controller, is_leader: bool) {
     let deployment = &controller.settings.deployment;
-    let followers = f64::from(deployment.count.max(2) - 1);
+    let followers = f64::from(deployment.controller_count.max(2) - 1);
     let share = if is_leader {
         LEADER_REQUEST_SHARE
     } else {
@@ -112,7 +112,7 @@
     controller
         .store
         .budget()
-        .set_rates(limits.rps * share, limits.writes_per_s * share);
+        .set_rates(limits.requests_per_s * share, limits.writes_per_s * share);
 }
 
 /// Steps down in favour of a controller that workers can reach, and does not campaign for
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -103,7 +103,7 @@
 impl HttpClients {
     fn new(settings: &Settings) -> Self {
         let deployment = &settings.deployment;
-        let memory_bytes = deployment.resource_limits.memory_mb * 1024.0 * 1024.0;
+        let memory_bytes = deployment.resource_limits.memory_mib * 1024.0 * 1024.0;
         let max_response_bytes = (memory_bytes * RESPONSE_MEMORY_FRACTION) as usize;
         // Connections are scarce: one to a machine that is gone is closed soon.
         let idle_timeout = Duration::from_secs_f64(deployment.workers.lease_s);
@@ -144,7 +144,7 @@
 /// Reads the machine types once, which every controller needs to validate
 /// submissions; a leader reads them again from time to time.
 async fn load_catalogue(controller: &Controller) {
-    let requests_per_s = controller.settings.deployment.cloud.rps;
+    let requests_per_s = controller.settings.deployment.cloud.requests_per_s;
     let pause = Duration::from_secs_f64(CATALOGUE_RETRY_REQUESTS / requests_per_s);
     while !cloud::refresh_catalogue(controller).await {
         tokio::time::sleep(pause + controller.jitter(pause)).await;
--- a/crates/tallygauge/src/settings.rs
+++ b/crates/tallygauge/src/settings.rs
@@ -58,7 +58,8 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
     /// Number of controllers.
-    pub count: u32,
+    #[serde(rename = "count")]
+    pub controller_count: u32,
     /// Quotas of the teams.
     pub teams: Vec<TeamQuota>,
     /// Service-level objectives on starting and finishing jobs.
@@ -133,7 +134,8 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct StoreLimits {
     /// Requests a second, of all controllers together.
-    pub rps: f64,
+    #[serde(rename = "rps")]
+    pub requests_per_s: f64,
     /// Writes a second, of all controllers together.
     #[serde(rename = "write_rps")]
     pub writes_per_s: f64,
@@ -149,7 +151,8 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
     /// Requests a second.
-    pub rps: f64,
+    #[serde(rename = "rps")]
+    pub requests_per_s: f64,
     /// Seconds by which the machine list may be out of date.
     pub list_lag_s: f64,
 }
@@ -160,7 +163,8 @@
     /// Processor cores.
     pub cores: f64,
     /// Memory, MiB.
-    pub memory_mb: f64,
+    #[serde(rename = "memory_mb")]
+    pub memory_mib: f64,
     /// Open connections.
     #[serde(rename = "sockets")]
     pub connections: u32,
@@ -282,12 +286,12 @@
             ),
             ("deployment.workers.lease_s", self.workers.lease_s),
             ("deployment.workers.cancel_s", self.workers.cancel_timeout_s),
-            ("deployment.state.rps", self.store.rps),
+            ("deployment.state.rps", self.store.requests_per_s),
             ("deployment.state.write_rps", self.store.writes_per_s),
             ("deployment.state.value_kb", self.store.max_value_kib),
-            ("deployment.cloud.rps", self.cloud.rps),
+            ("deployment.cloud.rps", self.cloud.requests_per_s),
             ("deployment.quota.cores", limits.cores),
-            ("deployment.quota.memory_mb", limits.memory_mb),
+            ("deployment.quota.memory_mb", limits.memory_mib),
         ])?;
         if !self.cloud.list_lag_s.is_finite() || self.cloud.list_lag_s < 0.0 {
             return Err(SettingsError::requirement(
--- a/crates/tallygauge/src/store_client.rs
+++ b/crates/tallygauge/src/store_client.rs
@@ -23,8 +23,8 @@
 pub(crate) fn new_store_client(settings: &Settings, http: HttpClient) -> StoreClient {
     let limits = &settings.deployment.store;
     let lease_s = settings.deployment.workers.lease_s;
-    let share = 1.0 / f64::from(settings.deployment.count.max(1));
-    let budget = RequestBudget::new(limits.rps * share, limits.writes_per_s * share);
+    let share = 1.0 / f64::from(settings.deployment.controller_count.max(1));
+    let budget = RequestBudget::new(limits.requests_per_s * share, limits.writes_per_s * share);
     let timeout =
         Duration::from_secs_f64(lease_s * TIMEOUT_FRACTION).clamp(MIN_TIMEOUT, MAX_TIMEOUT);
     let min_retry_timeout =
--- a/crates/tallygauge/tests/golden.rs
+++ b/crates/tallygauge/tests/golden.rs
@@ -149,7 +149,7 @@
     assert_eq!(settings.services.store.port(), 7002);
 
     let deployment = &settings.deployment;
-    assert_eq!(deployment.count, 3);
+    assert_eq!(deployment.controller_count, 3);
     let teams = deployment.teams.iter();
     let teams: Vec<(&str, [f64; 4])> = teams
         .map(|t| {
@@ -183,15 +183,15 @@
     assert_eq!(times, (1.0, 10.0, 20.0));
     let state = &deployment.store;
     let limits = (
-        state.rps,
+        state.requests_per_s,
         state.writes_per_s,
         state.max_value_kib,
         state.max_writes_per_transaction,
     );
     assert_eq!(limits, (100.0, 50.0, 8.0, 16));
     let cloud = &deployment.cloud;
-    assert_eq!((cloud.rps, cloud.list_lag_s), (4.0, 2.0));
+    assert_eq!((cloud.requests_per_s, cloud.list_lag_s), (4.0, 2.0));
     let quota = &deployment.resource_limits;
-    let process = (quota.cores, quota.memory_mb, quota.connections);
+    let process = (quota.cores, quota.memory_mib, quota.connections);
     assert_eq!(process, (0.5, 128.0, 200));
 }
