--- a/crates/tallygauge/src/deadline_settings.rs
+++ b/crates/tallygauge/src/deadline_settings.rs
@@ -28,9 +28,11 @@
     #[serde(rename = "act-on-drawn")]
     pub act_on_inferred: bool,
     /// Dates that are not working days, as `2026-12-25`.
-    pub holiday: Vec<String>,
+    #[serde(rename = "holiday")]
+    pub holidays: Vec<String>,
     /// The cutoffs.
-    pub cutoff: Vec<CutoffEntry>,
+    #[serde(rename = "cutoff")]
+    pub cutoffs: Vec<CutoffEntry>,
 }
 
 impl Record for CutoffSettings {
@@ -80,7 +82,8 @@
     #[serde(rename = "@version")]
     pub version: u64,
     /// The ranks.
-    pub rank: Vec<RankEntry>,
+    #[serde(rename = "rank")]
+    pub ranks: Vec<RankEntry>,
 }
 
 /// A rank as operators write it.
@@ -114,12 +117,12 @@
     /// [`SettingsError`], whose one line names the element and what would be right.
     pub fn to_cutoff_rules(&self) -> Result<Vec<CutoffRule>, SettingsError> {
         let holidays = self.parse_holidays()?;
-        if self.version == 0 && !self.cutoff.is_empty() {
+        if self.version == 0 && !self.cutoffs.is_empty() {
             return Err(SettingsError::requirement("calendar", VERSION_REQUIREMENT));
         }
         let mut names = BTreeSet::new();
         let mut rules = Vec::new();
-        for entry in &self.cutoff {
+        for entry in &self.cutoffs {
             rules.push(entry.to_cutoff_rule(&holidays)?);
             if !names.insert(&entry.name) {
                 return Err(entry.invalid("name", "its own"));
@@ -138,7 +141,7 @@
                 )
             })
         };
-        self.holiday.iter().map(parse).collect()
+        self.holidays.iter().map(parse).collect()
     }
 }
 
@@ -198,7 +201,7 @@
         cutoffs: &CutoffSettings,
     ) -> Result<DeclaredRules, SettingsError> {
         let rules: Vec<RankRule> = self
-            .rank
+            .ranks
             .iter()
             .map(|entry| entry.to_rank_rule(cutoffs))
             .collect::<Result<_, _>>()?;
@@ -222,7 +225,7 @@
             ));
         }
         if let Some(window) = &self.during
-            && !cutoffs.cutoff.iter().any(|cutoff| cutoff.name == *window)
+            && !cutoffs.cutoffs.iter().any(|cutoff| cutoff.name == *window)
         {
             return Err(SettingsError::UnknownCutoff {
                 cutoff: window.clone(),
--- a/crates/tallygauge/tests/golden.rs
+++ b/crates/tallygauge/tests/golden.rs
@@ -101,8 +101,8 @@
         cutoffs: CutoffSettings {
             version: 4,
             act_on_inferred: true,
-            holiday: vec!["2026-12-25".into()],
-            cutoff: vec![CutoffEntry {
+            holidays: vec!["2026-12-25".into()],
+            cutoffs: vec![CutoffEntry {
                 name: "lectures".into(),
                 zone: "Asia/Seoul".into(),
                 days: "month-end".into(),
@@ -116,7 +116,7 @@
         },
         ranks: RankSettings {
             version: 3,
-            rank: vec![
+            ranks: vec![
                 RankEntry {
                     class: Some("w".into()),
                     team: Some("red".into()),
