--- a/crates/tallygauge/src/deadline_settings.rs
+++ b/crates/tallygauge/src/deadline_settings.rs
@@ -1,7 +1,9 @@
-//! The operators' cutoffs ("calendar") and ranks ("ledger"), as their settings
-//! (XML) have them, and their conversion to the scheduler's types.
+//! Cutoffs and ranks in the operators' settings (XML), and their conversion to the
+//! scheduler's types.
 //!
-//! The names in the file and in the stored record are mapped here, once, by serde.
+//! In the settings file, the element of the cutoffs is `calendar` and that of the ranks
+//! is `ledger`. Serde attributes in this module map the names in the file and in the
+//! stored record to this project's terms.
 
 use crate::settings_error::SettingsError;
 use jiff::{civil::Date, tz::TimeZone};
@@ -12,22 +14,24 @@
     ClusterState, CutoffDays, CutoffRule, DeclaredRules, MAX_RANK, RankRule,
 };
 
-/// What a settings file's version must be.
-const VERSION_REQUIREMENT: &str = "have a version above 0, which grows with every change";
+/// Requirement on the version of the cutoffs and on that of the ranks.
+const VERSION_REQUIREMENT: &str = "have a version above 0 that is raised with every change";
 
-/// Cutoffs as operators write them, and as they are on record: while controllers
-/// have different settings files, the higher version is in force under each leader.
+/// Cutoffs as operators write them and as they are stored. They are stored so that the
+/// highest version is in force under every leader while controllers have different
+/// settings files.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct CutoffSettings {
-    /// Version; it must grow with every change, as the higher one is in force.
+    /// Version. It must be raised with every change, since the highest version is the
+    /// one in force.
     #[serde(rename = "@version")]
     pub version: u64,
-    /// Whether cutoffs inferred from the jobs' own deadlines boost jobs as declared
-    /// ones do.
+    /// Whether cutoffs that were inferred from the deadlines of jobs boost jobs as
+    /// declared cutoffs do.
     #[serde(rename = "act-on-drawn")]
     pub act_on_inferred: bool,
-    /// Dates that are not working days, as `2026-12-25`.
+    /// Dates that are not working days, such as `2026-12-25`.
     #[serde(rename = "holiday")]
     pub holidays: Vec<String>,
     /// The cutoffs.
@@ -48,28 +52,30 @@
     /// Name, unique among the cutoffs.
     #[serde(rename = "@name")]
     pub name: String,
-    /// IANA time zone of its times, as `Asia/Seoul`.
+    /// IANA time zone of the cutoff's times, such as `Asia/Seoul`.
     #[serde(rename = "@zone")]
     pub zone: String,
-    /// Days that have it: `daily`, `weekdays` or `month-end`.
+    /// Days that have a cutoff: `daily`, `weekdays` or `month-end`.
     #[serde(rename = "@days")]
     pub days: String,
-    /// With `month-end`: working days before the last working day of the month.
+    /// For `month-end`: number of working days by which the cutoff precedes the last
+    /// working day of the month.
     #[serde(rename = "@before", default)]
     pub before: u8,
-    /// Time of day at which its window opens, as `18:00`.
+    /// Time of day at which the cutoff's window opens, such as `18:00`.
     #[serde(rename = "@opens")]
     pub opens: String,
-    /// Days from the day on which its window opens to that of the cutoff.
+    /// Number of days by which the opening of the window precedes the day of the cutoff.
     #[serde(rename = "@opens-before", default)]
     pub opens_before: u8,
-    /// Time of day of the cutoff, as `08:00`.
+    /// Time of day of the cutoff, such as `08:00`.
     #[serde(rename = "@at")]
     pub at: String,
-    /// Classes of jobs that count for it, separated by blanks; empty: all.
+    /// Classes of jobs that the cutoff applies to, separated by white space; empty means
+    /// all.
     #[serde(rename = "@classes", default)]
     pub classes: String,
-    /// Teams whose jobs count for it, separated by blanks; empty: all.
+    /// Teams whose jobs the cutoff applies to, separated by white space; empty means all.
     #[serde(rename = "@teams", default)]
     pub teams: String,
 }
@@ -78,7 +84,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct RankSettings {
-    /// Version; it must grow with every change, as the higher one is in force.
+    /// Version. It must be raised with every change, since the highest version is the
+    /// one in force.
     #[serde(rename = "@version")]
     pub version: u64,
     /// The ranks.
@@ -90,31 +97,31 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RankEntry {
-    /// Class of jobs that has it; `None`: any.
+    /// Class of jobs that the rank applies to; `None` means any.
     #[serde(rename = "@class", default)]
     pub class: Option<String>,
-    /// Team whose jobs have it; `None`: any.
+    /// Team whose jobs the rank applies to; `None` means any.
     #[serde(rename = "@team", default)]
     pub team: Option<String>,
-    /// Name of the cutoff in whose window alone it holds; `None`: always.
+    /// Name of the cutoff during whose window the rank applies; `None` means always.
     #[serde(rename = "@during", default)]
     pub during: Option<String>,
-    /// The rank, 0 to 100; the higher comes first.
+    /// The rank, 0 to 100; jobs of a higher rank come first.
     #[serde(rename = "@value")]
     pub value: u8,
 }
 
 impl CutoffSettings {
-    /// Gives the cutoffs to the cluster state. They must be on record before.
+    /// Puts the cutoffs into force in the cluster state. They must be stored before.
     pub fn apply_to(&self, cluster: &mut ClusterState) {
         let rules = self.to_cutoff_rules().unwrap_or_default();
         cluster.set_cutoff_rules(rules, self.act_on_inferred);
     }
 
-    /// The cutoffs as the scheduler takes them, checked.
+    /// Validates the cutoffs and converts them to the scheduler's form.
     ///
     /// # Errors
-    /// [`SettingsError`], whose one line names the element and what would be right.
+    /// A [`SettingsError`], whose one-line text names the element and what is expected.
     pub fn to_cutoff_rules(&self) -> Result<Vec<CutoffRule>, SettingsError> {
         let holidays = self.parse_holidays()?;
         if self.version == 0 && !self.cutoffs.is_empty() {
@@ -125,7 +132,7 @@
         for entry in &self.cutoffs {
             rules.push(entry.to_cutoff_rule(&holidays)?);
             if !names.insert(&entry.name) {
-                return Err(entry.invalid("name", "its own"));
+                return Err(entry.invalid("name", "unique"));
             }
         }
         Ok(rules)
@@ -136,7 +143,7 @@
             day.trim().parse().map_err(|_| {
                 SettingsError::invalid(
                     "calendar/holiday",
-                    "a date as 2026-12-25",
+                    "a date such as 2026-12-25",
                     format!("'{day}'"),
                 )
             })
@@ -149,7 +156,7 @@
     fn to_cutoff_rule(&self, holidays: &BTreeSet<Date>) -> Result<CutoffRule, SettingsError> {
         let days = self.parse_days()?;
         let zone = TimeZone::get(&self.zone)
-            .map_err(|_| self.invalid("zone", "a time zone as Asia/Seoul"))?;
+            .map_err(|_| self.invalid("zone", "an IANA time zone such as Asia/Seoul"))?;
         let at = self.at.parse();
         let opens = self.opens.parse();
         let rule = CutoffRule {
@@ -158,8 +165,8 @@
             classes: split_words(&self.classes),
             teams: split_words(&self.teams),
             days,
-            at: at.map_err(|_| self.invalid("at", "a time as 08:00"))?,
-            opens: opens.map_err(|_| self.invalid("opens", "a time as 18:00"))?,
+            at: at.map_err(|_| self.invalid("at", "a time such as 08:00"))?,
+            opens: opens.map_err(|_| self.invalid("opens", "a time such as 18:00"))?,
             opens_before: self.opens_before,
             holidays: holidays.clone(),
         };
@@ -192,10 +199,10 @@
 }
 
 impl RankSettings {
-    /// The ranks as the scheduler takes them, checked against the cutoffs.
+    /// Validates the ranks against the cutoffs and converts them to the scheduler's form.
     ///
     /// # Errors
-    /// [`SettingsError`], whose one line names the element and what would be right.
+    /// A [`SettingsError`], whose one-line text names the element and what is expected.
     pub fn to_declared_rules(
         &self,
         cutoffs: &CutoffSettings,
@@ -220,15 +227,18 @@
         if self.value > MAX_RANK {
             return Err(SettingsError::invalid(
                 "ledger/rank value",
-                format!("0 to {MAX_RANK}"),
+                format!("from 0 to {MAX_RANK}"),
                 self.value,
             ));
         }
-        if let Some(window) = &self.during
-            && !cutoffs.cutoffs.iter().any(|cutoff| cutoff.name == *window)
+        if let Some(cutoff_name) = &self.during
+            && !cutoffs
+                .cutoffs
+                .iter()
+                .any(|cutoff| cutoff.name == *cutoff_name)
         {
             return Err(SettingsError::UnknownCutoff {
-                cutoff: window.clone(),
+                cutoff: cutoff_name.clone(),
             });
         }
         Ok(RankRule {
@@ -240,7 +250,7 @@
     }
 }
 
-/// Words with blanks between.
+/// The words of a text, separated by white space.
 fn split_words(text: &str) -> BTreeSet<String> {
     text.split_whitespace().map(str::to_string).collect()
 }
--- a/crates/tallygauge/src/deadline_settings/tests.rs
+++ b/crates/tallygauge/src/deadline_settings/tests.rs
@@ -1,6 +1,6 @@
 use crate::operator_settings::OperatorSettings;
 
-const EXAMPLE: &str = r#"<tallygauge>
+const VALID_SETTINGS: &str = r#"<tallygauge>
       <calendar version="4">
         <holiday>2026-12-25</holiday>
         <cutoff name="lectures" zone="Asia/Seoul" days="weekdays" opens="18:00" opens-before="1" at="08:00" classes="transcode-batch exam-rush"/>
@@ -14,7 +14,7 @@
 
 #[test]
 fn cutoffs_and_ranks_are_converted_to_rules() {
-    let settings = OperatorSettings::parse(EXAMPLE).unwrap();
+    let settings = OperatorSettings::parse(VALID_SETTINGS).unwrap();
     let rules = settings.cutoffs.to_cutoff_rules().unwrap();
     assert_eq!(rules.len(), 2);
     assert!(rules[0].applies_to("exam-rush", "x") && !rules[0].applies_to("archive", "x"));
@@ -23,21 +23,21 @@
 }
 
 #[test]
-fn invalid_cutoffs_and_ranks_are_refused_with_the_field_named() {
-    for (from, to, word) in [
+fn errors_of_invalid_cutoffs_and_ranks_name_the_attribute() {
+    for (valid, invalid, expected) in [
         ("2026-12-25", "christmas", "holiday"),
         ("Asia/Seoul", "Asia/Soul", "zone"),
         ("weekdays", "workdays", "days must be"),
         ("18:00", "six", "opens"),
         ("at=\"08:00\"", "at=\"25:00\"", "at must be"),
         ("opens-before=\"1\"", "opens-before=\"0\"", "opens-before"),
-        ("\"exam-weeks\" zone", "\"lectures\" zone", "its own"),
+        ("\"exam-weeks\" zone", "\"lectures\" zone", "must be unique"),
         (
             "during=\"exam-weeks\"",
             "during=\"exams\"",
             "during 'exams'",
         ),
-        ("value=\"90\"", "value=\"101\"", "0 to 100"),
+        ("value=\"90\"", "value=\"101\"", "from 0 to 100"),
         ("version=\"3\"", "version=\"0\"", "version"),
         (
             "<calendar version=\"4\"",
@@ -46,9 +46,11 @@
         ),
         ("<ledger", "<ledger colour=\"red\"", "colour"),
     ] {
-        let text = EXAMPLE.replacen(from, to, 1);
-        assert_ne!(text, EXAMPLE);
-        let error = OperatorSettings::parse(&text).expect_err(to).to_string();
-        assert!(error.contains(word), "{to}: {error}");
+        let text = VALID_SETTINGS.replacen(valid, invalid, 1);
+        assert_ne!(text, VALID_SETTINGS);
+        let error = OperatorSettings::parse(&text)
+            .expect_err(invalid)
+            .to_string();
+        assert!(error.contains(expected), "{invalid}: {error}");
     }
 }
--- a/crates/tallygauge/src/lib.rs
+++ b/crates/tallygauge/src/lib.rs
@@ -1,7 +1,7 @@
 //! The tallygauge controller: a cluster scheduler in which one elected leader
-//! places pending tasks by utility per remaining time.
+//! places pending tasks in the order of utility per remaining time.
 //!
-//! `docs/design.md` says how it works and why it is safe.
+//! `docs/design.md` describes the design and why it is safe.
 
 pub mod cleanup;
 pub mod cloud;
@@ -54,20 +54,20 @@
 use version_checks::VersionCheckQueue;
 use wall_clock::SystemClock;
 
-/// Timeout of a connection attempt.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Fraction of the process's memory that one response may take.
-const RESPONSE_MEMORY_FRACTION: f64 = 1.0 / 8.0;
+/// Maximum size of one response, as a fraction of the process's memory limit.
+const MAX_RESPONSE_MEMORY_FRACTION: f64 = 1.0 / 8.0;
 
-/// Requests to the cloud provider that are left out between two attempts to read
-/// the machine types.
-const CATALOGUE_RETRY_REQUESTS: f64 = 2.0;
+/// Pause between two attempts to read the machine types, in multiples of the time
+/// between two requests that the cloud provider's rate limit allows.
+const CATALOGUE_RETRY_REQUEST_INTERVALS: f64 = 2.0;
 
 /// Runs a controller until it is killed.
 ///
 /// # Errors
-/// When an address can't be bound.
+/// If a listen address can't be bound.
 pub async fn run(
     settings: Settings,
     operator_settings: OperatorSettings,
@@ -82,8 +82,9 @@
     );
     tracing::info!(node = controller.settings.node_name, "starting controller");
     let peer_server = spawn_request_tasks(&controller);
-    // What is not spawned does not queue behind hundreds of workers' requests: the
-    // runtime polls it first. A lease whose renewal has to queue is lost.
+    // These futures run in the runtime's main task, not in spawned tasks: the runtime
+    // polls the main task first, so they don't queue behind the requests of hundreds
+    // of workers. A leader lease whose renewal has to queue is lost.
     tokio::select! {
         () = background(controller, version_checks) => Ok(()),
         () = clients.store_driver.run() => Ok(()),
@@ -91,11 +92,11 @@
     }
 }
 
-/// The clients of a controller.
+/// HTTP clients of a controller.
 struct HttpClients {
-    /// For the cloud provider and the workers.
+    /// Client for the cloud provider and the workers.
     general: HttpClient,
-    /// For the store, whose connections are driven by `store_driver`.
+    /// Client for the store; `store_driver` drives its connections.
     store: HttpClient,
     store_driver: ConnectionDriver,
 }
@@ -104,8 +105,9 @@
     fn new(settings: &Settings) -> Self {
         let deployment = &settings.deployment;
         let memory_bytes = deployment.resource_limits.memory_mib * 1024.0 * 1024.0;
-        let max_response_bytes = (memory_bytes * RESPONSE_MEMORY_FRACTION) as usize;
-        // Connections are scarce: one to a machine that is gone is closed soon.
+        let max_response_bytes = (memory_bytes * MAX_RESPONSE_MEMORY_FRACTION) as usize;
+        // Connections are scarce, so an idle connection, such as one to a machine that
+        // no longer exists, is closed after the duration of a worker's lease.
         let idle_timeout = Duration::from_secs_f64(deployment.workers.lease_s);
         let general = HttpClient::new(CONNECT_TIMEOUT, idle_timeout, max_response_bytes);
         let (store, store_driver) =
@@ -118,8 +120,9 @@
     }
 }
 
-/// Starts the tasks that serve requests, and those that may queue behind them.
-/// Returns the task that serves the peers, which ends only when it can't listen.
+/// Spawns the tasks that serve requests, and the tasks that may queue behind
+/// requests. Returns the task that serves the peers, which ends only if it can't
+/// listen.
 fn spawn_request_tasks(
     controller: &Arc<Controller>,
 ) -> JoinHandle<Result<(), tonic::transport::Error>> {
@@ -130,8 +133,8 @@
 }
 
 /// Runs the loops that must not queue behind requests: leadership, version checks,
-/// and the caches of machine types and active jobs. Simulations run these alone.
-/// The loops of a term are listed in `leader::background_loops`.
+/// and refreshing the caches of machine types and active jobs. Simulations run only
+/// these. The loops of a leader's term are listed in `leader::background_loops`.
 pub async fn background(controller: Arc<Controller>, version_checks: VersionCheckQueue) {
     tokio::join!(
         load_catalogue(&controller),
@@ -141,11 +144,11 @@
     );
 }
 
-/// Reads the machine types once, which every controller needs to validate
-/// submissions; a leader reads them again from time to time.
+/// Reads the machine types, retrying until it succeeds. Every controller needs them to
+/// validate job submissions; a leader also refreshes them periodically.
 async fn load_catalogue(controller: &Controller) {
     let requests_per_s = controller.settings.deployment.cloud.requests_per_s;
-    let pause = Duration::from_secs_f64(CATALOGUE_RETRY_REQUESTS / requests_per_s);
+    let pause = Duration::from_secs_f64(CATALOGUE_RETRY_REQUEST_INTERVALS / requests_per_s);
     while !cloud::refresh_catalogue(controller).await {
         tokio::time::sleep(pause + controller.jitter(pause)).await;
     }
--- a/crates/tallygauge/src/main.rs
+++ b/crates/tallygauge/src/main.rs
@@ -11,8 +11,8 @@
 /// Environment variable of the log level: `debug`, `info` or `error`.
 const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
-/// Exit code for settings that can't be read or are invalid.
-const INVALID_SETTINGS: u8 = 2;
+/// Exit code if a settings file can't be read or is invalid.
+const INVALID_SETTINGS_EXIT_CODE: u8 = 2;
 
 /// A controller of the tallygauge cluster scheduler.
 #[derive(Debug, Parser)]
@@ -21,15 +21,15 @@
     /// The platform's settings (JSON).
     #[arg(long, value_name = "PATH")]
     config: PathBuf,
-    /// Operators' own settings (XML); defaults where absent.
+    /// The operators' settings (XML); defaults apply if absent.
     #[arg(long, value_name = "PATH")]
     settings: Option<PathBuf>,
-    /// Checks the settings and exits.
+    /// Validates the settings and exits.
     #[arg(long)]
     check: bool,
 }
 
-/// Reads and checks both settings files.
+/// Reads and validates both settings files.
 fn load_settings(arguments: &Arguments) -> Result<(Settings, OperatorSettings), SettingsFileError> {
     let settings = Settings::load(&arguments.config)?;
     let operator_settings = match &arguments.settings {
@@ -45,14 +45,14 @@
         Ok(loaded) => loaded,
         Err(error) => {
             eprintln!("tallygauge: {error}");
-            return ExitCode::from(INVALID_SETTINGS);
+            return ExitCode::from(INVALID_SETTINGS_EXIT_CODE);
         }
     };
     if arguments.check {
         println!("settings are valid");
         return ExitCode::SUCCESS;
     }
-    start_logging();
+    init_logging();
     match run(settings, operator_settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -62,9 +62,10 @@
     }
 }
 
-/// Logs to standard error, at the level that the environment names. Libraries log
-/// errors only: an operator follows the scheduler, not its connections.
-fn start_logging() {
+/// Installs logging to standard error, at the level given by the environment.
+/// Libraries log only errors, since operators follow the scheduler and not its
+/// connections.
+fn init_logging() {
     let level = match std::env::var(LOG_LEVEL_VARIABLE).as_deref() {
         Ok("debug") => LevelFilter::DEBUG,
         Ok("error") => LevelFilter::ERROR,
@@ -83,7 +84,7 @@
         .init();
 }
 
-/// Runs the controller on a single-threaded runtime until it fails.
+/// Runs the controller on a single-threaded Tokio runtime until it fails.
 fn run(
     settings: Settings,
     operator_settings: OperatorSettings,
--- a/crates/tallygauge/src/operator_settings.rs
+++ b/crates/tallygauge/src/operator_settings.rs
@@ -1,7 +1,8 @@
-//! The operators' own settings (XML): tuning values, cutoffs and ranks.
+//! The operators' settings (XML): tuning values, cutoffs and ranks.
 //!
-//! The names and forms in the file are the operators'. They are mapped to the
-//! field's terms here, once, by serde. Unknown elements are refused.
+//! The elements of the file have the operators' names. Serde attributes in this module
+//! map them to this project's terms, and no other module uses the operators' names.
+//! Unknown elements are rejected.
 
 use crate::{
     deadline_settings::{CutoffSettings, RankSettings},
@@ -10,57 +11,59 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// The operators' own settings; every element has a default.
+/// The operators' settings. Every element is optional and has a default.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct OperatorSettings {
-    /// Longest time between two scheduling rounds, seconds; events start them
+    /// Maximum time between two scheduling rounds, in seconds; events start a round
     /// earlier.
     #[serde(rename = "round-interval")]
     pub max_round_interval_s: f64,
-    /// Least time between two scheduling rounds, as a fraction of the heartbeat
+    /// Minimum time between two scheduling rounds, as a fraction of the heartbeat
     /// interval.
     #[serde(rename = "round-gap")]
     pub min_round_interval_fraction: f64,
-    /// Least remaining run time that a job is taken to have, seconds.
+    /// Lower bound on the estimated remaining run time of a job, in seconds.
     #[serde(rename = "remaining-floor")]
     pub min_remaining_s: f64,
     /// Utility of a job by its priority.
     #[serde(rename = "worth")]
     pub utility: UtilitySettings,
-    /// Fraction of its utility that a job has after its deadline, 0 to 1.
+    /// Fraction of its utility that a job retains after its deadline, 0 to 1.
     #[serde(rename = "late-worth")]
     pub late_utility_factor: f64,
-    /// Idle time after which a machine is returned, in boot times of its type.
+    /// Idle time after which a machine is returned to the cloud, in multiples of the
+    /// boot time of its type.
     #[serde(rename = "idle-wait")]
     pub idle_timeout_boot_times: f64,
-    /// Time over which pending work is spread when scaling out, in boot times.
+    /// Time over which scale-out spreads the pending work, in multiples of the boot time
+    /// of the machine type.
     #[serde(rename = "rent-horizon")]
     pub rental_horizon_boot_times: f64,
     /// Minimum share of each class of jobs and of each team.
     #[serde(rename = "floor")]
     pub minimum_share: MinimumShareSettings,
-    /// Image locality against the spread of replicas.
+    /// Trade-off between image locality and the spread of replicas.
     #[serde(rename = "weights")]
     pub locality: LocalitySettings,
-    /// Cutoffs of batches.
+    /// Cutoffs of batches of jobs.
     #[serde(rename = "calendar")]
     pub cutoffs: CutoffSettings,
-    /// Ranks that order jobs which are equally urgent.
+    /// Ranks, which determine the order of equally urgent jobs.
     #[serde(rename = "ledger")]
     pub ranks: RankSettings,
 }
 
-/// Image locality against the spread of replicas.
+/// Trade-off between image locality and the spread of replicas.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct LocalitySettings {
-    /// Seconds of image fetch that are accepted for each replica which would
-    /// otherwise be lost along with others by one failure.
+    /// Additional image fetch time that is accepted for each replica which would
+    /// otherwise be lost together with others in a single failure, in seconds.
     #[serde(rename = "replica-risk")]
     pub replica_risk_s: f64,
-    /// Fetch time from which on the location of an image is on record for the next
-    /// leader, seconds.
+    /// Minimum fetch time of an image whose locations are stored for the next leader,
+    /// in seconds.
     #[serde(rename = "remember-from")]
     pub min_recorded_fetch_s: f64,
 }
@@ -78,11 +81,11 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct MinimumShareSettings {
-    /// Fraction of the jobs done or overdue that is to be done, 0 to 1; 0: no
-    /// minimum share.
+    /// Minimum fraction that completed jobs make up of all completed or overdue jobs,
+    /// 0 to 1; 0 disables the minimum share.
     pub share: f64,
-    /// Time after its acceptance by which every job is started, seconds; 0: no
-    /// bound.
+    /// Time after its acceptance by which every job is to be started, in seconds; 0
+    /// means no bound.
     #[serde(rename = "begin-within")]
     pub start_within_s: f64,
 }
@@ -96,7 +99,7 @@
     }
 }
 
-/// Utility of a job by its priority; it must not fall from low to production.
+/// Utility of a job by its priority. It must not decrease from `low` to `production`.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct UtilitySettings {
@@ -140,30 +143,30 @@
 }
 
 impl OperatorSettings {
-    /// Reads and checks the file.
+    /// Reads and validates the settings file.
     ///
     /// # Errors
-    /// [`SettingsFileError`], whose one line names the file, the element and what is
-    /// wrong.
+    /// A [`SettingsFileError`], whose one-line text names the file, the element and the
+    /// fault.
     pub fn load(path: &Path) -> Result<Self, SettingsFileError> {
         SettingsFile::Operator.load(path, Self::parse)
     }
 
-    /// Parses and checks the settings.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// [`SettingsError`], whose one line names the element and what is wrong.
+    /// A [`SettingsError`], whose one-line text names the element and the fault.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = quick_xml::de::from_str(text)?;
         settings.validate()?;
         Ok(settings)
     }
 
-    /// Checks what the types alone don't rule out; the first fault is reported.
+    /// Checks the rules that the types don't enforce; reports the first fault.
     fn validate(&self) -> Result<(), SettingsError> {
         self.validate_positive()?;
         self.validate_fractions()?;
-        require_not_negative(&[
+        require_non_negative(&[
             ("floor/begin-within", self.minimum_share.start_within_s),
             ("weights/replica-risk", self.locality.replica_risk_s),
             ("weights/remember-from", self.locality.min_recorded_fetch_s),
@@ -189,11 +192,11 @@
 
     fn validate_fractions(&self) -> Result<(), SettingsError> {
         if !(0.0..=1.0).contains(&self.late_utility_factor) {
-            return Err(SettingsError::requirement("late-worth", "be 0 to 1"));
+            return Err(SettingsError::requirement("late-worth", "be from 0 to 1"));
         }
         let share = self.minimum_share.share;
         if !(0.0..=1.0).contains(&share) {
-            return Err(SettingsError::invalid("floor/share", "0 to 1", share));
+            return Err(SettingsError::invalid("floor/share", "from 0 to 1", share));
         }
         Ok(())
     }
@@ -207,14 +210,14 @@
         } else {
             Err(SettingsError::requirement(
                 "worth",
-                "not fall from low to production",
+                "not decrease from low to production",
             ))
         }
     }
 }
 
-/// Refuses numbers below 0.
-fn require_not_negative(fields: &[(&'static str, f64)]) -> Result<(), SettingsError> {
+/// Rejects numbers that are negative or not finite.
+fn require_non_negative(fields: &[(&'static str, f64)]) -> Result<(), SettingsError> {
     for (field, value) in fields {
         if !value.is_finite() || *value < 0.0 {
             return Err(SettingsError::invalid(field, "0 or more", value));
--- a/crates/tallygauge/src/operator_settings/tests.rs
+++ b/crates/tallygauge/src/operator_settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn absent_elements_have_defaults_and_invalid_ones_are_refused() {
+fn absent_elements_have_defaults_and_invalid_elements_are_rejected() {
     let settings = OperatorSettings::parse(
         "<tallygauge><worth><high>9</high></worth><idle-wait>2.5</idle-wait></tallygauge>",
     )
@@ -18,7 +18,7 @@
         OperatorSettings::parse("<tallygauge/>").unwrap(),
         OperatorSettings::default()
     );
-    for bad in [
+    for invalid in [
         "<tallygauge><idel-wait>2</idel-wait></tallygauge>",
         "<tallygauge><idle-wait>long</idle-wait></tallygauge>",
         "<tallygauge><idle-wait>-1</idle-wait></tallygauge>",
@@ -28,6 +28,9 @@
         "<tallygauge><weights><replica-risk>-1</replica-risk></weights></tallygauge>",
         "<tallygauge><worth><high>1</high></worth></tallygauge>",
     ] {
-        assert!(OperatorSettings::parse(bad).is_err(), "{bad} was taken");
+        assert!(
+            OperatorSettings::parse(invalid).is_err(),
+            "{invalid} was accepted"
+        );
     }
 }
--- a/crates/tallygauge/src/settings.rs
+++ b/crates/tallygauge/src/settings.rs
@@ -1,63 +1,63 @@
-//! The platform's settings (JSON): the deployment that this controller is part of,
-//! parsed and checked field by field.
+//! The platform's settings (JSON): the deployment that this controller belongs to,
+//! parsed and validated field by field.
 //!
-//! The names and forms in the file are the platform's. They are mapped to the
-//! field's terms here, once, by serde. Durations are seconds; unknown fields are
-//! ignored.
+//! The platform determines the keys of the file. Serde attributes in this module map
+//! them to this project's terms, and no other module uses the platform's keys.
+//! Durations are in seconds. Unknown keys are ignored.
 
 use crate::settings_error::{SettingsError, SettingsFile, SettingsFileError, require_positive};
 use serde::Deserialize;
 use std::{collections::HashMap, net::SocketAddr, path::Path};
 use tallygauge_scheduler::{ServiceLevelObjective, TeamConfig};
 
-/// Fewest writes that a transaction must be allowed.
-const MIN_WRITES_PER_TRANSACTION: usize = 4;
+/// Smallest valid limit on the writes in one transaction of the store.
+const MIN_TRANSACTION_WRITE_LIMIT: usize = 4;
 
 /// The platform's settings for one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
     /// Name of this controller, unique in the deployment.
     pub node_name: String,
-    /// Zone that this controller runs in.
+    /// Availability zone that this controller runs in.
     #[serde(rename = "area")]
     pub zone: String,
-    /// Address on which users, workers and health checks are served (HTTP).
+    /// Listen address for users, workers and health checks (HTTP).
     pub client_listen: SocketAddr,
-    /// Address on which the other controllers are served (gRPC).
+    /// Listen address for the other controllers (gRPC).
     #[serde(rename = "back")]
     pub peer_listen: SocketAddr,
-    /// The other controllers.
+    /// The other controllers of the deployment.
     #[serde(rename = "seeds")]
     pub peers: Vec<Peer>,
     /// Addresses of the services that controllers call.
     pub services: Services,
-    /// What all controllers of the deployment share.
+    /// Settings that all controllers of the deployment have in common.
     pub deployment: Deployment,
 }
 
 /// Another controller of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name, unique in the deployment.
     pub node_name: String,
-    /// Address on which it serves the other controllers (gRPC).
+    /// Address at which it serves other controllers (gRPC).
     pub addr: SocketAddr,
 }
 
 /// Addresses of the services that controllers call.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
-    /// The cloud, which rents out machines.
+    /// The cloud provider, from which machines are rented.
     pub cloud: SocketAddr,
-    /// The consensus-backed key-value store ("state service").
+    /// The consensus-backed key-value store; the platform calls it the state service.
     #[serde(rename = "state")]
     pub store: SocketAddr,
 }
 
-/// What all controllers of a deployment share.
+/// Settings that all controllers of a deployment have in common.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
-    /// Number of controllers.
+    /// Number of controllers in the deployment.
     #[serde(rename = "count")]
     pub controller_count: u32,
     /// Quotas of the teams.
@@ -70,14 +70,14 @@
     /// Limits of the key-value store.
     #[serde(rename = "state")]
     pub store: StoreLimits,
-    /// Limits of the cloud.
+    /// Limits of the cloud provider.
     pub cloud: CloudLimits,
-    /// What this process may use.
+    /// Resource limits of the controller's process.
     #[serde(rename = "quota")]
     pub resource_limits: ResourceLimits,
 }
 
-/// Guaranteed share and limit of a team. All amounts are 0 or more.
+/// Guaranteed resources and limits of a team. All amounts are 0 or more.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TeamQuota {
     /// Name of the team, unique in the deployment.
@@ -85,47 +85,47 @@
     /// Guaranteed CPUs.
     #[serde(rename = "cpus")]
     pub guaranteed_cpus: f64,
-    /// Limit on CPUs in use; 0: no limit.
+    /// Limit on CPUs in use; 0 means no limit.
     #[serde(rename = "cpus_max")]
     pub max_cpus: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     #[serde(rename = "gpus")]
     pub guaranteed_gpus: f64,
-    /// Limit on GPUs in use; 0: no limit.
+    /// Limit on GPUs in use; 0 means no limit.
     #[serde(default)]
     #[serde(rename = "gpus_max")]
     pub max_gpus: f64,
 }
 
-/// A service-level objective. Kinds that this version does not know are ignored.
+/// A service-level objective. Objectives of an unknown kind are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// Kind: `deadline`, `finished`, or one that is ignored.
+    /// Kind: `deadline` or `finished`; any other kind is ignored.
     pub kind: String,
-    /// Class of jobs that it is for; `None`: it is ignored.
+    /// Class of jobs that it applies to; without a class, the objective is ignored.
     #[serde(default)]
     pub class: Option<String>,
-    /// Bound of a `finished` objective, seconds.
+    /// For `finished`: the time within which a job must complete, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Bound of a `deadline` objective, as a multiple of the job's own deadline;
-    /// `None`: 1.
+    /// For `deadline`: the multiple of its own deadline within which a job must
+    /// complete; 1 if absent.
     #[serde(default)]
     #[serde(rename = "times")]
     pub deadline_factor: Option<f64>,
 }
 
-/// Timeouts of workers, seconds.
+/// Timeouts of workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerTimeouts {
-    /// Time between two heartbeats, seconds.
+    /// Time between two heartbeats of a worker, in seconds.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// Length of a worker's lease, seconds; at least twice the heartbeat interval.
+    /// Duration of a worker's lease, in seconds; at least twice the heartbeat interval.
     pub lease_s: f64,
-    /// Time until the tasks of a cancelled job must be gone, seconds; above the
-    /// lease.
+    /// Time within which the tasks of a cancelled job must have ended, in seconds;
+    /// longer than the lease.
     #[serde(rename = "cancel_s")]
     pub cancel_timeout_s: f64,
 }
@@ -133,63 +133,64 @@
 /// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StoreLimits {
-    /// Requests a second, of all controllers together.
+    /// Requests per second, for all controllers together.
     #[serde(rename = "rps")]
     pub requests_per_s: f64,
-    /// Writes a second, of all controllers together.
+    /// Writes per second, for all controllers together.
     #[serde(rename = "write_rps")]
     pub writes_per_s: f64,
-    /// Largest value, KiB.
+    /// Maximum size of a value, in KiB.
     #[serde(rename = "value_kb")]
     pub max_value_kib: f64,
-    /// Most writes in one transaction, at least 4.
+    /// Maximum number of writes in one transaction; at least 4.
     #[serde(rename = "txn_ops")]
     pub max_writes_per_transaction: usize,
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud provider.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(rename = "rps")]
     pub requests_per_s: f64,
-    /// Seconds by which the machine list may be out of date.
+    /// Maximum time by which the machine list may lag behind the provider's actual
+    /// machines, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What this process may use.
+/// Resource limits of the controller's process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ResourceLimits {
-    /// Processor cores.
+    /// CPU cores.
     pub cores: f64,
-    /// Memory, MiB.
+    /// Memory, in MiB.
     #[serde(rename = "memory_mb")]
     pub memory_mib: f64,
-    /// Open connections.
+    /// Number of open connections.
     #[serde(rename = "sockets")]
     pub connections: u32,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// [`SettingsFileError`], whose one line names the file, the field and what is wrong.
+    /// A [`SettingsFileError`], whose one-line text names the file, the field and the fault.
     pub fn load(path: &Path) -> Result<Self, SettingsFileError> {
         SettingsFile::Platform.load(path, Self::parse)
     }
 
-    /// Parses and checks settings.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// [`SettingsError`], whose one line names the field and what is wrong.
+    /// A [`SettingsError`], whose one-line text names the field and the fault.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = serde_json::from_str(text)?;
         settings.validate()?;
         Ok(settings)
     }
 
-    /// Checks what the types alone don't rule out; the first fault is reported.
+    /// Checks the rules that the types don't enforce; reports the first fault.
     fn validate(&self) -> Result<(), SettingsError> {
         self.deployment.validate_limits()?;
         self.deployment.validate_worker_timeouts()?;
@@ -232,8 +233,8 @@
         Ok(())
     }
 
-    /// The loosest service-level objective on completion of each class of jobs, by
-    /// the class's name. Objectives without a class don't count.
+    /// The loosest completion objective of each class of jobs, by the name of the
+    /// class. Objectives without a class are ignored.
     #[must_use]
     pub fn loosest_completion_objectives(&self) -> HashMap<String, ServiceLevelObjective> {
         let mut loosest: HashMap<String, ServiceLevelObjective> = HashMap::new();
@@ -245,11 +246,11 @@
                 "deadline" => {
                     let entry = loosest.entry(class.clone()).or_default();
                     let factor = objective.deadline_factor.or(Some(1.0));
-                    entry.deadline_factor = larger_of(entry.deadline_factor, factor);
+                    entry.deadline_factor = looser_bound(entry.deadline_factor, factor);
                 }
                 "finished" => {
                     let entry = loosest.entry(class.clone()).or_default();
-                    entry.within_s = larger_of(entry.within_s, objective.within_s);
+                    entry.within_s = looser_bound(entry.within_s, objective.within_s);
                 }
                 _ => {}
             }
@@ -257,20 +258,20 @@
         loosest
     }
 
-    /// Teams as the scheduler takes them. Where a limit is 0 there is none: guests
-    /// have neither guarantee nor limit.
+    /// The teams in the scheduler's form. A limit of 0 becomes infinite: a guest team
+    /// has neither a guarantee nor a limit.
     #[must_use]
     pub fn teams(&self) -> Vec<TeamConfig> {
-        let unlimited_if_zero = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
+        let infinite_if_zero = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
         self.deployment
             .teams
             .iter()
             .map(|team| TeamConfig {
                 name: team.name.clone(),
                 guaranteed_cpus: team.guaranteed_cpus,
-                max_cpus: unlimited_if_zero(team.max_cpus),
+                max_cpus: infinite_if_zero(team.max_cpus),
                 guaranteed_gpus: team.guaranteed_gpus,
-                max_gpus: unlimited_if_zero(team.max_gpus),
+                max_gpus: infinite_if_zero(team.max_gpus),
             })
             .collect()
     }
@@ -320,7 +321,7 @@
     }
 
     fn validate_counts(&self) -> Result<(), SettingsError> {
-        if self.store.max_writes_per_transaction < MIN_WRITES_PER_TRANSACTION {
+        if self.store.max_writes_per_transaction < MIN_TRANSACTION_WRITE_LIMIT {
             return Err(SettingsError::requirement(
                 "deployment.state.txn_ops",
                 "be at least 4",
@@ -369,8 +370,8 @@
     }
 }
 
-/// The larger of two bounds, where there are two.
-fn larger_of(first: Option<f64>, second: Option<f64>) -> Option<f64> {
+/// The larger of two optional bounds; a missing one is ignored.
+fn looser_bound(first: Option<f64>, second: Option<f64>) -> Option<f64> {
     first.into_iter().chain(second).reduce(f64::max)
 }
 
--- a/crates/tallygauge/src/settings/tests.rs
+++ b/crates/tallygauge/src/settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Settings of a small deployment on loopback.
-fn example() -> serde_json::Value {
+/// Valid settings of a small deployment on loopback addresses.
+fn valid_settings() -> serde_json::Value {
     serde_json::json!({
         "node_name": "n-0", "area": "a",
         "client_listen": "127.0.0.1:7080", "back": "127.0.0.1:7081",
@@ -20,16 +20,17 @@
     })
 }
 
-// A guest team, whose guarantee and limit are 0, was refused for good: 422.
+// Guards against taking a limit of 0 as zero resources: jobs of a guest team,
+// whose guarantee and limit are 0, were rejected permanently with status 422.
 #[test]
 fn a_limit_of_zero_means_no_limit() {
-    let mut guests = example();
-    let none = serde_json::json!({"name": "g", "cpus": 0.0, "cpus_max": 0.0});
-    guests["deployment"]["teams"]
+    let mut settings = valid_settings();
+    let guest_team = serde_json::json!({"name": "g", "cpus": 0.0, "cpus_max": 0.0});
+    settings["deployment"]["teams"]
         .as_array_mut()
         .unwrap()
-        .push(none);
-    let teams = Settings::parse(&guests.to_string()).unwrap().teams();
+        .push(guest_team);
+    let teams = Settings::parse(&settings.to_string()).unwrap().teams();
     let limits: Vec<(f64, f64)> = teams
         .iter()
         .map(|t| (t.guaranteed_cpus, t.max_cpus))
@@ -38,9 +39,9 @@
 }
 
 #[test]
-fn invalid_settings_are_refused_with_the_field_named() {
-    Settings::parse(&example().to_string()).unwrap();
-    for (pointer, value, word) in [
+fn errors_of_invalid_settings_name_the_field() {
+    Settings::parse(&valid_settings().to_string()).unwrap();
+    for (pointer, value, expected) in [
         (
             "/deployment/workers/lease_s",
             serde_json::json!(0),
@@ -63,15 +64,17 @@
         ),
         ("/back", serde_json::json!("nowhere"), "line"),
     ] {
-        let mut bad = example();
-        *bad.pointer_mut(pointer).unwrap() = value;
-        let error = Settings::parse(&bad.to_string()).unwrap_err().to_string();
+        let mut invalid = valid_settings();
+        *invalid.pointer_mut(pointer).unwrap() = value;
+        let error = Settings::parse(&invalid.to_string())
+            .unwrap_err()
+            .to_string();
         assert!(
-            error.contains(word) && !error.contains('\n'),
+            error.contains(expected) && !error.contains('\n'),
             "{pointer}: {error}"
         );
     }
-    let mut missing = example();
+    let mut missing = valid_settings();
     missing["deployment"]
         .as_object_mut()
         .unwrap()
--- a/crates/tallygauge/src/settings_error.rs
+++ b/crates/tallygauge/src/settings_error.rs
@@ -1,5 +1,5 @@
-//! Errors of both settings files. Each displays as the one line that an operator
-//! reads: it names the field, or the element, as it stands in the file.
+//! Errors of both settings files. Each error displays as one line for the operator,
+//! which gives the key or the element by its name in the file.
 
 use std::{
     fmt, fs, io,
@@ -8,7 +8,7 @@
 };
 use tallygauge_scheduler::CutoffRuleError;
 
-/// Which of the two settings files an error is about.
+/// The two settings files.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SettingsFile {
     /// The platform's settings (JSON).
@@ -21,7 +21,7 @@
     /// Reads a file and parses its text.
     ///
     /// # Errors
-    /// [`SettingsFileError`], which names the file.
+    /// A [`SettingsFileError`], which names the file.
     pub(crate) fn load<T>(
         self,
         path: &Path,
@@ -32,7 +32,7 @@
             path: path.to_path_buf(),
             source,
         })?;
-        parse(&text).map_err(|source| SettingsFileError::Refused {
+        parse(&text).map_err(|source| SettingsFileError::Invalid {
             file: self,
             path: path.to_path_buf(),
             source,
@@ -41,7 +41,7 @@
 }
 
 impl fmt::Display for SettingsFile {
-    /// The words in front of the file's path.
+    /// The text that precedes the path of the file in an error message.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Platform => formatter.write_str("settings "),
@@ -56,90 +56,90 @@
     /// The file can't be opened, or is not UTF-8.
     #[error("{file}{}: can't be read: {source}", path.display())]
     Unreadable {
-        /// Which file it is.
+        /// Which of the settings files.
         file: SettingsFile,
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// Error of the read.
         source: io::Error,
     },
-    /// The file was read, but its content is refused.
+    /// The content of the file is invalid.
     #[error("{file}{}: {source}", path.display())]
-    Refused {
-        /// Which file it is.
+    Invalid {
+        /// Which of the settings files.
         file: SettingsFile,
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with its content.
+        /// Fault in the content.
         source: SettingsError,
     },
 }
 
-/// What is wrong with the content of a settings file.
+/// A fault in the content of a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// Not JSON, or a field is missing or of the wrong type.
+    /// The text is not JSON, or a field is missing or of the wrong type.
     #[error("{0}")]
     MalformedJson(#[from] serde_json::Error),
-    /// Not XML, or an element is unknown or of the wrong type.
+    /// The text is not XML, or an element is unknown or of the wrong type.
     #[error("{}", on_one_line(.0))]
     MalformedXml(#[from] quick_xml::DeError),
-    /// A value is not one of those that its field may have.
+    /// The value of a field is out of the permitted range or malformed.
     #[error("{field} must be {expected}, not {found}")]
     Invalid {
-        /// Field, as in the file.
+        /// Name of the field in the file.
         field: &'static str,
-        /// What it may be.
+        /// Description of the permitted values.
         expected: String,
-        /// What it is.
+        /// The value in the file.
         found: String,
     },
-    /// A field breaks a rule that its value alone doesn't show.
+    /// A field violates a requirement; the message doesn't include its value.
     #[error("{field} must {requirement}")]
     RequirementNotMet {
-        /// Field, as in the file.
+        /// Name of the field in the file.
         field: String,
-        /// What must hold of it.
+        /// The requirement, phrased to follow "must".
         requirement: &'static str,
     },
     /// A name that must be unique occurs twice.
-    #[error("{field} '{name}' is there twice")]
+    #[error("{field} '{name}' occurs twice")]
     DuplicateName {
-        /// Field, as in the file.
+        /// Name of the field in the file.
         field: String,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
     /// Two endpoints have the same address.
-    #[error("{field}: address {address} is also that of {other_field}")]
+    #[error("{field}: address {address} is already used by {other_field}")]
     DuplicateAddress {
-        /// Field of the later endpoint, as in the file.
+        /// Name in the file of the later endpoint's field.
         field: &'static str,
-        /// The address.
+        /// The duplicate address.
         address: SocketAddr,
-        /// Field of the earlier endpoint.
+        /// Name in the file of the earlier endpoint's field.
         other_field: &'static str,
     },
-    /// An attribute of a cutoff has a value that it may not have.
+    /// An attribute of a cutoff has an invalid value.
     #[error("calendar/cutoff '{cutoff}': {attribute} must be {expected}")]
     InvalidCutoff {
         /// Name of the cutoff.
         cutoff: String,
-        /// Attribute of its element.
+        /// Name of the attribute.
         attribute: &'static str,
-        /// What it may be.
+        /// Description of the permitted values.
         expected: &'static str,
     },
-    /// The attributes of a cutoff are valid each, but not together.
+    /// The attributes of a cutoff parse, but the rule that they form is invalid.
     #[error("calendar/cutoff '{cutoff}': {source}")]
     InvalidCutoffRule {
         /// Name of the cutoff.
         cutoff: String,
-        /// Which rule they break.
+        /// Why the rule is invalid.
         source: CutoffRuleError,
     },
-    /// A rank is limited to the window of a cutoff that is not declared.
-    #[error("ledger/rank during '{cutoff}' names no cutoff of the calendar")]
+    /// A rank applies during the window of a cutoff that is not declared.
+    #[error("ledger/rank during '{cutoff}' does not name a cutoff of the calendar")]
     UnknownCutoff {
         /// Name of the cutoff.
         cutoff: String,
@@ -147,7 +147,7 @@
 }
 
 impl SettingsError {
-    /// An [`Invalid`](Self::Invalid) value.
+    /// An [`Invalid`](Self::Invalid) error.
     pub(crate) fn invalid(
         field: &'static str,
         expected: impl Into<String>,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// A [requirement](Self::RequirementNotMet) that a field does not meet.
+    /// A [`RequirementNotMet`](Self::RequirementNotMet) error.
     pub(crate) fn requirement(field: impl Into<String>, requirement: &'static str) -> Self {
         Self::RequirementNotMet {
             field: field.into(),
@@ -169,12 +169,13 @@
     }
 }
 
-/// The XML parser's messages may have line breaks: an operator reads one line.
+/// The message of the XML parser with its line breaks replaced by spaces, so that the
+/// error stays on one line.
 fn on_one_line(error: &quick_xml::DeError) -> String {
     error.to_string().replace('\n', " ")
 }
 
-/// Refuses numbers that are not above 0.
+/// Rejects numbers that are not above 0 or not finite.
 pub(crate) fn require_positive(fields: &[(&'static str, f64)]) -> Result<(), SettingsError> {
     for (field, value) in fields {
         if !value.is_finite() || *value <= 0.0 {
--- a/crates/tallygauge/src/settings_error/tests.rs
+++ b/crates/tallygauge/src/settings_error/tests.rs
@@ -1,7 +1,7 @@
 use crate::{operator_settings::OperatorSettings, settings::Settings};
 use std::path::Path;
 
-fn example_platform_settings() -> serde_json::Value {
+fn valid_platform_settings() -> serde_json::Value {
     serde_json::json!({
         "node_name": "n-0", "area": "a",
         "client_listen": "127.0.0.1:7080", "back": "127.0.0.1:7081",
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn each_fault_of_the_platform_settings_displays_its_line() {
-    for (pointer, value, line) in [
+fn faults_of_the_platform_settings_have_one_line_messages() {
+    for (pointer, value, message) in [
         (
             "/deployment/workers/report_s",
             serde_json::json!(0),
@@ -67,17 +67,17 @@
         (
             "/deployment/teams/1/name",
             serde_json::json!("red"),
-            "deployment.teams[1].name 'red' is there twice",
+            "deployment.teams[1].name 'red' occurs twice",
         ),
         (
             "/seeds/0/addr",
             serde_json::json!("127.0.0.1:7081"),
-            "seeds: address 127.0.0.1:7081 is also that of back",
+            "seeds: address 127.0.0.1:7081 is already used by back",
         ),
         (
             "/seeds/0/node_name",
             serde_json::json!("n-0"),
-            "seeds: node_name 'n-0' is there twice",
+            "seeds: node_name 'n-0' occurs twice",
         ),
         (
             "/deployment/count",
@@ -85,37 +85,34 @@
             "invalid type: string \"two\", expected u32 at line 1 column 133",
         ),
     ] {
-        let mut settings = example_platform_settings();
+        let mut settings = valid_platform_settings();
         *settings.pointer_mut(pointer).unwrap() = value;
         let error = Settings::parse(&settings.to_string()).unwrap_err();
-        assert_eq!(error.to_string(), line);
+        assert_eq!(error.to_string(), message);
     }
 }
 
-#[allow(
-    clippy::too_many_lines,
-    reason = "one table or one course of events, read from top to bottom"
-)]
+#[allow(clippy::too_many_lines, reason = "a table of cases")]
 #[test]
-fn each_fault_of_the_operator_settings_displays_its_line() {
+fn faults_of_the_operator_settings_have_one_line_messages() {
     let cutoff = |attributes: &str| {
         format!(
             r#"<calendar version="1"><cutoff name="night" zone="UTC" days="daily" {attributes}/></calendar>"#
         )
     };
     let valid_cutoff = r#"opens="01:00" at="08:00""#;
-    for (content, line) in [
+    for (content, message) in [
         (
             "<idle-wait>-1</idle-wait>".to_string(),
             "idle-wait must be above 0, not -1",
         ),
         (
             "<late-worth>2</late-worth>".into(),
-            "late-worth must be 0 to 1",
+            "late-worth must be from 0 to 1",
         ),
         (
             "<floor><share>1.5</share></floor>".into(),
-            "floor/share must be 0 to 1, not 1.5",
+            "floor/share must be from 0 to 1, not 1.5",
         ),
         (
             "<floor><begin-within>-1</begin-within></floor>".into(),
@@ -127,15 +124,15 @@
         ),
         (
             "<worth><high>1</high></worth>".into(),
-            "worth must not fall from low to production",
+            "worth must not decrease from low to production",
         ),
         (
             "<calendar><holiday>christmas</holiday></calendar>".into(),
-            "calendar/holiday must be a date as 2026-12-25, not 'christmas'",
+            "calendar/holiday must be a date such as 2026-12-25, not 'christmas'",
         ),
         (
             cutoff(valid_cutoff).replace(" version=\"1\"", ""),
-            "calendar must have a version above 0, which grows with every change",
+            "calendar must have a version above 0 that is raised with every change",
         ),
         (
             cutoff(valid_cutoff).replace("daily", "workdays"),
@@ -143,15 +140,15 @@
         ),
         (
             cutoff(valid_cutoff).replace("UTC", "Asia/Soul"),
-            "calendar/cutoff 'night': zone must be a time zone as Asia/Seoul",
+            "calendar/cutoff 'night': zone must be an IANA time zone such as Asia/Seoul",
         ),
         (
             cutoff(r#"opens="six" at="25:00""#),
-            "calendar/cutoff 'night': at must be a time as 08:00",
+            "calendar/cutoff 'night': at must be a time such as 08:00",
         ),
         (
             cutoff(r#"opens="six" at="08:00""#),
-            "calendar/cutoff 'night': opens must be a time as 18:00",
+            "calendar/cutoff 'night': opens must be a time such as 18:00",
         ),
         (
             cutoff(r#"opens="09:00" at="08:00""#),
@@ -173,29 +170,29 @@
         ),
         (
             r#"<calendar version="1"><cutoff name="n" zone="UTC" days="daily" opens="01:00" at="08:00"/><cutoff name="n" zone="UTC" days="daily" opens="01:00" at="08:00"/></calendar>"#.into(),
-            "calendar/cutoff 'n': name must be its own",
+            "calendar/cutoff 'n': name must be unique",
         ),
         (
             r#"<ledger version="1"><rank value="101"/></ledger>"#.into(),
-            "ledger/rank value must be 0 to 100, not 101",
+            "ledger/rank value must be from 0 to 100, not 101",
         ),
         (
             r#"<ledger version="1"><rank during="exams" value="1"/></ledger>"#.into(),
-            "ledger/rank during 'exams' names no cutoff of the calendar",
+            "ledger/rank during 'exams' does not name a cutoff of the calendar",
         ),
         (
             r#"<ledger><rank value="1"/></ledger>"#.into(),
-            "ledger must have a version above 0, which grows with every change",
+            "ledger must have a version above 0 that is raised with every change",
         ),
     ] {
         let text = format!("<tallygauge>{content}</tallygauge>");
         let error = OperatorSettings::parse(&text).unwrap_err();
-        assert_eq!(error.to_string(), line, "{text}");
+        assert_eq!(error.to_string(), message, "{text}");
     }
 }
 
 #[test]
-fn an_unreadable_file_is_named() {
+fn the_error_of_an_unreadable_file_names_its_path() {
     let path = Path::new("/nonexistent/settings");
     let platform = Settings::load(path).unwrap_err().to_string();
     let prefix = "settings /nonexistent/settings: can't be read: ";
