--- a/crates/tallygauge/src/cloud.rs
+++ b/crates/tallygauge/src/cloud.rs
@@ -1,5 +1,5 @@
-//! The leader's dealings with the cloud provider: machine types, machine list,
-//! rentals and returns.
+//! The leader's requests to the cloud provider: reading the machine types and the
+//! machine list, renting machines and returning them.
 
 mod catalogue;
 mod client;
@@ -17,18 +17,18 @@
     atomic::{AtomicBool, Ordering},
 };
 
-/// Time between two reads of the machine list, as a fraction of the time by which
-/// the list may lag behind.
+/// Time between two reads of the machine list, as a fraction of the time by which the
+/// list may lag behind the provider's actual machines.
 const LIST_INTERVAL_LAG_FRACTION: f64 = 0.5;
 
-/// Least time between two reads of the machine list, in requests that the provider
-/// would allow meanwhile.
-const MIN_REQUESTS_PER_LIST: f64 = 4.0;
+/// Minimum time between two reads of the machine list, in multiples of the time between
+/// two requests that the provider's rate limit allows.
+const MIN_LIST_INTERVAL_REQUESTS: f64 = 4.0;
 
-/// What the loops of one term share.
+/// State that the cloud loops of one term share.
 struct CloudSession<'a> {
     controller: &'a Controller,
-    /// The provider's limit of requests.
+    /// Limits the rate of the requests of all loops.
     rate_limiter: RateLimiter,
     /// Whether the machine list has been read in this term.
     has_machine_list: AtomicBool,
@@ -36,7 +36,7 @@
 }
 
 impl CloudSession<'_> {
-    fn record_machine_list(&self) {
+    fn mark_machine_list_read(&self) {
         self.has_machine_list.store(true, Ordering::Relaxed);
     }
 
@@ -48,12 +48,12 @@
     fn list_interval_s(&self) -> f64 {
         let limits = &self.controller.settings.deployment.cloud;
         (limits.list_lag_s * LIST_INTERVAL_LAG_FRACTION)
-            .max(MIN_REQUESTS_PER_LIST / limits.requests_per_s)
+            .max(MIN_LIST_INTERVAL_REQUESTS / limits.requests_per_s)
     }
 }
 
-/// Reads lists, returns and rents machines for as long as the term lasts. None of
-/// these loops waits for another's answer.
+/// Reads the machine list, returns machines and rents machines while the term lasts.
+/// The three loops run concurrently: none waits for a response to another loop.
 pub async fn run(controller: &Arc<Controller>, term: u64) {
     let session = CloudSession {
         controller,
--- a/crates/tallygauge/src/cloud/catalogue.rs
+++ b/crates/tallygauge/src/cloud/catalogue.rs
@@ -1,4 +1,4 @@
-//! The machine types that the provider offers.
+//! Reading the machine types that the cloud provider offers.
 
 use super::client;
 use crate::controller::Controller;
@@ -6,11 +6,11 @@
 use tallygauge_protocol::cloud::Catalogue;
 use warp::http::Method;
 
-/// Reads the machine types, which every controller needs to validate submissions.
-/// Returns whether they were read.
+/// Reads the machine types, which every controller needs to validate job submissions.
+/// Returns whether the read succeeded with at least one type.
 pub async fn refresh_catalogue(controller: &Controller) -> bool {
-    let answer = client::call::<(), Catalogue>(controller, Method::GET, "/catalog", None).await;
-    match answer {
+    let response = client::call::<(), Catalogue>(controller, Method::GET, "/catalog", None).await;
+    match response {
         Ok(catalogue) if !catalogue.types.is_empty() => {
             let types = Arc::new(catalogue.types);
             controller.catalogue.set(types.clone());
--- a/crates/tallygauge/src/cloud/client.rs
+++ b/crates/tallygauge/src/cloud/client.rs
@@ -1,4 +1,4 @@
-//! Requests to the cloud provider.
+//! HTTP client of the cloud provider.
 
 use crate::controller::Controller;
 
@@ -11,30 +11,32 @@
 use warp::http::{Method, StatusCode};
 
 /// Timeout of a request.
-const TIMEOUT: Duration = Duration::from_secs(4);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Part of the body by which the provider says that it has no such machine now,
-/// which tells this answer from an outage with the same status.
+/// Text in the body of a response by which the provider reports that it currently has
+/// no machine of the requested kind. It distinguishes this response from an outage,
+/// which has the same status.
 const NO_CAPACITY_TEXT: &[u8] = b"no capacity";
 
 /// Why a request to the cloud provider has no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CloudError {
-    /// Certainly not executed: the provider said so, or was not reached.
-    #[error("refused by the cloud provider")]
-    Refused,
-    /// The provider has no machine of this kind now.
+    /// The request was certainly not executed: the provider rejected it, or it was not
+    /// sent.
+    #[error("request not executed by the cloud provider")]
+    NotExecuted,
+    /// The provider currently has no machine of the requested kind.
     #[error("no capacity at the cloud provider")]
     NoCapacity,
-    /// May have been executed, or may yet be.
-    #[error("no usable answer from the cloud provider")]
-    Unknown,
+    /// The request may have been executed, or may still be executed.
+    #[error("no usable response from the cloud provider")]
+    Indeterminate,
 }
 
-/// Sends a request; the status and body of the answer.
+/// Sends a request and returns the status and body of the response.
 ///
 /// # Errors
-/// When there is no answer.
+/// If there is no response.
 pub(super) async fn send<B: Serialize>(
     controller: &Controller,
     method: Method,
@@ -42,13 +44,16 @@
     body: Option<&B>,
 ) -> HttpResult {
     let url = format!("http://{}{path}", controller.settings.services.cloud);
-    controller.http.call(method, &url, body, TIMEOUT).await
+    controller
+        .http
+        .call(method, &url, body, REQUEST_TIMEOUT)
+        .await
 }
 
-/// Sends a request and decodes its answer.
+/// Sends a request and decodes the response.
 ///
 /// # Errors
-/// When the provider refuses, does not answer, or answers something malformed.
+/// If the provider rejects the request, doesn't respond, or sends a malformed response.
 pub(super) async fn call<B: Serialize, T: DeserializeOwned>(
     controller: &Controller,
     method: Method,
@@ -57,28 +62,32 @@
 ) -> Result<T, CloudError> {
     match send(controller, method, path, body).await {
         Ok((StatusCode::OK, bytes)) => decode(path, &bytes),
-        Ok((StatusCode::SERVICE_UNAVAILABLE, bytes)) if says_no_capacity(&bytes) => {
+        Ok((StatusCode::SERVICE_UNAVAILABLE, bytes)) if reports_no_capacity(&bytes) => {
             Err(CloudError::NoCapacity)
         }
         Ok((status, _)) => {
-            tracing::debug!(status = status.as_u16(), path, "cloud refused request");
-            Err(CloudError::Refused)
+            tracing::debug!(
+                status = status.as_u16(),
+                path,
+                "cloud provider rejected request"
+            );
+            Err(CloudError::NotExecuted)
         }
-        Err(RequestError::NotSent) => Err(CloudError::Refused),
-        Err(RequestError::NoResponse) => Err(CloudError::Unknown),
+        Err(RequestError::NotSent) => Err(CloudError::NotExecuted),
+        Err(RequestError::NoResponse) => Err(CloudError::Indeterminate),
     }
 }
 
 fn decode<T: DeserializeOwned>(path: &str, bytes: &[u8]) -> Result<T, CloudError> {
     serde_json::from_slice(bytes).map_err(|error| {
         if is_first_occurrence(&format!("cloud: {error}")) {
-            tracing::warn!(%error, path, "malformed response from the cloud, taken as none");
+            tracing::warn!(%error, path, "malformed response from the cloud provider, treated as no response");
         }
-        CloudError::Unknown
+        CloudError::Indeterminate
     })
 }
 
-fn says_no_capacity(body: &[u8]) -> bool {
+fn reports_no_capacity(body: &[u8]) -> bool {
     body.windows(NO_CAPACITY_TEXT.len())
         .any(|window| window == NO_CAPACITY_TEXT)
 }
--- a/crates/tallygauge/src/cloud/machine_list.rs
+++ b/crates/tallygauge/src/cloud/machine_list.rs
@@ -1,4 +1,4 @@
-//! The list of machines that the provider runs for the cluster.
+//! Reading the list of machines that the cloud provider runs for the cluster.
 
 use super::{CloudSession, catalogue::refresh_catalogue, client, client::CloudError};
 use crate::controller::Controller;
@@ -6,12 +6,13 @@
 use tallygauge_protocol::cloud::{MAX_MACHINES_PER_PAGE, Machine, MachinePage};
 use warp::http::Method;
 
-/// Time between two reads of the machine types, in times that the machine list may
-/// lag behind.
+/// Time between two reads of the machine types, in multiples of the time by which the
+/// machine list may lag behind.
 const CATALOGUE_INTERVAL_LAGS: f64 = 8.0;
 
-/// Fraction of the list's interval between two looks at what is due.
-const POLL_FRACTION: f64 = 0.25;
+/// Time between two checks of which reads are due, as a fraction of the time between
+/// two reads of the machine list.
+const POLL_LIST_INTERVAL_FRACTION: f64 = 0.25;
 
 /// Reads the machine types and the machine list whenever they are due.
 pub(super) async fn run(session: &CloudSession<'_>) {
@@ -32,11 +33,14 @@
             session.rate_limiter.acquire().await;
             if refresh_machine_list(controller).await.is_ok() {
                 listed_at = due_at;
-                session.record_machine_list();
+                session.mark_machine_list_read();
                 controller.wake_cloud.notify_one();
             }
         }
-        tokio::time::sleep(Duration::from_secs_f64(list_interval_s * POLL_FRACTION)).await;
+        tokio::time::sleep(Duration::from_secs_f64(
+            list_interval_s * POLL_LIST_INTERVAL_FRACTION,
+        ))
+        .await;
     }
 }
 
@@ -45,17 +49,18 @@
     let requested_at = controller.now();
     let machines = read_machines(controller).await?;
     let now = controller.now();
-    let gone = controller
+    let unlisted = controller
         .with_cluster(|cluster| cluster.apply_machine_list(&machines, requested_at, now))
         .unwrap_or_default();
-    for machine in gone {
+    for machine in unlisted {
         tracing::info!(machine, "machine no longer listed");
         controller.wake_scheduler.notify_one();
     }
     Ok(())
 }
 
-/// Reads all pages of the machine list.
+/// Reads all pages of the machine list. Each page continues after the last machine of
+/// the previous page.
 async fn read_machines(controller: &Controller) -> Result<Vec<Machine>, CloudError> {
     let mut machines: Vec<Machine> = Vec::new();
     loop {
--- a/crates/tallygauge/src/cloud/rate_limiter.rs
+++ b/crates/tallygauge/src/cloud/rate_limiter.rs
@@ -1,17 +1,18 @@
-//! Rate limiting of the requests to the cloud provider.
+//! Rate limit of the requests to the cloud provider.
 
 use crate::locking::lock;
 use std::{sync::Mutex, time::Duration};
 use tokio::time::Instant;
 
-/// Spaces out the requests of all loops of a term.
+/// Spaces the requests of all loops of a term evenly.
 pub(super) struct RateLimiter {
     interval: Duration,
+    /// Earliest time of the next request.
     next: Mutex<Instant>,
 }
 
 impl RateLimiter {
-    /// Allows this many requests a second.
+    /// Creates a limiter that allows this many requests per second.
     pub(super) fn new(requests_per_s: f64) -> Self {
         Self {
             interval: Duration::from_secs_f64(1.0 / requests_per_s),
@@ -19,12 +20,12 @@
         }
     }
 
-    /// Time between two requests.
+    /// Minimum time between two requests.
     pub(super) fn interval(&self) -> Duration {
         self.interval
     }
 
-    /// Waits until the next request may be sent.
+    /// Waits until the next request may be sent; always waits at least one interval.
     pub(super) async fn acquire(&self) {
         let permitted_at = {
             let mut next = lock(&self.next);
--- a/crates/tallygauge/src/cloud/rentals.rs
+++ b/crates/tallygauge/src/cloud/rentals.rs
@@ -1,5 +1,5 @@
-//! Scale-out: renting machines, one request at a time. What is rented next is
-//! worked out from the result of the last request.
+//! Scale-out: renting machines, one request at a time. Each request is determined only
+//! after the result of the previous one has been applied.
 
 use super::{
     CloudSession,
@@ -11,61 +11,66 @@
 use tallygauge_scheduler::MachineKind;
 use warp::http::Method;
 
-/// Longest time without a look at what to rent, as a fraction of the interval of
-/// the machine list.
-const WAIT_FRACTION: f64 = 0.5;
+/// Maximum time between two checks of what to rent, as a fraction of the time between
+/// two reads of the machine list.
+const MAX_WAIT_LIST_INTERVAL_FRACTION: f64 = 0.5;
 
-/// Pause before an unanswered request is sent again, in intervals of the rate
-/// limiter.
-const RETRY_INTERVALS: u32 = 4;
+/// Pause before a request is retried, in multiples of the rate limiter's interval.
+const RETRY_PAUSE_INTERVALS: u32 = 4;
 
 /// The first term of a cluster, before which no leader can have rented anything.
 const FIRST_TERM: u64 = 1;
 
-/// What became of a request.
+/// Outcome of a rental request.
 enum RentalOutcome {
-    /// Answered, with machines or without.
-    Answered,
-    /// To be sent again under the same request id, which rents nothing twice.
+    /// The provider responded, with machines or without.
+    Completed,
+    /// The request must be sent again. It keeps its request id, so that the provider
+    /// doesn't execute it twice.
     Retry,
 }
 
-/// Rents machines for as long as the term lasts.
+/// Rents machines while the term lasts.
 pub(super) async fn run(session: &CloudSession<'_>) {
     let controller = session.controller;
-    let wait = Duration::from_secs_f64(session.list_interval_s() * WAIT_FRACTION);
+    let wait = Duration::from_secs_f64(session.list_interval_s() * MAX_WAIT_LIST_INTERVAL_FRACTION);
     let started_at = controller.now();
     let mut pending: Option<RentRequest> = None;
-    let mut requests = 0u64;
+    let mut request_count = 0u64;
     loop {
         let _ = tokio::time::timeout(wait, controller.wake_cloud.notified()).await;
         session.rate_limiter.acquire().await;
         if pending.is_none() {
-            pending = next_request(session, started_at, requests + 1);
-            requests += u64::from(pending.is_some());
+            pending = next_request(session, started_at, request_count + 1);
+            request_count += u64::from(pending.is_some());
         }
-        // A leader whose term is unconfirmed rents nothing: another may do so.
+        // A leader that can't confirm its term rents nothing, since another controller
+        // may be the leader and rent machines.
         let Some(request) = pending.take_if(|_| controller.is_unfenced_leader()) else {
             continue;
         };
         match rent(controller, &request).await {
-            RentalOutcome::Answered => controller.wake_cloud.notify_one(),
+            RentalOutcome::Completed => controller.wake_cloud.notify_one(),
             RentalOutcome::Retry => {
                 pending = Some(request);
-                tokio::time::sleep(session.rate_limiter.interval() * RETRY_INTERVALS).await;
+                tokio::time::sleep(session.rate_limiter.interval() * RETRY_PAUSE_INTERVALS).await;
             }
         }
     }
 }
 
-/// The request for what the cluster needs most, if anything; `number` counts the
-/// requests of the term.
-fn next_request(session: &CloudSession<'_>, started_at: f64, number: u64) -> Option<RentRequest> {
+/// The next rental request, for the kind of machine that the cluster needs most of, if
+/// any. `sequence_number` is the number of the request within the term.
+fn next_request(
+    session: &CloudSession<'_>,
+    started_at: f64,
+    sequence_number: u64,
+) -> Option<RentRequest> {
     let controller = session.controller;
     if !session.has_machine_list() {
         return None;
     }
-    // What the previous leader rented last may not be listed yet.
+    // Machines that the previous leader rented last may not be listed yet.
     let list_lag_s = controller.settings.deployment.cloud.list_lag_s;
     let is_list_complete = session.term == FIRST_TERM || controller.now() - started_at > list_lag_s;
     if !is_list_complete || !controller.is_unfenced_leader() {
@@ -80,7 +85,7 @@
     } = rental.kind;
     let node_name = &controller.settings.node_name;
     Some(RentRequest {
-        request_id: format!("{node_name}-{}-{number}", session.term),
+        request_id: format!("{node_name}-{}-{sequence_number}", session.term),
         machine_type,
         zone,
         spot,
@@ -88,19 +93,20 @@
     })
 }
 
-/// Sends a request and records its result in the cluster state.
+/// Sends a rental request and applies its result to the cluster state.
 async fn rent(controller: &Controller, request: &RentRequest) -> RentalOutcome {
-    let answer: Result<MachineNames, CloudError> =
+    let response: Result<MachineNames, CloudError> =
         client::call(controller, Method::POST, "/machines", Some(request)).await;
-    match answer {
+    match response {
         Ok(machines) => record_rented(controller, request, &machines.names),
         Err(CloudError::NoCapacity) => record_no_capacity(controller, request),
-        Err(CloudError::Refused | CloudError::Unknown) => return RentalOutcome::Retry,
+        Err(CloudError::NotExecuted | CloudError::Indeterminate) => return RentalOutcome::Retry,
     }
-    RentalOutcome::Answered
+    RentalOutcome::Completed
 }
 
-/// The machine type, zone and purchase of a request, as the scheduler names them.
+/// The kind of machine that a request is for: machine type, zone and whether it is a
+/// spot machine.
 fn machine_kind(request: &RentRequest) -> MachineKind {
     MachineKind {
         machine_type: request.machine_type.clone(),
@@ -121,12 +127,12 @@
     );
     let now = controller.now();
     let kind = machine_kind(request);
-    let is_partial = names.len() < request.count as usize;
+    let is_partially_filled = names.len() < request.count as usize;
     controller.with_cluster(|cluster| {
         for name in names {
             cluster.register_machine(name, &kind.machine_type, &kind.zone, kind.spot, "", now);
         }
-        if is_partial {
+        if is_partially_filled {
             cluster.record_no_capacity(&kind, now);
         } else {
             cluster.record_rented(&kind);
--- a/crates/tallygauge/src/cloud/returns.rs
+++ b/crates/tallygauge/src/cloud/returns.rs
@@ -1,4 +1,4 @@
-//! Scale-in: returning machines that are not needed.
+//! Scale-in: returning machines that are no longer needed.
 
 use super::{CloudSession, client};
 use crate::controller::Controller;
@@ -7,27 +7,28 @@
 use tallygauge_scheduler::{ReturnReason, ReturnableMachine};
 use warp::http::{Method, StatusCode};
 
-/// Heartbeat intervals between two searches for surplus machines.
-const REBALANCE_HEARTBEATS: f64 = 0.5;
+/// Time between two updates of the surplus marks, in heartbeat intervals.
+const SURPLUS_UPDATE_HEARTBEATS: f64 = 0.5;
 
-/// Longest pause between two looks at what to return, as a fraction of the interval
-/// of the machine list.
-const PAUSE_FRACTION: f64 = 0.25;
+/// Maximum pause between two checks of what to return, as a fraction of the time
+/// between two reads of the machine list.
+const MAX_PAUSE_LIST_INTERVAL_FRACTION: f64 = 0.25;
 
-/// Marks surplus machines and returns them for as long as the term lasts.
+/// Marks surplus machines and returns machines while the term lasts.
 pub(super) async fn run(session: &CloudSession<'_>) {
     let controller = session.controller;
     let heartbeat_interval_s = controller.settings.deployment.workers.heartbeat_interval_s;
-    let rebalance_interval_s = heartbeat_interval_s * REBALANCE_HEARTBEATS;
-    let pause_s = (session.list_interval_s() * PAUSE_FRACTION).min(rebalance_interval_s);
-    let mut rebalanced_at = f64::NEG_INFINITY;
+    let surplus_update_interval_s = heartbeat_interval_s * SURPLUS_UPDATE_HEARTBEATS;
+    let pause_s = (session.list_interval_s() * MAX_PAUSE_LIST_INTERVAL_FRACTION)
+        .min(surplus_update_interval_s);
+    let mut surplus_updated_at = f64::NEG_INFINITY;
     loop {
         let now = controller.now();
-        if now - rebalanced_at > rebalance_interval_s {
-            rebalanced_at = now;
+        if now - surplus_updated_at > surplus_update_interval_s {
+            surplus_updated_at = now;
             controller.with_cluster(|cluster| cluster.mark_surplus_machines(now));
         }
-        if return_idle_machines(controller).await {
+        if return_due_machines(controller).await {
             session.rate_limiter.acquire().await;
         } else {
             tokio::time::sleep(Duration::from_secs_f64(pause_s)).await;
@@ -35,9 +36,9 @@
     }
 }
 
-/// Returns machines that have no task. Returns whether any were returned, so that
-/// more may be requested at once.
-async fn return_idle_machines(controller: &Controller) -> bool {
+/// Sends one request that returns the machines whose return is due. Returns whether any
+/// were returned, in which case the caller checks again without the usual pause.
+async fn return_due_machines(controller: &Controller) -> bool {
     let machines = take_due_returns(controller);
     if machines.is_empty() {
         return false;
@@ -48,9 +49,9 @@
             .map(|machine| machine.name.clone())
             .collect(),
     };
-    let answer = client::send(controller, Method::POST, "/machines/return", Some(&request)).await;
+    let response = client::send(controller, Method::POST, "/machines/return", Some(&request)).await;
     let now = controller.now();
-    if !matches!(answer, Ok((StatusCode::OK, _))) {
+    if !matches!(response, Ok((StatusCode::OK, _))) {
         return false;
     }
     controller.with_cluster(|cluster| {
@@ -65,10 +66,10 @@
     true
 }
 
-/// The machines to return now. From here on nothing is placed on them, since the
-/// request may be executed late. While another controller may be the leader, and
-/// use these machines, only those are returned that can't confirm that their
-/// cancelled tasks have stopped.
+/// Takes the machines to return now. From now on nothing is placed on them, since the
+/// request may be executed late. While another controller may be the leader and use
+/// these machines, only those are returned that can't confirm that their cancelled
+/// tasks have stopped.
 fn take_due_returns(controller: &Controller) -> Vec<ReturnableMachine> {
     if !controller.is_unfenced_leader() {
         return Vec::new();
--- a/crates/tallygauge/src/machine_catalogue.rs
+++ b/crates/tallygauge/src/machine_catalogue.rs
@@ -1,15 +1,15 @@
-//! The machine types that the cloud provider offers.
+//! Cache of the machine types that the cloud provider offers.
 
 use crate::locking::lock;
 use std::sync::{Arc, Mutex};
 use tallygauge_protocol::cloud::MachineType;
 
-/// The machine types as last read from the cloud provider.
+/// The machine types, as last read from the cloud provider.
 #[derive(Default)]
 pub struct MachineCatalogue(Mutex<Option<Arc<Vec<MachineType>>>>);
 
 impl MachineCatalogue {
-    /// The machine types; `None` until they have been read once.
+    /// The machine types, or `None` if they have not been read yet.
     #[must_use]
     pub fn get(&self) -> Option<Arc<Vec<MachineType>>> {
         lock(&self.0).clone()
@@ -21,7 +21,7 @@
         lock(&self.0).is_some()
     }
 
-    /// Replaces the machine types.
+    /// Replaces the cached machine types.
     pub fn set(&self, types: Arc<Vec<MachineType>>) {
         *lock(&self.0) = Some(types);
     }
--- a/crates/tallygauge/src/process_load/tests.rs
+++ b/crates/tallygauge/src/process_load/tests.rs
@@ -1,11 +1,11 @@
-//! Averages and thresholds of the measured load.
+//! Tests of the averages and thresholds of the measured load.
 
 use super::*;
 
 const HEARTBEAT_INTERVAL_S: f64 = 10.0;
 
 #[test]
-fn spare_time_falls_with_the_average_delay_and_recovers() {
+fn spare_time_decreases_with_the_average_delay_and_recovers() {
     let load = ProcessLoad::new(HEARTBEAT_INTERVAL_S);
     assert_eq!(load.spare_time_fraction(), 1.0);
     load.record_scheduling_delay(0.5);
--- a/crates/tallygauge/src/scheduler_config.rs
+++ b/crates/tallygauge/src/scheduler_config.rs
@@ -1,24 +1,26 @@
-//! The scheduler's configuration, from the platform's and the operators' settings.
+//! Builds the scheduler's configuration from the platform's and the operators'
+//! settings.
 
 use crate::{controller::Controller, settings::Settings};
 use tallygauge_scheduler::{Config, MinimumShareConfig, ReplicaSpread};
 
-/// Upper bound of the bytes that one task takes in a heartbeat.
-const TASK_STATUS_BYTES: usize = 160;
+/// Upper bound on the size of the status of one task in a heartbeat, in bytes.
+const MAX_TASK_STATUS_BYTES: usize = 160;
 
-/// Rate at which the clocks of two machines may drift apart.
-const CLOCK_DRIFT: f64 = 0.0005;
+/// Maximum rate at which the clocks of two machines drift apart, in seconds per second.
+const MAX_CLOCK_DRIFT: f64 = 0.0005;
 
-/// Connections of the process for each direct message that may be in flight.
+/// Connections in the process's limit for each direct message that may be in flight.
 const CONNECTIONS_PER_DIRECT_MESSAGE: usize = 16;
 
-/// Direct messages that may be in flight however few connections there are.
-const MIN_DIRECT_MESSAGES: usize = 8;
+/// Lower bound on the number of direct messages that may be in flight, which applies if
+/// the connection limit is small.
+const MIN_DIRECT_MESSAGE_LIMIT: usize = 8;
 
-/// Kind of the objectives that set a deadline for a class of jobs.
+/// Kind of the service-level objectives that set a soft deadline for a class of jobs.
 const FINISHED_OBJECTIVE: &str = "finished";
 
-/// The scheduler's configuration for a term of this controller.
+/// The scheduler's configuration for a term in which this controller is the leader.
 #[must_use]
 pub fn scheduler_config(controller: &Controller, term: u64) -> Config {
     let deployment = &controller.settings.deployment;
@@ -30,7 +32,7 @@
         cancel_timeout_s: deployment.workers.cancel_timeout_s,
         fencing_timeout_s: controller.fencing_timeout_s(),
         list_lag_s: deployment.cloud.list_lag_s,
-        clock_drift: CLOCK_DRIFT,
+        clock_drift: MAX_CLOCK_DRIFT,
         min_remaining_s: operator.min_remaining_s,
         utility_by_priority: [
             operator.utility.low,
@@ -55,16 +57,16 @@
         replica_spread: ReplicaSpread {
             risk_s: operator.locality.replica_risk_s,
         },
-        // A heartbeat must fit in a request's body.
-        max_tasks_per_worker: tallygauge_protocol::BODY_LIMIT / TASK_STATUS_BYTES,
+        // A heartbeat must fit in the body of one request.
+        max_tasks_per_worker: tallygauge_protocol::BODY_LIMIT / MAX_TASK_STATUS_BYTES,
         max_direct_messages: max_direct_messages(&controller.settings),
         term,
     }
 }
 
-/// Direct messages to workers that may be in flight at the same time.
+/// Maximum number of direct messages to workers that may be in flight at the same time.
 #[must_use]
 pub fn max_direct_messages(settings: &Settings) -> usize {
     let connections = settings.deployment.resource_limits.connections as usize;
-    (connections / CONNECTIONS_PER_DIRECT_MESSAGE).max(MIN_DIRECT_MESSAGES)
+    (connections / CONNECTIONS_PER_DIRECT_MESSAGE).max(MIN_DIRECT_MESSAGE_LIMIT)
 }
--- a/crates/tallygauge/tests/golden.rs
+++ b/crates/tallygauge/tests/golden.rs
@@ -1,14 +1,12 @@
-//! Golden records and settings: what is stored and what operators and the
-//! platform write must be understood as it is now.
+//! Golden files of the stored records and of both settings files. They guard against
+//! renames of types and fields that change the stored format, or the settings that
+//! operators and the platform write.
 //!
-//! Each line of `tests/golden/records.txt` has a key at the state service, its
-//! version and its value. The files are never changed along with the names of
-//! types and fields.
+//! Each line of `tests/golden/records.txt` has the key of a record in the store, its
+//! version and its value. The golden files must not be changed when types and fields
+//! are renamed.
 
-#![allow(
-    clippy::unwrap_used,
-    reason = "a test ends on a value that it does not expect"
-)]
+#![allow(clippy::unwrap_used, reason = "an unexpected value must fail the test")]
 
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::Value;
@@ -27,56 +25,86 @@
     ServiceCountsRecord,
 };
 
-/// Reads a record with its type, and writes it again.
-type Rewrite = fn(Value) -> Value;
+/// Deserializes a value as a record of a certain type and serializes it again.
+type RoundTrip = fn(Value) -> Value;
 
-fn plain<T: DeserializeOwned + Serialize>(value: Value) -> Value {
+/// Round trip of a record that is stored without an envelope.
+fn round_trip_value<T: DeserializeOwned + Serialize>(value: Value) -> Value {
     let record: T = serde_json::from_value(value).unwrap();
     serde_json::to_value(&record).unwrap()
 }
 
-fn kept<T: Record>(value: Value) -> Value {
+/// Round trip of a leader record, which is stored with the time of the write.
+fn round_trip_record<T: Record>(value: Value) -> Value {
     match decode::<T>(Some(value)) {
         Ok(Some(StoredRecord { record, written_at })) => encode(&record, written_at).unwrap(),
         other => panic!("{}: {:?}", T::NAME, other.err()),
     }
 }
 
-fn kept_key<T: Record>(part: Option<usize>) -> String {
+/// Key of a leader record, or of one part of it.
+fn record_key<T: Record>(part: Option<usize>) -> String {
     format!("s/{}", record_name::<T>(part))
 }
 
 #[test]
-fn stored_records_are_read_and_written_unchanged_under_their_keys() {
-    let types: Vec<(String, Rewrite)> = vec![
-        (active_job_key("req-1"), plain::<ActiveJobRecord>),
-        (active_job_key("req-2"), plain::<ActiveJobRecord>),
-        (terminal_job_key("req-8"), plain::<TerminalJobRecord>),
-        (terminal_job_key("req-9"), plain::<TerminalJobRecord>),
-        (completion_page_key(0), plain::<CompletionPageRecord>),
-        (placement_batch_key("2-1"), plain::<PlacementBatchRecord>),
-        (placement_batch_key("2-2"), plain::<PlacementBatchRecord>),
+fn stored_records_keep_their_keys_and_serialized_form() {
+    let round_trips: Vec<(String, RoundTrip)> = vec![
+        (active_job_key("req-1"), round_trip_value::<ActiveJobRecord>),
+        (active_job_key("req-2"), round_trip_value::<ActiveJobRecord>),
         (
-            kept_key::<ServiceCountsRecord>(None),
-            kept::<ServiceCountsRecord>,
+            terminal_job_key("req-8"),
+            round_trip_value::<TerminalJobRecord>,
+        ),
+        (
+            terminal_job_key("req-9"),
+            round_trip_value::<TerminalJobRecord>,
+        ),
+        (
+            completion_page_key(0),
+            round_trip_value::<CompletionPageRecord>,
+        ),
+        (
+            placement_batch_key("2-1"),
+            round_trip_value::<PlacementBatchRecord>,
+        ),
+        (
+            placement_batch_key("2-2"),
+            round_trip_value::<PlacementBatchRecord>,
+        ),
+        (
+            record_key::<ServiceCountsRecord>(None),
+            round_trip_record::<ServiceCountsRecord>,
+        ),
+        (
+            record_key::<ImageLocations>(Some(0)),
+            round_trip_record::<ImageLocations>,
+        ),
+        (
+            record_key::<DeadlineTracker>(None),
+            round_trip_record::<DeadlineTracker>,
+        ),
+        (
+            record_key::<PriorityRules>(None),
+            round_trip_record::<PriorityRules>,
+        ),
+        (
+            record_key::<CutoffSettings>(None),
+            round_trip_record::<CutoffSettings>,
         ),
-        (kept_key::<ImageLocations>(Some(0)), kept::<ImageLocations>),
-        (kept_key::<DeadlineTracker>(None), kept::<DeadlineTracker>),
-        (kept_key::<PriorityRules>(None), kept::<PriorityRules>),
-        (kept_key::<CutoffSettings>(None), kept::<CutoffSettings>),
     ];
     let lines: Vec<&str> = include_str!("golden/records.txt").lines().collect();
-    assert_eq!(lines.len(), types.len());
-    for (line, (key, rewrite)) in lines.into_iter().zip(types) {
+    assert_eq!(lines.len(), round_trips.len());
+    for (line, (key, round_trip)) in lines.into_iter().zip(round_trips) {
         let fields: Vec<&str> = line.splitn(3, ' ').collect();
         assert_eq!(fields[0], key);
         let value = serde_json::from_str(fields[2]).unwrap();
-        assert_eq!(rewrite(value).to_string(), fields[2], "{key}");
+        assert_eq!(round_trip(value).to_string(), fields[2], "{key}");
     }
 }
 
 #[test]
-fn every_element_of_the_operators_settings_is_read() {
+fn every_element_of_the_operator_settings_is_parsed() {
     let expected = OperatorSettings {
         max_round_interval_s: 11.0,
         min_round_interval_fraction: 0.06,
@@ -132,12 +160,12 @@
             ],
         },
     };
-    let read = OperatorSettings::parse(include_str!("golden/settings.xml"));
-    assert_eq!(read.unwrap(), expected);
+    let parsed = OperatorSettings::parse(include_str!("golden/settings.xml"));
+    assert_eq!(parsed.unwrap(), expected);
 }
 
 #[test]
-fn every_field_of_the_platforms_settings_is_read() {
+fn every_field_of_the_platform_settings_is_parsed() {
     let settings = Settings::parse(include_str!("golden/settings.json")).unwrap();
     assert_eq!((&*settings.node_name, &*settings.zone), ("n-0", "a"));
     assert_eq!(settings.client_listen.port(), 7080);
@@ -175,23 +203,23 @@
         ]
     );
     let workers = &deployment.workers;
-    let times = (
+    let timeouts = (
         workers.heartbeat_interval_s,
         workers.lease_s,
         workers.cancel_timeout_s,
     );
-    assert_eq!(times, (1.0, 10.0, 20.0));
-    let state = &deployment.store;
+    assert_eq!(timeouts, (1.0, 10.0, 20.0));
+    let store = &deployment.store;
     let limits = (
-        state.requests_per_s,
-        state.writes_per_s,
-        state.max_value_kib,
-        state.max_writes_per_transaction,
+        store.requests_per_s,
+        store.writes_per_s,
+        store.max_value_kib,
+        store.max_writes_per_transaction,
     );
     assert_eq!(limits, (100.0, 50.0, 8.0, 16));
     let cloud = &deployment.cloud;
     assert_eq!((cloud.requests_per_s, cloud.list_lag_s), (4.0, 2.0));
-    let quota = &deployment.resource_limits;
-    let process = (quota.cores, quota.memory_mib, quota.connections);
-    assert_eq!(process, (0.5, 128.0, 200));
+    let resources = &deployment.resource_limits;
+    let resource_limits = (resources.cores, resources.memory_mib, resources.connections);
+    assert_eq!(resource_limits, (0.5, 128.0, 200));
 }
