--- a/crates/tallygauge-sim/tests/concurrent_faults.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults.rs
@@ -150,7 +150,7 @@
     let mut leader = controller_a;
     for failover in 0..8u64 {
         tokio::time::sleep(Duration::from_millis(600 + 300 * failover)).await;
-        // Either a successor is running already, or the only controller is restarted.
+        // The successor is either running before the crash or started after it.
         let name = ["n-b", "n-a"][failover as usize % 2];
         let successor = (failover % 3 != 0).then(|| simulation.start_controller(name));
         simulation.crash_controller(&leader.settings.node_name, &task);
--- a/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
@@ -280,7 +280,7 @@
         });
         assert!(has_ended.await, "{id}");
     }
-    // For each job one record is set and removed, and another one stays.
+    // For each job, a record under `o/` is set and removed, and one under `j/` stays.
     assert_eq!(simulation.count_changes("o/"), job_count as usize * 2);
     assert_eq!(simulation.count_changes("j/"), job_count as usize);
     assert!(
--- a/crates/tallygauge-sim/tests/message_faults.rs
+++ b/crates/tallygauge-sim/tests/message_faults.rs
@@ -104,7 +104,7 @@
         });
         tokio::spawn(simulation.clone().run_workers());
         let (controller_a, task) = simulation.start_controller("n-a");
-        let (controller_b, _other) = simulation.start_controller("n-b");
+        let (controller_b, _task_b) = simulation.start_controller("n-b");
         let mut jobs = Vec::new();
         for n in 1..=6 {
             jobs.push(submit_job(&simulation, &controller_a, n, 3, 4.0, 4.0).await);
--- a/crates/tallygauge-sim/tests/process_pauses.rs
+++ b/crates/tallygauge-sim/tests/process_pauses.rs
@@ -210,13 +210,18 @@
 }
 
 /// Runs three jobs on two controllers and checks their final statuses on both. One
-/// controller is paused for `pause_s` at the point given; meanwhile one job is cancelled
+/// controller is paused for `pause_s` at `fault_point`; meanwhile one job is cancelled
 /// and another one submitted. With `both_paused`, the other controller is paused as well.
 /// With `store_down`, the store refuses all requests during the pause.
-async fn pause_controller_at(at: FaultPoint, pause_s: f64, both_paused: bool, store_down: bool) {
+async fn pause_controller_at(
+    fault_point: FaultPoint,
+    pause_s: f64,
+    both_paused: bool,
+    store_down: bool,
+) {
     let description = format!(
         "{} after response={} {pause_s} s both paused={both_paused} store down={store_down}",
-        at.request, at.after_response
+        fault_point.request, fault_point.after_response
     );
     let (simulation, controller_a, _task_a) = start_with_leader().await;
     let (controller_b, _task_b) = simulation.start_controller("n-b");
@@ -226,36 +231,36 @@
         eventually(60.0, async || count_starts(&simulation) >= 4).await,
         "{description}"
     );
-    let paused = at.controller.clone();
-    simulation.set_faults(|faults| faults.pause_at = Some(at));
-    let other = if paused == "n-a" {
+    let paused_name = fault_point.controller.clone();
+    simulation.set_faults(|faults| faults.pause_at = Some(fault_point));
+    let other_controller = if paused_name == "n-a" {
         &controller_b
     } else {
         &controller_a
     };
     // If the fault point is not reached in time, the controller is paused now.
-    eventually(20.0, async || simulation.is_paused(&paused)).await;
+    eventually(20.0, async || simulation.is_paused(&paused_name)).await;
     simulation.set_faults(|faults| faults.pause_at = None);
-    simulation.pause(&paused);
+    simulation.pause(&paused_name);
     if both_paused {
-        simulation.pause(&other.settings.node_name);
+        simulation.pause(&other_controller.settings.node_name);
     }
     if store_down {
         simulation.set_store_down(true);
     }
     let JobRequest { id: third, body } = simulation.job(3, 2, 2.0, 5.0);
     let submission = simulation.run_on(
-        &other.settings.node_name,
-        submit_until_accepted(other, &body),
+        &other_controller.settings.node_name,
+        submit_until_accepted(other_controller, &body),
     );
     let pause = async {
         if !both_paused && !store_down {
-            cancel_through_any(&simulation, &[other], &second).await;
+            cancel_through_any(&simulation, &[other_controller], &second).await;
         }
         sleep_s(pause_s).await;
         simulation.set_store_down(false);
-        simulation.resume(&paused);
-        simulation.resume(&other.settings.node_name);
+        simulation.resume(&paused_name);
+        simulation.resume(&other_controller.settings.node_name);
     };
     tokio::join!(submission, pause);
     let status = cancel_through_any(&simulation, &[&controller_a, &controller_b], &second).await;
@@ -305,16 +310,16 @@
             ("n-b", true, 8.0),
         ] {
             let controller = controller.to_string();
-            let at = FaultPoint {
+            let fault_point = FaultPoint {
                 controller,
                 request,
                 after_response,
             };
-            pause_controller_at(at, pause_s, false, false).await;
+            pause_controller_at(fault_point, pause_s, false, false).await;
         }
     }
     for (both_paused, store_down) in [(true, false), (false, true), (true, true)] {
-        let at = FaultPoint::after_response("n-a", "POST /multi");
-        pause_controller_at(at, 16.0, both_paused, store_down).await;
+        let fault_point = FaultPoint::after_response("n-a", "POST /multi");
+        pause_controller_at(fault_point, 16.0, both_paused, store_down).await;
     }
 }
--- a/crates/tallygauge-sim/tests/user_requests.rs
+++ b/crates/tallygauge-sim/tests/user_requests.rs
@@ -19,8 +19,8 @@
 async fn submitted_job_runs_to_completion_and_repeats_get_its_result() {
     let simulation = Simulation::new();
     tokio::spawn(simulation.clone().run_workers());
-    let (controller_a, _task) = simulation.start_controller("n-a");
-    let (controller_b, _other) = simulation.start_controller("n-b");
+    let (controller_a, _task_a) = simulation.start_controller("n-a");
+    let (controller_b, _task_b) = simulation.start_controller("n-b");
     let JobRequest { id, body } = simulation.job(1, 6, 2.0, 5.0);
     submit_until_accepted(&controller_a, &body).await;
     // Every controller knows a job that has been accepted.
@@ -120,16 +120,16 @@
     );
     let starts_before = count_starts(&simulation);
     // Capacity is released only when the workers have confirmed the stops.
-    let other = submit_job(&simulation, &controller_b, 2, 4, 4.0, 3.0).await;
+    let second = submit_job(&simulation, &controller_b, 2, 4, 4.0, 3.0).await;
     assert!(
-        eventually(30.0, async || query_status(&controller_a, &other).await
+        eventually(30.0, async || query_status(&controller_a, &second).await
             == Some(JobStatus::Done))
         .await
     );
     let state = simulation.state.lock().unwrap();
     let later_starts = &state.starts[starts_before..];
     assert!(
-        later_starts.iter().all(|s| s.task.starts_with(&other)),
+        later_starts.iter().all(|s| s.task.starts_with(&second)),
         "{later_starts:?}"
     );
     assert!(state.violations.is_empty(), "{:?}", state.violations);
