--- a/crates/tallygauge-sim/tests/batch_deadlines.rs
+++ b/crates/tallygauge-sim/tests/batch_deadlines.rs
@@ -43,7 +43,7 @@
         cluster
             .priority_rules()
             .current()
-            .map(|revision| (revision.number, revision.declared))
+            .map(|revision| (revision.number, revision.declared_version))
     });
     revision.flatten()
 }
@@ -238,7 +238,7 @@
     let simulation = Simulation::new();
     tokio::spawn(simulation.clone().run_workers());
     let mut operator_settings = OperatorSettings::default();
-    operator_settings.locality.remember_from = 0.0;
+    operator_settings.locality.min_recorded_fetch_s = 0.0;
     let (controller_a, task_a) = simulation.start_controller_with("n-a", operator_settings.clone());
     let (controller_b, _task_b) = simulation.start_controller_with("n-b", operator_settings);
     let first_leader = wait_for_leader(&[&controller_a, &controller_b]).await;
--- a/crates/tallygauge-sim/tests/process_pauses.rs
+++ b/crates/tallygauge-sim/tests/process_pauses.rs
@@ -105,7 +105,7 @@
     submit_job(&simulation, &controller_b, 2, 2, 8.0, 60.0).await;
     assert!(eventually(8.0, async || count_starts(&simulation) == 4).await);
     // The pause exceeds the fencing timeout, but the worker leases have not expired yet.
-    let remaining_s = controller_a.fence_s() + 0.5 - (simulation.now() - paused_at);
+    let remaining_s = controller_a.fencing_timeout_s() + 0.5 - (simulation.now() - paused_at);
     sleep_s(remaining_s).await;
     simulation.set_store_partitioned("n-a", true);
     simulation.resume("n-a");
--- a/crates/tallygauge/src/job_watch_loop.rs
+++ b/crates/tallygauge/src/job_watch_loop.rs
@@ -18,7 +18,8 @@
 /// Watches the records of active jobs from `revision` on. Never returns: the caller drops
 /// the future when the term ends.
 pub async fn run(controller: &Controller, mut revision: u64) {
-    let timeout = Duration::from_secs_f64(controller.fence_s() / WATCHES_PER_FENCING_TIMEOUT);
+    let timeout =
+        Duration::from_secs_f64(controller.fencing_timeout_s() / WATCHES_PER_FENCING_TIMEOUT);
     loop {
         let sent_at = controller.now();
         let outcome = controller
--- a/crates/tallygauge/src/worker_api.rs
+++ b/crates/tallygauge/src/worker_api.rs
@@ -123,7 +123,7 @@
 /// Applies a heartbeat to the cluster state if this controller is the leader, and builds
 /// the response.
 fn apply_heartbeat(controller: &Controller, heartbeat: &Heartbeat) -> HeartbeatEffect {
-    let (now, fence_s) = (controller.now(), controller.fence_s());
+    let (now, fencing_timeout_s) = (controller.now(), controller.fencing_timeout_s());
     let mut leadership = controller.leadership.lock();
     let Some(leadership) = leadership.as_mut() else {
         return HeartbeatEffect::NotLeader;
@@ -133,7 +133,7 @@
     }
     // A response would renew the worker's lease although a new leader may have placed the
     // worker's tasks again, or any controller may have cancelled their jobs.
-    if leadership.is_fenced(now, fence_s) {
+    if leadership.is_fenced(now, fencing_timeout_s) {
         return HeartbeatEffect::Refused;
     }
     let Some(cluster) = leadership.cluster.as_mut() else {
