--- a/crates/tallygauge-http/src/body.rs
+++ b/crates/tallygauge-http/src/body.rs
@@ -2,9 +2,9 @@
 
 use bytes::Buf;
 use futures_util::{Stream, StreamExt};
-use tallygauge_protocol::BODY_LIMIT;
+use tallygauge_protocol::MAX_REQUEST_BODY_BYTES;
 
-/// Reads a request body of at most [`BODY_LIMIT`] bytes; `None` if it is longer or
+/// Reads a request body of at most [`MAX_REQUEST_BODY_BYTES`] bytes; `None` if it is longer or
 /// breaks off.
 pub async fn bounded_body(
     body: impl Stream<Item = Result<impl Buf, warp::Error>>,
@@ -13,7 +13,7 @@
     let mut bytes = Vec::new();
     while let Some(part) = body.next().await {
         let mut part = part.ok()?;
-        if bytes.len() + part.remaining() > BODY_LIMIT {
+        if bytes.len() + part.remaining() > MAX_REQUEST_BODY_BYTES {
             return None;
         }
         while part.has_remaining() {
--- a/crates/tallygauge-protocol/src/lib.rs
+++ b/crates/tallygauge-protocol/src/lib.rs
@@ -25,4 +25,4 @@
 }
 
 /// Largest request body that any interface takes, bytes.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
--- a/crates/tallygauge/src/scheduler_config.rs
+++ b/crates/tallygauge/src/scheduler_config.rs
@@ -56,7 +56,7 @@
             risk_s: operator.locality.replica_risk,
         },
         // A heartbeat must fit in a request's body.
-        max_tasks_per_worker: tallygauge_protocol::BODY_LIMIT / TASK_STATUS_BYTES,
+        max_tasks_per_worker: tallygauge_protocol::MAX_REQUEST_BODY_BYTES / TASK_STATUS_BYTES,
         max_direct_messages: max_direct_messages(&controller.settings),
         term,
     }
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -5,7 +5,7 @@
     placements::PlacementWriter,
 };
 use std::{sync::Arc, time::Duration};
-use tallygauge_protocol::{BODY_LIMIT, state::Condition};
+use tallygauge_protocol::{MAX_REQUEST_BODY_BYTES, state::Condition};
 use tallygauge_scheduler::{PlacementBatch, RoundOutcome};
 
 /// Minimum time between two updates of time-dependent state, in heartbeat intervals.
@@ -13,7 +13,7 @@
 
 /// Maximum total size of the values of one transaction, in bytes. The remainder of the
 /// limit of a request body is reserved for conditions and keys.
-pub(crate) const MAX_TRANSACTION_VALUE_BYTES: usize = BODY_LIMIT * 3 / 4;
+pub(crate) const MAX_TRANSACTION_VALUE_BYTES: usize = MAX_REQUEST_BODY_BYTES * 3 / 4;
 
 /// Maximum size of a record, as a fraction of the store's size limit of a value.
 const MAX_RECORD_FRACTION: f64 = 0.9;
