--- a/crates/tallygauge-protocol/src/workers.rs
+++ b/crates/tallygauge-protocol/src/workers.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Time that a worker waits for the response to a heartbeat, seconds.
-pub const RESPONSE_TIMEOUT_S: f64 = 4.0;
+pub const HEARTBEAT_RESPONSE_TIMEOUT_S: f64 = 4.0;
 
 /// State of a task on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/tallygauge-scheduler/src/heartbeats.rs
+++ b/crates/tallygauge-scheduler/src/heartbeats.rs
@@ -8,7 +8,7 @@
     task_status::is_unchanged,
 };
 use tallygauge_health::{Arrival, SequenceMark};
-use tallygauge_protocol::workers::{Heartbeat, RESPONSE_TIMEOUT_S};
+use tallygauge_protocol::workers::{HEARTBEAT_RESPONSE_TIMEOUT_S, Heartbeat};
 
 /// Outcome of a heartbeat for this controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -132,7 +132,10 @@
             return Err(HeartbeatOutcome::DeadIncarnation);
         }
         let mark = sequence_mark(heartbeat);
-        match worker.message_order.classify(mark, now, RESPONSE_TIMEOUT_S) {
+        match worker
+            .message_order
+            .classify(mark, now, HEARTBEAT_RESPONSE_TIMEOUT_S)
+        {
             Arrival::New => {}
             Arrival::Overtaken => return Err(HeartbeatOutcome::Overtaken),
             Arrival::Old => {
