--- a/crates/tallygauge-capacity/src/demand.rs
+++ b/crates/tallygauge-capacity/src/demand.rs
@@ -121,7 +121,7 @@
         incarnation: 1,
         sequence: 17_280,
         token: 41,
-        spot_notice_s: None,
+        spot_reclaim_in_s: None,
         tasks: (0..tasks).map(task_status).collect(),
     };
     serde_json::to_string(&heartbeat).map_or(0, |text| text.len())
--- a/crates/tallygauge-protocol/src/workers.rs
+++ b/crates/tallygauge-protocol/src/workers.rs
@@ -98,7 +98,7 @@
     pub token: u64,
     /// Seconds until the cloud reclaims the spot instance, once that is announced.
     #[serde(rename = "recallS", default, skip_serializing_if = "Option::is_none")]
-    pub spot_notice_s: Option<f64>,
+    pub spot_reclaim_in_s: Option<f64>,
     /// Status of all tasks on the machine.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
--- a/crates/tallygauge-scheduler/examples/overload/day/machines.rs
+++ b/crates/tallygauge-scheduler/examples/overload/day/machines.rs
@@ -102,7 +102,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             token: 1,
-            spot_notice_s: None,
+            spot_reclaim_in_s: None,
             tasks: self.tasks.iter().map(|t| t.status.clone()).collect(),
         }
     }
--- a/crates/tallygauge-scheduler/examples/scale.rs
+++ b/crates/tallygauge-scheduler/examples/scale.rs
@@ -130,7 +130,7 @@
             incarnation: 1,
             sequence: self.sequence,
             token: 1,
-            spot_notice_s: None,
+            spot_reclaim_in_s: None,
             tasks: tasks.iter().map(|t| t.0.clone()).collect(),
         };
         let started_at = Instant::now();
--- a/crates/tallygauge-scheduler/src/heartbeats.rs
+++ b/crates/tallygauge-scheduler/src/heartbeats.rs
@@ -196,7 +196,7 @@
             self.needs_scheduling = true;
             worker.fencing_token_seen_at = Some(now);
         }
-        if worker.update_spot_notice(heartbeat.spot_notice_s, now) {
+        if worker.update_spot_notice(heartbeat.spot_reclaim_in_s, now) {
             self.needs_scheduling = true;
             self.events.push(ClusterEvent::SpotNoticeReceived {
                 machine: heartbeat.machine.clone(),
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -246,7 +246,7 @@
     let mut heartbeat = heartbeat_from("l1a", 1, 5, TERM, tasks);
     c.apply_heartbeat(101.0, &heartbeat, HeartbeatSource::Periodic);
     heartbeat.sequence += 1;
-    heartbeat.spot_notice_s = Some(20.0);
+    heartbeat.spot_reclaim_in_s = Some(20.0);
     c.apply_heartbeat(103.0, &heartbeat, HeartbeatSource::Periodic);
     c.advance_time(103.0);
     let commands = c.commands("l1a", 103.0);
--- a/crates/tallygauge-scheduler/src/tests/mod.rs
+++ b/crates/tallygauge-scheduler/src/tests/mod.rs
@@ -125,7 +125,7 @@
         incarnation: agent_incarnation,
         sequence: sequence_number,
         token,
-        spot_notice_s: None,
+        spot_reclaim_in_s: None,
         tasks,
     }
 }
