--- a/crates/tallygauge-protocol/src/users.rs
+++ b/crates/tallygauge-protocol/src/users.rs
@@ -102,7 +102,7 @@
 }
 
 /// Most tasks that one job may have.
-pub const MAX_TASKS: u32 = 100_000;
+pub const MAX_TASKS_PER_JOB: u32 = 100_000;
 
 /// Whether a job id has the form `req-` and digits.
 #[must_use]
@@ -122,8 +122,8 @@
     /// The id has not the form that [`is_valid_job_id`] asks for.
     #[error("nameId must be 'req-' followed by digits")]
     InvalidId,
-    /// No task, or more than [`MAX_TASKS`].
-    #[error("pieces must be 1 to {MAX_TASKS}")]
+    /// No task, or more than [`MAX_TASKS_PER_JOB`].
+    #[error("pieces must be 1 to {MAX_TASKS_PER_JOB}")]
     InvalidTaskCount,
     /// An amount or a time is below 0, or not finite.
     #[error("{field} must not be negative")]
@@ -148,7 +148,7 @@
         if !is_valid_job_id(&self.id) {
             return Err(JobSpecError::InvalidId);
         }
-        if self.tasks == 0 || self.tasks > MAX_TASKS {
+        if self.tasks == 0 || self.tasks > MAX_TASKS_PER_JOB {
             return Err(JobSpecError::InvalidTaskCount);
         }
         for (field, value) in [
