--- a/crates/tallygauge-http/src/connections.rs
+++ b/crates/tallygauge-http/src/connections.rs
@@ -13,7 +13,7 @@
 /// answer. What `admit` returns is a guard that is held until the connection is closed.
 /// A connection on which no request begins for `idle_timeout` is closed, so that a caller
 /// that vanished does not hold a socket forever. Never returns.
-pub async fn accept<S, B, G>(
+pub async fn serve_clients<S, B, G>(
     listener: TcpListener,
     service: S,
     idle_timeout: Duration,
--- a/crates/tallygauge-http/src/lib.rs
+++ b/crates/tallygauge-http/src/lib.rs
@@ -5,4 +5,4 @@
 mod connections;
 
 pub use body::bounded_body;
-pub use connections::accept;
+pub use connections::serve_clients;
--- a/crates/tallygauge-http/tests/connections.rs
+++ b/crates/tallygauge-http/tests/connections.rs
@@ -7,7 +7,7 @@
 
 use hyper_util::service::TowerToHyperService;
 use std::{net::SocketAddr, time::Duration};
-use tallygauge_http::{accept, bounded_body};
+use tallygauge_http::{bounded_body, serve_clients};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
@@ -25,7 +25,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let idle_timeout = Duration::from_secs(60);
-    tokio::spawn(accept(listener, service, idle_timeout, move |_| {
+    tokio::spawn(serve_clients(listener, service, idle_timeout, move |_| {
         is_admitted.then_some(())
     }));
     address
--- a/crates/tallygauge/src/server.rs
+++ b/crates/tallygauge/src/server.rs
@@ -7,7 +7,7 @@
 };
 use hyper_util::service::TowerToHyperService;
 use std::{sync::Arc, time::Duration};
-use tallygauge_http::{accept, bounded_body};
+use tallygauge_http::{bounded_body, serve_clients};
 use tallygauge_protocol::users::ErrorResponse;
 use tokio::net::TcpListener;
 use warp::{
@@ -135,5 +135,5 @@
     // is not used: it would detect the HTTP version of each connection, and check for it on
     // every poll.
     let idle_timeout = Duration::from_secs_f64(lease_s);
-    accept(listener, service, idle_timeout, |_| Some(counter.acquire())).await;
+    serve_clients(listener, service, idle_timeout, |_| Some(counter.acquire())).await;
 }
