--- a/crates/tallygauge-http/src/body.rs
+++ b/crates/tallygauge-http/src/body.rs
@@ -1,11 +1,11 @@
-//! Request bodies of bounded size.
+//! Reading request bodies up to a maximum size.
 
 use bytes::Buf;
 use futures_util::{Stream, StreamExt};
 use tallygauge_protocol::MAX_REQUEST_BODY_BYTES;
 
-/// Reads a request body of at most [`MAX_REQUEST_BODY_BYTES`] bytes; `None` if it is longer or
-/// breaks off.
+/// Reads a request body. Returns `None` if the body is longer than
+/// [`MAX_REQUEST_BODY_BYTES`] or if receiving it fails.
 pub async fn bounded_body(
     body: impl Stream<Item = Result<impl Buf, warp::Error>>,
 ) -> Option<Vec<u8>> {
--- a/crates/tallygauge-http/src/connections.rs
+++ b/crates/tallygauge-http/src/connections.rs
@@ -5,14 +5,17 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::net::TcpListener;
 
-/// Pause after a connection could not be accepted, as when the process is out of
-/// sockets: some of those in use will be closed.
+/// Delay before the next accept after a failed one. Accepting fails, for example, when the
+/// process is out of sockets, and can succeed again once some of those in use are closed.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Serves HTTP/1 to all callers that `admit` lets in; others are closed without an
-/// answer. What `admit` returns is a guard that is held until the connection is closed.
-/// A connection on which no request begins for `idle_timeout` is closed, so that a caller
-/// that vanished does not hold a socket forever. Never returns.
+/// Accepts connections and serves HTTP/1 on them. Never returns.
+///
+/// - `admit` decides whether a connection is served. The guard that it returns is held until
+///   the connection is closed. If it returns `None`, the connection is closed without a
+///   response.
+/// - A connection on which no request begins for `idle_timeout` is closed, so that a client
+///   that has vanished does not hold a socket forever.
 pub async fn serve_clients<S, B, G>(
     listener: TcpListener,
     service: S,
@@ -38,7 +41,7 @@
                 };
                 let connection = http.serve_connection(TokioIo::new(stream), service.clone());
                 tokio::spawn(async move {
-                    // An error of one connection concerns its caller only.
+                    // An error on a connection affects only the client of that connection.
                     let _ = connection.await;
                     drop(guard);
                 });
--- a/crates/tallygauge-http/src/lib.rs
+++ b/crates/tallygauge-http/src/lib.rs
@@ -1,5 +1,5 @@
-//! Server side of HTTP connections: accepts them, closes idle ones, and reads request
-//! bodies of bounded size. The daemon's user and worker interfaces are served through it.
+//! Server side of HTTP connections: accepts connections, closes idle ones, and reads request
+//! bodies up to a maximum size. The daemon serves its user and worker interfaces with it.
 
 mod body;
 mod connections;
