--- a/crates/tallygauge-capacity/examples/capacity.rs
+++ b/crates/tallygauge-capacity/examples/capacity.rs
@@ -5,7 +5,7 @@
 use tallygauge_capacity::{demand, target::Target};
 
 fn main() {
-    let target = Target::operators();
+    let target = Target::operator_target();
     for table in demand::tables(&target) {
         println!("{table}");
     }
--- a/crates/tallygauge-capacity/src/demand.rs
+++ b/crates/tallygauge-capacity/src/demand.rs
@@ -1,108 +1,112 @@
-//! The tables of `docs/CAPACITY.md`: what a deployment of the target's size demands.
+//! Computes the tables of `docs/CAPACITY.md`: the load and the costs of a deployment of the
+//! target size.
 
 use crate::{
     fit::Line,
-    measured::{CLUSTER_STATE, PROGRAM, ProgramPoint, StatePoint},
+    measured::{CLUSTER_STATE_POINTS, ClusterStatePoint, PROGRAM_POINTS, ProgramPoint},
     target::Target,
 };
 use std::fmt::Write as _;
 use tallygauge_protocol::workers::{Heartbeat, TaskState, TaskStatus};
 
-/// Bytes of the HTTP head of a heartbeat's request and of a response without commands.
+/// Bytes of a heartbeat besides its request body: the HTTP head of the request, and a response
+/// without commands.
 const HEARTBEAT_OVERHEAD_BYTES: f64 = 160.0 + 190.0;
 
-/// Heartbeats that a task start causes besides those at intervals: when the task runs, and
-/// when it has ended.
+/// Heartbeats that each task start causes in addition to the periodic ones: one when the task
+/// is running, and one when it has ended.
 const HEARTBEATS_PER_START: f64 = 2.0;
 
-/// Fraction of a leader's time that scheduling rounds may take.
-const ROUND_FRACTION: f64 = 0.25;
+/// Maximum fraction of the leader's time that scheduling rounds may take.
+const MAX_ROUND_TIME_FRACTION: f64 = 0.25;
 
-/// Length of the leader's own lease in the key-value store, as a fraction of a worker's.
+/// Duration of the leader's lease in the key-value store, as a fraction of the duration of a
+/// worker's lease.
 const LEADER_LEASE_FRACTION: f64 = 1.0 / 6.0;
 
-/// Name of the cost of a heartbeat in the cluster state, as on the page.
+/// Name, as on the page, of the cost of processing a heartbeat in the cluster state.
 const HEARTBEAT_COST: &str = "report";
 
-/// Name of the cost of recovering the cluster state at a failover, as on the page.
+/// Name, as on the page, of the cost of recovering the cluster state at a failover.
 const RECOVERY_COST: &str = "take-over, state rebuilt";
 
-/// A measured cost, and the line fitted through it.
+/// A cost, with the line fitted through its measured values.
 #[derive(Debug, Clone, Copy)]
-pub struct Slope {
-    /// Name of the cost.
+pub struct FittedCost {
+    /// Name of the cost, as on the page.
     pub name: &'static str,
     /// Unit of the cost.
     pub unit: &'static str,
-    /// Cost by number of machines.
+    /// Cost as a function of the number of machines.
     pub line: Line,
 }
 
-/// Lines through the measured points of the cluster state and of the whole program.
+/// Fits the measured costs of the cluster state and of the whole program.
 #[must_use]
-pub fn slopes() -> Vec<Slope> {
-    let state = |name, unit, cost: fn(&StatePoint) -> f64| {
-        let points: Vec<(f64, f64)> = CLUSTER_STATE
+pub fn fitted_costs() -> Vec<FittedCost> {
+    let fit_state_cost = |name, unit, cost: fn(&ClusterStatePoint) -> f64| {
+        let points: Vec<(f64, f64)> = CLUSTER_STATE_POINTS
             .iter()
             .map(|point| (point.machines, cost(point)))
             .collect();
-        Line::through(&points).map(|line| Slope { name, unit, line })
+        Line::through(&points).map(|line| FittedCost { name, unit, line })
     };
-    let program = |name, unit, cost: fn(&ProgramPoint) -> f64| {
-        let points: Vec<(f64, f64)> = PROGRAM
+    let fit_program_cost = |name, unit, cost: fn(&ProgramPoint) -> f64| {
+        let points: Vec<(f64, f64)> = PROGRAM_POINTS
             .iter()
             .map(|point| (point.machines, cost(point)))
             .collect();
-        Line::through(&points).map(|line| Slope { name, unit, line })
+        Line::through(&points).map(|line| FittedCost { name, unit, line })
     };
     [
-        state("round, mean", "ms", |p| p.round_us / 1e3),
-        state("round, longest", "ms", |p| p.longest_round_us / 1e3),
-        state(HEARTBEAT_COST, "us", |p| p.heartbeat_us),
-        state("record of placements", "bytes", |p| p.record_bytes),
-        state(RECOVERY_COST, "ms", |p| p.recovery_us / 1e3),
-        program("memory of a leader", "MB", |p| p.memory_mb),
+        fit_state_cost("round, mean", "ms", |point| point.round_us / 1e3),
+        fit_state_cost("round, longest", "ms", |point| point.longest_round_us / 1e3),
+        fit_state_cost(HEARTBEAT_COST, "us", |point| point.heartbeat_us),
+        fit_state_cost("record of placements", "bytes", |point| point.record_bytes),
+        fit_state_cost(RECOVERY_COST, "ms", |point| point.recovery_us / 1e3),
+        fit_program_cost("memory of a leader", "MB", |point| point.memory_mb),
     ]
     .into_iter()
     .flatten()
     .collect()
 }
 
-/// Cost of this name at the target's size, in the unit of its slope; 0 if there is none.
+/// Cost called `name` at the target size, in the unit of its [`FittedCost`]; 0 if there is no
+/// such cost.
 fn cost_at_target(name: &str, target: &Target) -> f64 {
-    slopes()
+    fitted_costs()
         .iter()
-        .find(|slope| slope.name == name)
-        .map_or(0.0, |slope| slope.line.at(target.workers))
+        .find(|cost| cost.name == name)
+        .map_or(0.0, |cost| cost.line.at(target.workers))
 }
 
-/// The slopes as a Markdown table.
+/// Formats the fitted costs as a Markdown table.
 #[must_use]
-pub fn slope_table(target: &Target) -> String {
+pub fn cost_table(target: &Target) -> String {
     let mut table = String::from(
         "| cost | fixed | each 1,000 machines | largest error | at the target |\n\
          | --- | --- | --- | --- | --- |\n",
     );
-    for slope in slopes() {
+    for cost in fitted_costs() {
         let Line {
-            fixed,
-            each,
-            residual,
-        } = slope.line;
+            intercept,
+            slope,
+            max_relative_error,
+        } = cost.line;
         let _ = writeln!(
             table,
-            "| {}, {} | {fixed:.2} | {:.2} | {:.0}% | {:.1} |",
-            slope.name,
-            slope.unit,
-            each * 1e3,
-            residual * 100.0,
-            slope.line.at(target.workers)
+            "| {}, {} | {intercept:.2} | {:.2} | {:.0}% | {:.1} |",
+            cost.name,
+            cost.unit,
+            slope * 1e3,
+            max_relative_error * 100.0,
+            cost.line.at(target.workers)
         );
     }
     table
 }
 
-/// Size of the body of a heartbeat with so many tasks, bytes.
+/// Size of the body of a heartbeat with the status of `tasks` tasks, bytes.
 #[must_use]
 pub fn heartbeat_bytes(tasks: usize) -> usize {
     let task_status = |n| TaskStatus {
@@ -127,27 +131,28 @@
     serde_json::to_string(&heartbeat).map_or(0, |text| text.len())
 }
 
-/// Load of one leader that has all workers, each figure at rest and at peak load.
+/// Load of a single leader that serves all workers. Each array has the value without task
+/// starts, then the value at peak load.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderLoad {
-    /// Heartbeats a second.
+    /// Heartbeats per second.
     pub heartbeats_per_s: [f64; 2],
-    /// Control traffic of each worker, bytes a second.
+    /// Control traffic of each worker, bytes/s.
     pub worker_bytes_per_s: [f64; 2],
-    /// Control traffic of the leader, bytes a second.
+    /// Control traffic of the leader, bytes/s.
     pub leader_bytes_per_s: [f64; 2],
-    /// Processor time of heartbeats in the cluster state alone, cores.
+    /// CPU time for processing heartbeats in the cluster state alone, cores.
     pub heartbeat_cores: [f64; 2],
-    /// Time that a core has for each heartbeat besides scheduling rounds, microseconds.
+    /// Time that one core has for each heartbeat, apart from scheduling rounds, microseconds.
     pub us_per_heartbeat: [f64; 2],
 }
 
 impl LeaderLoad {
-    /// Computes the load for a target.
+    /// Computes the load at the target size.
     #[must_use]
     pub fn of(target: &Target) -> Self {
         let at_rest = target.workers / target.heartbeat_interval_s;
-        let at_peak = at_rest + target.starts_per_s * HEARTBEATS_PER_START;
+        let at_peak = at_rest + target.peak_starts_per_s * HEARTBEATS_PER_START;
         let heartbeats_per_s = [at_rest, at_peak];
         let tasks = target.tasks_per_worker().round() as usize;
         let bytes = heartbeat_bytes(tasks) as f64 + HEARTBEAT_OVERHEAD_BYTES;
@@ -157,12 +162,12 @@
             worker_bytes_per_s: heartbeats_per_s.map(|n| n * bytes / target.workers),
             leader_bytes_per_s: heartbeats_per_s.map(|n| n * bytes),
             heartbeat_cores: heartbeats_per_s.map(|n| n * heartbeat_us / 1e6),
-            us_per_heartbeat: heartbeats_per_s.map(|n| (1.0 - ROUND_FRACTION) * 1e6 / n),
+            us_per_heartbeat: heartbeats_per_s.map(|n| (1.0 - MAX_ROUND_TIME_FRACTION) * 1e6 / n),
         }
     }
 }
 
-/// The load of one leader as a Markdown table.
+/// Formats the load of a single leader as a Markdown table.
 #[must_use]
 pub fn leader_table(target: &Target) -> String {
     let load = LeaderLoad::of(target);
@@ -195,12 +200,12 @@
     table
 }
 
-/// The cost of failures as a Markdown table.
+/// Computes the cost of failures as a Markdown table.
 #[must_use]
 pub fn failure_table(target: &Target) -> String {
     let tasks_per_worker = target.tasks_per_worker();
-    let zone = target.workers / target.zones;
-    let region = target.workers / target.regions;
+    let machines_per_zone = target.workers / target.zones;
+    let machines_per_region = target.workers / target.regions;
     let mut table = String::from(
         "| what fails | machines | tasks that run again | seconds of starts at the peak's pace |\n\
          | --- | --- | --- | --- |\n",
@@ -210,36 +215,37 @@
             "failures and restarts of a day",
             target.failures_per_day + target.restarts_per_day,
         ),
-        ("a zone", zone),
-        ("a region, if its leases run out", region),
+        ("a zone", machines_per_zone),
+        ("a region, if its leases run out", machines_per_region),
         (
             "all but the leader's region, cut for longer than a lease",
-            target.workers - region,
+            target.workers - machines_per_region,
         ),
     ] {
         let tasks = machines * tasks_per_worker;
-        let starts_s = tasks / target.starts_per_s;
+        let restart_s = tasks / target.peak_starts_per_s;
         let _ = writeln!(
             table,
-            "| {name} | {machines:.0} | {tasks:.0} | {starts_s:.1} |"
+            "| {name} | {machines:.0} | {tasks:.0} | {restart_s:.1} |"
         );
     }
     table
 }
 
-/// Time from a leader's failure until the next can place work, seconds, at the least: its
-/// lease in the key-value store expires, and its successor recovers the state.
+/// Minimum time from the failure of a leader until the next leader can place tasks, seconds:
+/// the lease of the failed leader in the key-value store expires, then its successor recovers
+/// the state.
 #[must_use]
 pub fn failover_s(target: &Target) -> f64 {
     let recovery_ms = cost_at_target(RECOVERY_COST, target);
     target.lease_s * LEADER_LEASE_FRACTION + recovery_ms / 1e3
 }
 
-/// All tables, as they are on the page.
+/// Formats all tables, exactly as they are on the page.
 #[must_use]
 pub fn tables(target: &Target) -> [String; 3] {
     [
-        slope_table(target),
+        cost_table(target),
         leader_table(target),
         failure_table(target),
     ]
--- a/crates/tallygauge-capacity/src/fit.rs
+++ b/crates/tallygauge-capacity/src/fit.rs
@@ -1,20 +1,20 @@
-//! Straight lines fitted through measured points.
+//! Linear regression through measured data points.
 
-/// `cost = fixed + each * size`, fitted by least squares of relative errors, so that
-/// small sizes weigh as much as large ones. The units are those of the points.
+/// The line `cost = intercept + slope * size`, fitted by least squares of the relative errors,
+/// so that small sizes weigh as much as large ones. The units are those of the data points.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Line {
     /// Cost at size 0.
-    pub fixed: f64,
-    /// Cost for each unit of size.
-    pub each: f64,
-    /// Largest error of the line at a point, as a fraction of the cost there.
-    pub residual: f64,
+    pub intercept: f64,
+    /// Cost per unit of size.
+    pub slope: f64,
+    /// Largest deviation of the line from a data point, as a fraction of the point's cost.
+    pub max_relative_error: f64,
 }
 
 impl Line {
-    /// Fits a line through points of size and cost; `None` for fewer than two different
-    /// sizes, or for a cost that is not positive.
+    /// Fits a line through points `(size, cost)`. Returns `None` if there are fewer than two
+    /// different sizes, or if a cost is zero or negative.
     #[must_use]
     pub fn through(points: &[(f64, f64)]) -> Option<Self> {
         let first_size = points.first()?.0;
@@ -23,32 +23,33 @@
             return None;
         }
         let sums = WeightedSums::of(points);
-        let each = (sums.weight * sums.size_cost - sums.size * sums.cost)
+        let slope = (sums.weight * sums.size_cost - sums.size * sums.cost)
             / (sums.weight * sums.size_squared - sums.size * sums.size);
-        let fixed = (sums.cost - each * sums.size) / sums.weight;
-        let error = |&(size, cost): &(f64, f64)| ((fixed + each * size - cost) / cost).abs();
-        let residual = points.iter().map(error).fold(0.0, f64::max);
+        let intercept = (sums.cost - slope * sums.size) / sums.weight;
+        let relative_error =
+            |&(size, cost): &(f64, f64)| ((intercept + slope * size - cost) / cost).abs();
+        let max_relative_error = points.iter().map(relative_error).fold(0.0, f64::max);
         Some(Self {
-            fixed,
-            each,
-            residual,
+            intercept,
+            slope,
+            max_relative_error,
         })
     }
 
-    /// Cost at a size.
+    /// Cost at the given size.
     #[must_use]
     pub fn at(&self, size: f64) -> f64 {
-        self.fixed + self.each * size
+        self.intercept + self.slope * size
     }
 
-    /// Size at which the cost reaches a limit; `None` if the cost does not grow.
+    /// Size at which the cost reaches `limit`; `None` if the cost does not increase with size.
     #[must_use]
-    pub fn reaches(&self, limit: f64) -> Option<f64> {
-        (self.each > 0.0).then(|| ((limit - self.fixed) / self.each).max(0.0))
+    pub fn size_at(&self, limit: f64) -> Option<f64> {
+        (self.slope > 0.0).then(|| ((limit - self.intercept) / self.slope).max(0.0))
     }
 }
 
-/// Sums over points, each weighted by the inverse square of its cost.
+/// Sums over data points, each weighted by the inverse square of its cost.
 #[derive(Default)]
 struct WeightedSums {
     weight: f64,
--- a/crates/tallygauge-capacity/src/lib.rs
+++ b/crates/tallygauge-capacity/src/lib.rs
@@ -1,9 +1,10 @@
-//! Capacity planning: what each role of a deployment costs at the size that the fleet is
-//! to reach, extrapolated from measurements.
+//! Capacity planning: extrapolates measured costs to the target size of the fleet.
 //!
-//! [`measured`] has the points that were measured, [`fit`] fits lines through them,
-//! [`target`] is the size to reach, and [`demand`] computes the tables of
-//! `docs/CAPACITY.md` from the three. A test compares the page with them.
+//! - [`measured`] has the measured data points.
+//! - [`fit`] fits lines through data points.
+//! - [`target`] has the target size of the fleet, with its load and settings.
+//! - [`demand`] computes the tables of `docs/CAPACITY.md` from these. A test checks that the
+//!   page has the computed tables.
 
 pub mod demand;
 pub mod fit;
