--- a/crates/tallygauge-scheduler/src/heartbeats.rs
+++ b/crates/tallygauge-scheduler/src/heartbeats.rs
@@ -8,7 +8,7 @@
     task_status::is_unchanged,
 };
 use tallygauge_health::{Arrival, SequenceMark};
-use tallygauge_protocol::workers::{Heartbeat, RESPONSE_TIMEOUT_S};
+use tallygauge_protocol::workers::{HEARTBEAT_RESPONSE_TIMEOUT_S, Heartbeat};
 
 /// Outcome of a heartbeat for this controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -132,7 +132,10 @@
             return Err(HeartbeatOutcome::DeadIncarnation);
         }
         let mark = sequence_mark(heartbeat);
-        match worker.message_order.classify(mark, now, RESPONSE_TIMEOUT_S) {
+        match worker
+            .message_order
+            .classify(mark, now, HEARTBEAT_RESPONSE_TIMEOUT_S)
+        {
             Arrival::New => {}
             Arrival::Overtaken => return Err(HeartbeatOutcome::Overtaken),
             Arrival::Old => {
@@ -193,7 +196,7 @@
             self.needs_scheduling = true;
             worker.fencing_token_seen_at = Some(now);
         }
-        if worker.update_spot_notice(heartbeat.spot_notice_s, now) {
+        if worker.update_spot_notice(heartbeat.spot_reclaim_in_s, now) {
             self.needs_scheduling = true;
             self.events.push(ClusterEvent::SpotNoticeReceived {
                 machine: heartbeat.machine.clone(),
