--- a/crates/tallygauge-sim/src/state.rs
+++ b/crates/tallygauge-sim/src/state.rs
@@ -137,7 +137,8 @@
     /// placement batches that the store found to be written incorrectly.
     pub fn all_violations(&self) -> Vec<String> {
         let batches = self.store.invalid_batches.iter();
-        let batches = batches.map(|batch| format!("placement batch reused or in a wrong term: {batch}"));
+        let batches =
+            batches.map(|batch| format!("placement batch reused or in a wrong term: {batch}"));
         self.violations.iter().cloned().chain(batches).collect()
     }
 
