--- a/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
+++ b/crates/tallygauge-scheduler/src/batch_deadlines/mod.rs
@@ -29,7 +29,7 @@
 
 /// Open work that counts for a cutoff.
 struct CutoffWork {
-    /// Time of day of the cutoff.
+    /// The cutoff, Unix time in seconds.
     cutoff: f64,
     /// Whether operators declared it; otherwise it was inferred from jobs.
     declared: bool,
@@ -73,8 +73,8 @@
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
             let job = self.jobs.get_mut(&id);
-            if let Some(time_of_day) = job.and_then(|j| j.accepted_time_of_day.take()) {
-                self.set_accepted_time_of_day(&id, time_of_day);
+            if let Some(unix_time_s) = job.and_then(|j| j.accepted_unix_time_s.take()) {
+                self.set_accepted_unix_time(&id, unix_time_s);
             }
         }
     }
@@ -102,21 +102,21 @@
         &self.batch_deadlines.priority_rules
     }
 
-    /// Sets the time of day at which a job that was just added was accepted, and assigns
-    /// the job to its cutoff. The time is the one in the job's record, so that every
-    /// leader finds the same cutoff.
-    pub fn set_accepted_time_of_day(&mut self, id: &str, time_of_day: f64) {
+    /// Sets the Unix time, in seconds, at which a job that was just added was accepted, and
+    /// assigns the job to its cutoff. The time is the one in the job's record, so that
+    /// every leader finds the same cutoff.
+    pub fn set_accepted_unix_time(&mut self, id: &str, unix_time_s: f64) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        if job.accepted_time_of_day.is_some() {
+        if job.accepted_unix_time_s.is_some() {
             return;
         }
-        let cutoff = self.find_cutoff(job, time_of_day);
+        let cutoff = self.find_cutoff(job, unix_time_s);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.accepted_time_of_day = Some(time_of_day);
+        job.accepted_unix_time_s = Some(unix_time_s);
         job.cutoff = cutoff;
         if let Some(window) = job.cutoff.clone()
             && let Some(CutoffEvent::Opened(name)) =
@@ -132,12 +132,12 @@
     /// The cutoff that a job counts for: the earliest declared one that applies to it, or
     /// else one inferred from the shorter of its deadline and that of its class, if there
     /// is one.
-    fn find_cutoff(&self, job: &Job, accepted_time_of_day: f64) -> Option<CutoffWindow> {
+    fn find_cutoff(&self, job: &Job, accepted_unix_time_s: f64) -> Option<CutoffWindow> {
         let (class, team) = (&job.spec.class, &job.spec.team);
         let rules = self.batch_deadlines.rules.iter();
         let declared = rules
             .filter(|r| r.applies_to(class, team))
-            .filter_map(|r| r.window_at(accepted_time_of_day))
+            .filter_map(|r| r.window_at(accepted_unix_time_s))
             .min_by(|a, b| a.cutoff.total_cmp(&b.cutoff));
         if declared.is_some() {
             return declared;
@@ -149,7 +149,7 @@
         Some(infer_cutoff(
             class,
             team,
-            accepted_time_of_day,
+            accepted_unix_time_s,
             deadline_s,
             window_s,
         ))
@@ -157,28 +157,28 @@
 
     /// Counts a job towards its cutoff, if it is complete.
     pub(crate) fn record_cutoff_completion(&mut self, job: &Job, now: f64) {
-        let time_of_day = self.time_of_day(now);
+        let unix_time_s = self.unix_time_s(now);
         if let Some(cutoff) = job.cutoff.as_ref().filter(|_| job.is_complete()) {
             let tracker = &mut self.batch_deadlines.tracker;
-            tracker.record_job_done(&cutoff.name, job.spec.tasks, time_of_day);
+            tracker.record_job_done(&cutoff.name, job.spec.tasks, unix_time_s);
         }
     }
 
     /// Updates the forecasts of all cutoffs, expires those that have passed, and updates
     /// the boosts of all jobs. To be called about four times per heartbeat interval.
     pub fn update_deadline_risk(&mut self, now: f64) {
-        let time_of_day = self.time_of_day(now);
+        let unix_time_s = self.unix_time_s(now);
         let work = self.work_by_cutoff();
-        let forecasts = self.forecast_cutoffs(&work, time_of_day, now);
+        let forecasts = self.forecast_cutoffs(&work, unix_time_s, now);
         let mut events = self.new_risk_events(&work, &forecasts);
         let open_jobs = |name: &str| work.get(name).map_or(0, |w| w.jobs);
-        let expired = self.batch_deadlines.tracker.expire(time_of_day, &open_jobs);
+        let expired = self.batch_deadlines.tracker.expire(unix_time_s, &open_jobs);
         for event in expired {
             events.push(expiry_event(event, &open_jobs));
         }
         self.events.extend(events);
         self.batch_deadlines.forecasts = forecasts;
-        self.update_boosts(time_of_day);
+        self.update_boosts(unix_time_s);
     }
 
     /// Sums up the open work of each cutoff.
@@ -205,13 +205,13 @@
     fn forecast_cutoffs(
         &self,
         work: &WorkByCutoff,
-        time_of_day: f64,
+        unix_time_s: f64,
         now: f64,
     ) -> BTreeMap<Arc<str>, Forecast> {
         let loads: Vec<CutoffLoad> = work
             .values()
             .map(|work| CutoffLoad {
-                left_s: work.cutoff - time_of_day,
+                left_s: work.cutoff - unix_time_s,
                 cpu_s: work.cpu_s,
                 max_cpus: work.max_cpus_by_team.values().sum(),
                 longest_task_s: work.longest_task_s,
@@ -246,11 +246,11 @@
 
     /// Updates how far each job is boosted within its priority: fully if its cutoff is at
     /// risk, otherwise in proportion to its rank.
-    fn update_boosts(&mut self, time_of_day: f64) {
+    fn update_boosts(&mut self, unix_time_s: f64) {
         let deadlines = &self.batch_deadlines;
-        let is_open = |rule_name: &str, time_of_day: f64| {
+        let is_open = |rule_name: &str, unix_time_s: f64| {
             let mut rules = deadlines.rules.iter().filter(|r| r.name == rule_name);
-            rules.any(|r| r.window_at(time_of_day).is_some())
+            rules.any(|r| r.window_at(unix_time_s).is_some())
         };
         let has_ranks = deadlines.priority_rules.current().is_some();
         for job in self.jobs.values_mut() {
@@ -260,10 +260,10 @@
                 may_boost && forecast.is_some_and(|f| f.at_risk)
             });
             let rank = if has_ranks {
-                let accepted = job.accepted_time_of_day.unwrap_or(time_of_day);
+                let accepted = job.accepted_unix_time_s.unwrap_or(unix_time_s);
                 let key = (job.spec.class.as_str(), job.spec.team.as_str());
                 let rules = &deadlines.priority_rules;
-                f64::from(rules.rank(key, accepted, time_of_day, &is_open)) / f64::from(MAX_RANK)
+                f64::from(rules.rank(key, accepted, unix_time_s, &is_open)) / f64::from(MAX_RANK)
             } else {
                 0.0
             };
@@ -288,7 +288,7 @@
     /// Status of each open cutoff, for operators.
     #[must_use]
     pub fn cutoff_statuses(&self, now: f64) -> Vec<CutoffStatus> {
-        let time_of_day = self.time_of_day(now);
+        let unix_time_s = self.unix_time_s(now);
         let mut open_jobs: BTreeMap<&str, usize> = BTreeMap::new();
         for cutoff in self.jobs.values().filter_map(|j| j.cutoff.as_ref()) {
             *open_jobs.entry(&cutoff.name).or_default() += 1;
@@ -298,7 +298,7 @@
             .map(|(name, counts)| CutoffStatus {
                 name: name.to_string(),
                 declared: counts.declared,
-                left_s: counts.cutoff - time_of_day,
+                left_s: counts.cutoff - unix_time_s,
                 done: counts.done.into(),
                 open: open_jobs.get(name).copied().unwrap_or(0),
                 forecast: self.batch_deadlines.forecasts.get(name).copied(),
--- a/crates/tallygauge-scheduler/src/minimum_share/mod.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/mod.rs
@@ -49,15 +49,15 @@
 }
 
 impl ClusterState {
-    /// Sets the time of day at `now`, so that the time windows of service counts match
-    /// those of other leaders.
-    pub fn set_time_of_day(&mut self, now: f64, time_of_day: f64) {
-        self.minimum_share.time_of_day_offset = time_of_day - now;
+    /// Sets the Unix time at `now` of the steady clock, so that the time windows of service
+    /// counts match those of other leaders.
+    pub fn set_unix_time(&mut self, now: f64, unix_time_s: f64) {
+        self.minimum_share.unix_time_offset_s = unix_time_s - now;
     }
 
-    /// Time of day at `now` of the steady clock, in seconds.
-    pub(crate) fn time_of_day(&self, now: f64) -> f64 {
-        now + self.minimum_share.time_of_day_offset
+    /// Unix time at `now` of the steady clock, in seconds.
+    pub(crate) fn unix_time_s(&self, now: f64) -> f64 {
+        now + self.minimum_share.unix_time_offset_s
     }
 
     /// Restores the service counts that an earlier leader recorded. Returns `false`
@@ -92,7 +92,7 @@
                 started: job.started,
             }
         };
-        let time_of_day = self.time_of_day(now);
+        let unix_time_s = self.unix_time_s(now);
         let class = job.group_ids[0];
         let size = job.size();
         let service_counts = &mut self.minimum_share.service_counts;
@@ -101,7 +101,7 @@
             ..job.groups()
         };
         service_counts.record_closed(class, size);
-        service_counts.record_end(groups, end, time_of_day);
+        service_counts.record_end(groups, end, unix_time_s);
         self.minimum_share.claims.remove(&job.spec.id);
         self.start_deadlines.claims.remove(&job.spec.id);
     }
--- a/crates/tallygauge-scheduler/src/minimum_share/selection.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/selection.rs
@@ -104,14 +104,14 @@
             min_share: target_share * MIN_SHARE_FRACTION,
             target_share,
         };
-        let time_of_day = self.time_of_day(now);
+        let unix_time_s = self.unix_time_s(now);
         let select = |rule: OverdueRule| {
             let candidates: Vec<Candidate> = open_jobs
                 .iter()
                 .map(|open| self.candidate(open, &backlog, rule, now))
                 .collect();
             let service_counts = &self.minimum_share.service_counts;
-            select_underserved(service_counts, &candidates, target, time_of_day)
+            select_underserved(service_counts, &candidates, target, unix_time_s)
         };
         let selection = select(OverdueRule::ServiceDeadline);
         if selection.selected.is_empty() {
@@ -206,14 +206,14 @@
             return ClusterEvent::MinimumShareReached;
         }
         let service_counts = &self.minimum_share.service_counts;
-        let time_of_day = self.time_of_day(now);
+        let unix_time_s = self.unix_time_s(now);
         let underserved = shortfalls
             .iter()
             .enumerate()
             .filter(|(_, shortfall)| shortfall.to_target_share > 0);
         let groups = underserved.map(|(group, shortfall)| UnderservedGroup {
             name: service_counts.keys()[group].name.to_string(),
-            done_within_day: service_counts.done_in_windows(group, time_of_day)[0],
+            done_within_day: service_counts.done_in_windows(group, unix_time_s)[0],
             overdue: shortfall.overdue,
             to_target_share: shortfall.to_target_share,
         });
--- a/crates/tallygauge-scheduler/src/minimum_share/state.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/state.rs
@@ -34,8 +34,8 @@
 pub(crate) struct MinimumShare {
     /// Numbers of jobs done, late and cancelled, by class and team.
     pub(crate) service_counts: ServiceCounts,
-    /// Time of day minus the steady clock, in seconds.
-    pub(crate) time_of_day_offset: f64,
+    /// Unix time minus the time of the steady clock, in seconds.
+    pub(crate) unix_time_offset_s: f64,
     /// Priority claims by job id.
     pub(crate) claims: HashMap<String, PriorityClaim>,
     /// For each open job that is among the largest of its class, by job id: the group of
@@ -55,7 +55,7 @@
         let longest_s = objectives_s.fold(config.lease_s, f64::max);
         Self {
             service_counts: ServiceCounts::new(longest_s * RECENT_WINDOW_OBJECTIVES),
-            time_of_day_offset: 0.0,
+            unix_time_offset_s: 0.0,
             claims: HashMap::new(),
             largest_group_by_job: HashMap::new(),
             reserved: BTreeMap::new(),
--- a/crates/tallygauge-scheduler/src/model/job.rs
+++ b/crates/tallygauge-scheduler/src/model/job.rs
@@ -84,7 +84,7 @@
     /// The cutoff that it has to meet, if any.
     pub cutoff: Option<CutoffWindow>,
     /// Unix time at which it was accepted, in seconds, from its record.
-    pub accepted_time_of_day: Option<f64>,
+    pub accepted_unix_time_s: Option<f64>,
     /// How far its utility is raised towards that of the next priority, from 0 (not at
     /// all) to 1 (as far as a boost goes).
     pub boost: f64,
@@ -127,7 +127,7 @@
             consecutive_failures: 0,
             run_times_by_machine: BTreeMap::new(),
             cutoff: None,
-            accepted_time_of_day: None,
+            accepted_unix_time_s: None,
             boost: 0.0,
             spec: Arc::new(spec),
         }
--- a/crates/tallygauge-scheduler/src/placements.rs
+++ b/crates/tallygauge-scheduler/src/placements.rs
@@ -74,10 +74,10 @@
         name: &str,
         record: &PlacementBatchRecord,
         now: f64,
-        time_of_day: f64,
+        unix_time_s: f64,
     ) {
         let batch: Arc<str> = name.into();
-        let age_s = (time_of_day - record.placed_at as f64).max(0.0);
+        let age_s = (unix_time_s - record.placed_at as f64).max(0.0);
         let jobs = self.restored_jobs(record);
         for placed in &record.workers {
             self.register_machine(
@@ -163,7 +163,7 @@
         &mut self,
         max_bytes: usize,
         max_jobs: usize,
-        time_of_day: f64,
+        unix_time_s: f64,
     ) -> Vec<PlacementBatch> {
         let mut attempts_by_worker: BTreeMap<String, BTreeSet<u64>> = BTreeMap::new();
         for unbatched in std::mem::take(&mut self.unbatched_attempts) {
@@ -179,7 +179,7 @@
                 max_bytes,
                 max_jobs,
             },
-            time_of_day.max(0.0) as u64,
+            unix_time_s.max(0.0) as u64,
         );
         for (machine, numbers) in attempts_by_worker {
             let Some(worker) = self.workers.get(&machine) else {
--- a/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
@@ -5,7 +5,7 @@
 use tallygauge_deadlines::{CutoffDays, CutoffRule};
 use tallygauge_priority::{DeclaredRules, PriorityRules, RankRule, RulesChange};
 
-/// Time of day, in seconds, at which the tests start: 1000 s before midnight, which is the
+/// Unix time, in seconds, at which the tests start: 1000 s before midnight, which is the
 /// cutoff of [`nightly`] rules.
 const TEST_START: f64 = 86_400.0 * 20_000.0 - 1000.0;
 
@@ -43,17 +43,17 @@
 /// A cluster whose steady clock shows 100 s at [`TEST_START`].
 fn cluster_with_rules(rules: Vec<CutoffRule>) -> ClusterState {
     let mut cluster = cluster(&["sa"], 100.0);
-    cluster.set_time_of_day(100.0, TEST_START);
+    cluster.set_unix_time(100.0, TEST_START);
     cluster.set_cutoff_rules(rules, false);
     cluster
 }
 
-/// Adds a job that was accepted at the time of day `accepted`, on the clock of
+/// Adds a job that was accepted at the Unix time `accepted`, on the clock of
 /// [`cluster_with_rules`].
 fn add_job(cluster: &mut ClusterState, spec: JobSpec, accepted: f64) {
     let id = spec.id.clone();
     cluster.add_job(spec, 1, 100.0 + accepted - TEST_START, &RangeSet::default());
-    cluster.set_accepted_time_of_day(&id, accepted);
+    cluster.set_accepted_unix_time(&id, accepted);
 }
 
 /// Ids of the jobs in the order in which the mapping places their tasks: by utility per
@@ -125,7 +125,7 @@
     let tracker_json = serde_json::to_string(cluster.deadline_tracker()).unwrap();
     let mut next = ClusterState::new(config(), 7000.0, 16, 4096);
     next.set_machine_types(&machine_types());
-    next.set_time_of_day(7000.0, TEST_START + 15.0);
+    next.set_unix_time(7000.0, TEST_START + 15.0);
     next.set_cutoff_rules(rules, false);
     next.restore_deadline_tracker(serde_json::from_str(&tracker_json).unwrap());
     add_earlier_job(&mut next, job(2, "lecture", 2), TEST_START - 10.0, 7000.0);
@@ -164,12 +164,12 @@
     assert_eq!(next.deadline_tracker().closed_cutoffs().count(), 1);
 }
 
-/// Adds a job that was accepted 20 s before `now` of the steady clock, and at the time of day
+/// Adds a job that was accepted 20 s before `now` of the steady clock, and at the Unix time
 /// `accepted`.
 fn add_earlier_job(cluster: &mut ClusterState, spec: JobSpec, accepted: f64, now: f64) {
     let id = spec.id.clone();
     cluster.add_job(spec, 1, now - 20.0, &RangeSet::default());
-    cluster.set_accepted_time_of_day(&id, accepted);
+    cluster.set_accepted_unix_time(&id, accepted);
 }
 
 #[test]
--- a/crates/tallygauge-scheduler/src/tests/recovery.rs
+++ b/crates/tallygauge-scheduler/src/tests/recovery.rs
@@ -8,7 +8,7 @@
 const RECORDS: &str = include_str!("../../../tallygauge/tests/golden/records.txt");
 
 /// Unix time of the failover, in seconds: 10 s after the first job was accepted.
-const TIME_OF_DAY: f64 = 1_750_000_010.5;
+const UNIX_TIME_S: f64 = 1_750_000_010.5;
 
 /// The new leader's steady clock at the failover, in seconds.
 const NOW: f64 = 100.0;
@@ -39,7 +39,7 @@
 /// Restores the records in the same order as a new leader.
 fn recover() -> ClusterState {
     let mut cluster = cluster(&[], NOW);
-    cluster.set_time_of_day(NOW, TIME_OF_DAY);
+    cluster.set_unix_time(NOW, UNIX_TIME_S);
     assert!(cluster.restore_service_counts(stored_value("s/floor")));
     assert_eq!(
         cluster.restore_image_locations(&stored_value("s/images/0")),
@@ -63,16 +63,16 @@
     for (id, version, record) in rows("o/") {
         let accepted_at = record["at"].as_f64().unwrap();
         let completed = completed_by_job.get(id).cloned().unwrap_or_default();
-        let age_s = TIME_OF_DAY - accepted_at;
+        let age_s = UNIX_TIME_S - accepted_at;
         cluster.add_job(value(&record["spec"]), version, NOW - age_s, &completed);
-        cluster.set_accepted_time_of_day(id, accepted_at);
+        cluster.set_accepted_unix_time(id, accepted_at);
     }
     let jobs = &cluster.jobs;
     cluster
         .completion_pages
         .retain_jobs(|id| jobs.contains_key(id));
     for (name, _, record) in rows("p/") {
-        cluster.restore_placements(name, &value(&record), NOW, TIME_OF_DAY);
+        cluster.restore_placements(name, &value(&record), NOW, UNIX_TIME_S);
     }
     cluster
 }
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -168,8 +168,8 @@
     /// Wall-clock time, in seconds since the Unix epoch. It serves for display and for
     /// deadlines; safety must never depend on it.
     #[must_use]
-    pub fn time_of_day(&self) -> f64 {
-        self.clock.time_of_day()
+    pub fn unix_time_s(&self) -> f64 {
+        self.clock.unix_time_s()
     }
 
     /// Seconds for which a leader keeps answering workers while its term is not confirmed.
--- a/crates/tallygauge/src/job_watch.rs
+++ b/crates/tallygauge/src/job_watch.rs
@@ -6,26 +6,26 @@
 
 /// Adds an active job to the cluster state.
 ///
-/// - `now` and `time_of_day` are the same instant, in seconds: `now` on the controller's
-///   clock, `time_of_day` since the Unix epoch.
+/// - `now` and `unix_time_s` are the same instant, in seconds: `now` on the controller's
+///   clock, `unix_time_s` since the Unix epoch.
 /// - `finished` contains the tasks that are known to be done.
 pub fn add_job(
     cluster: &mut ClusterState,
     record: ActiveJobRecord,
     version: u64,
-    (now, time_of_day): (f64, f64),
+    (now, unix_time_s): (f64, f64),
     finished: &RangeSet,
 ) {
-    let accepted_at = now - (time_of_day - record.accepted_at).max(0.0);
+    let accepted_at = now - (unix_time_s - record.accepted_at).max(0.0);
     let id = record.spec.id.clone();
     cluster.add_job(record.spec, version, accepted_at, finished);
-    cluster.set_accepted_time_of_day(&id, record.accepted_at);
+    cluster.set_accepted_unix_time(&id, record.accepted_at);
 }
 
 /// Applies a change of an active job's record to the cluster state. The record was written
 /// when the job was submitted or changed, or removed because the job ended. For `now` and
-/// `time_of_day` see [`add_job`].
-pub fn apply_event(cluster: &mut ClusterState, event: WatchEvent, now: f64, time_of_day: f64) {
+/// `unix_time_s` see [`add_job`].
+pub fn apply_event(cluster: &mut ClusterState, event: WatchEvent, now: f64, unix_time_s: f64) {
     match event {
         WatchEvent::Set {
             value,
@@ -34,7 +34,7 @@
         } => match serde_json::from_value::<ActiveJobRecord>(value) {
             Ok(record) => {
                 let finished = RangeSet::default();
-                add_job(cluster, record, version, (now, time_of_day), &finished);
+                add_job(cluster, record, version, (now, unix_time_s), &finished);
             }
             Err(error) => tracing::error!(%error, key, "malformed record of an active job"),
         },
--- a/crates/tallygauge/src/job_watch_loop.rs
+++ b/crates/tallygauge/src/job_watch_loop.rs
@@ -46,14 +46,14 @@
 /// Applies the events of a watch response, and records that the cluster state contains every
 /// change made before the watch was sent.
 fn apply_events(controller: &Controller, response: WatchResponse, revision: u64, sent_at: f64) {
-    let (now, time_of_day) = (controller.now(), controller.time_of_day());
+    let (now, unix_time_s) = (controller.now(), controller.unix_time_s());
     let has_events = !response.events.is_empty();
     if let Some(leadership) = controller.leadership.lock().as_mut() {
         leadership.watch_confirmed_at = sent_at;
         leadership.watched_revision = revision;
         if let Some(cluster) = leadership.cluster.as_mut() {
             for event in response.events {
-                job_watch::apply_event(cluster, event, now, time_of_day);
+                job_watch::apply_event(cluster, event, now, unix_time_s);
             }
         }
     }
@@ -69,8 +69,8 @@
         .store
         .list(RequestPriority::Leadership, ACTIVE_JOB_PREFIX)
         .await?;
-    let (now, time_of_day) = (controller.now(), controller.time_of_day());
-    controller.with_cluster(|cluster| replace_jobs(cluster, entries, now, time_of_day));
+    let (now, unix_time_s) = (controller.now(), controller.unix_time_s());
+    controller.with_cluster(|cluster| replace_jobs(cluster, entries, now, unix_time_s));
     if let Some(leadership) = controller.leadership.lock().as_mut() {
         leadership.watched_revision = revision;
     }
@@ -80,7 +80,7 @@
 
 /// Removes the jobs that are not listed, since they have ended, and adds or updates the
 /// listed ones.
-fn replace_jobs(cluster: &mut ClusterState, listed: Vec<KeyValue>, now: f64, time_of_day: f64) {
+fn replace_jobs(cluster: &mut ClusterState, listed: Vec<KeyValue>, now: f64, unix_time_s: f64) {
     let is_listed = |id: &str| {
         let key = active_job_key(id);
         listed.iter().any(|entry| entry.key == key)
@@ -100,6 +100,6 @@
             value: entry.value,
             version: entry.version,
         };
-        job_watch::apply_event(cluster, event, now, time_of_day);
+        job_watch::apply_event(cluster, event, now, unix_time_s);
     }
 }
--- a/crates/tallygauge/src/leader/recovery.rs
+++ b/crates/tallygauge/src/leader/recovery.rs
@@ -43,7 +43,7 @@
     /// Seconds of the process's monotonic clock.
     now: f64,
     /// Wall-clock time, in seconds since the Unix epoch.
-    time_of_day: f64,
+    unix_time_s: f64,
 }
 
 /// Completed tasks of each job, by the job's id.
@@ -62,7 +62,7 @@
     let durable = read_durable_state(controller).await?;
     let time = RecoveryTime {
         now: controller.now(),
-        time_of_day: controller.time_of_day(),
+        unix_time_s: controller.unix_time_s(),
     };
     let mut cluster = new_cluster_state(controller, term, time);
     restore_leader_records(&mut cluster, &durable.records);
@@ -109,7 +109,7 @@
     if let Some(types) = controller.catalogue.get() {
         cluster.set_machine_types(&types);
     }
-    cluster.set_time_of_day(time.now, time.time_of_day);
+    cluster.set_unix_time(time.now, time.unix_time_s);
     cluster
 }
 
@@ -172,7 +172,7 @@
             cluster,
             record,
             version,
-            (time.now, time.time_of_day),
+            (time.now, time.unix_time_s),
             tasks,
         );
     }
@@ -192,7 +192,7 @@
         let key = row.key.clone();
         let record: PlacementBatchRecord = decode_value(row)?;
         if let Some(name) = key.strip_prefix(PLACEMENT_BATCH_PREFIX) {
-            cluster.restore_placements(name, &record, time.now, time.time_of_day);
+            cluster.restore_placements(name, &record, time.now, time.unix_time_s);
         }
         // There may be many batches: let requests of users and workers run in between.
         tokio::task::yield_now().await;
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -163,7 +163,7 @@
         let declared = &self.controller.operator_settings.cutoffs;
         let version_in_force = in_force.map_or(0, |cutoffs| cutoffs.version);
         if declared.version > version_in_force {
-            let now = self.controller.time_of_day();
+            let now = self.controller.unix_time_s();
             let staged = self.records.stage(None, declared, now);
             tracing::info!(version = declared.version, ?staged, "declared cutoffs");
         } else if declared.version == version_in_force
@@ -178,7 +178,7 @@
 
     fn stage_declared_rules(&mut self) {
         let settings = &self.controller.operator_settings;
-        let now = self.controller.time_of_day();
+        let now = self.controller.unix_time_s();
         let Ok(declared) = settings.ranks.to_declared_rules(&settings.cutoffs) else {
             return;
         };
@@ -235,7 +235,7 @@
 
     /// Stages the records that are derived from the current cluster state.
     fn stage_cluster_records(&mut self) {
-        let now = self.controller.time_of_day();
+        let now = self.controller.unix_time_s();
         let max_bytes = self
             .max_record_bytes
             .saturating_sub(ENCODING_OVERHEAD_BYTES);
--- a/crates/tallygauge/src/process_clock.rs
+++ b/crates/tallygauge/src/process_clock.rs
@@ -35,7 +35,7 @@
     }
 
     /// Wall-clock time, in seconds since the Unix epoch.
-    pub(crate) fn time_of_day(&self) -> f64 {
+    pub(crate) fn unix_time_s(&self) -> f64 {
         self.wall_clock.since_epoch().as_secs_f64()
     }
 }
--- a/crates/tallygauge/src/reconciliation.rs
+++ b/crates/tallygauge/src/reconciliation.rs
@@ -138,14 +138,14 @@
     term: u64,
     differences: JobDifferences,
 ) -> JobRepairCounts {
-    let (now, time_of_day) = (controller.now(), controller.time_of_day());
+    let (now, unix_time_s) = (controller.now(), controller.unix_time_s());
     let mut leadership = controller.leadership.lock();
     let leadership = leadership.as_mut().filter(|current| current.term == term);
     let Some(cluster) = leadership.and_then(|current| current.cluster.as_mut()) else {
         return JobRepairCounts::default();
     };
     JobRepairCounts {
-        added: add_missing_jobs(cluster, differences.missing, now, time_of_day),
+        added: add_missing_jobs(cluster, differences.missing, now, unix_time_s),
         removed: remove_ended_jobs(cluster, &differences.ended, now),
     }
 }
@@ -154,7 +154,7 @@
     cluster: &mut ClusterState,
     missing: Vec<KeyValue>,
     now: f64,
-    time_of_day: f64,
+    unix_time_s: f64,
 ) -> usize {
     let mut added = 0;
     for entry in missing {
@@ -165,7 +165,7 @@
             version: entry.version,
         };
         let jobs_before = cluster.jobs.len();
-        job_watch::apply_event(cluster, event, now, time_of_day);
+        job_watch::apply_event(cluster, event, now, unix_time_s);
         if cluster.jobs.len() > jobs_before {
             added += 1;
             tracing::warn!(key, "reconciliation added a missing active job");
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -120,7 +120,7 @@
         cluster.take_placement_batches(
             max_record_bytes(controller),
             max_jobs,
-            controller.time_of_day(),
+            controller.unix_time_s(),
         )
     });
     batches.unwrap_or_default()
--- a/crates/tallygauge/src/user_api/submit.rs
+++ b/crates/tallygauge/src/user_api/submit.rs
@@ -151,7 +151,7 @@
 fn encode_record(controller: &Controller, spec: JobSpec) -> Result<Value, SubmissionError> {
     let record = ActiveJobRecord {
         spec,
-        accepted_at: controller.time_of_day(),
+        accepted_at: controller.unix_time_s(),
     };
     let value = serde_json::to_value(&record).map_err(|_| SubmissionError::NotEncodable)?;
     let max_value_bytes = controller.settings.deployment.store.max_value_kib * 1024.0;
