--- a/crates/tallygauge-scheduler/src/commands.rs
+++ b/crates/tallygauge-scheduler/src/commands.rs
@@ -218,7 +218,7 @@
                 attempt.start_messages_in_flight =
                     attempt.start_messages_in_flight.saturating_sub(1);
                 if !answered && !never_sent {
-                    attempt.start_in_doubt_since = Some(now);
+                    attempt.start_indeterminate_since = Some(now);
                 }
             }
         }
--- a/crates/tallygauge-scheduler/src/model/attempt.rs
+++ b/crates/tallygauge-scheduler/src/model/attempt.rs
@@ -98,10 +98,10 @@
     pub start_sent: bool,
     /// Number of direct messages with its start command that are in flight.
     pub start_messages_in_flight: u32,
-    /// Since when a direct message with its start command is in doubt: the message
-    /// timed out but may still arrive. Until the incarnation is over, the worker must
-    /// not be told to forget the attempt: it would execute the late start.
-    pub start_in_doubt_since: Option<f64>,
+    /// Since when the outcome of a direct message with its start command is indeterminate:
+    /// the message timed out but may still arrive. Until the incarnation is over, the
+    /// worker must not be told to forget the attempt: it would execute the late start.
+    pub start_indeterminate_since: Option<f64>,
     /// Whether everything that follows from its end is durable.
     pub end_durable: bool,
     /// Id of the durable placement batch that contains it, if any.
@@ -134,7 +134,7 @@
             restored: false,
             start_sent: false,
             start_messages_in_flight: 0,
-            start_in_doubt_since: None,
+            start_indeterminate_since: None,
             end_durable: false,
             batch: None,
             awaiting_acknowledgement: false,
@@ -210,20 +210,21 @@
     /// Whether a direct message with its start command may still arrive.
     #[must_use]
     pub fn may_yet_start(&self) -> bool {
-        self.start_messages_in_flight > 0 || self.start_in_doubt_since.is_some()
+        self.start_messages_in_flight > 0 || self.start_indeterminate_since.is_some()
     }
 
     /// The latest time at which it can end, given when the lease of its incarnation
     /// expires. Infinite while a direct message with its start command is in flight.
     ///
-    /// If such a start is in doubt, the agent may have restarted without this leader's
-    /// knowledge. The start is then executed if it arrives while the agent's incarnation
-    /// has the same number, and the task that it starts runs for up to one more lease.
+    /// If the outcome of such a message is indeterminate, the agent may have restarted
+    /// without this leader's knowledge. The start command is then executed if it arrives
+    /// while the agent's incarnation has the same number, and the task that it starts runs
+    /// for up to one more lease.
     /// Not covered: a message that is delayed for longer than a lease to a machine that
     /// restarted in the meantime.
     #[must_use]
     pub fn latest_end(&self, lease_expiry: f64, lease_s: f64) -> f64 {
-        match self.start_in_doubt_since {
+        match self.start_indeterminate_since {
             _ if self.start_messages_in_flight > 0 => f64::INFINITY,
             Some(since) => lease_expiry.max(since + 2.0 * lease_s),
             None => lease_expiry,
--- a/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
+++ b/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn attempt_with_start_in_doubt_is_not_forgotten_until_its_incarnation_ends() {
+fn attempt_with_indeterminate_start_is_not_forgotten_until_its_incarnation_ends() {
     // The start command may be delivered minutes late. If the worker had been told to
     // forget the attempt, it would run the task again.
     let mut cluster = cluster(&["sa"], 100.0);
@@ -49,8 +49,8 @@
         cluster.commands("sa", 110.0).is_empty(),
         "the worker must not be told to forget the attempt"
     );
-    // While its start is in doubt, the attempt occupies its capacity even if a heartbeat
-    // does not report it.
+    // While it is indeterminate whether the start command was executed, the attempt occupies
+    // its capacity even if a heartbeat does not report it.
     cluster.apply_heartbeat(
         111.0,
         &heartbeat_from("sa", 1, 6, TERM, vec![]),
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -290,7 +290,7 @@
                 }
                 self.records.mark_written(batch, self.controller.now());
             }
-            // A write in doubt may have been executed, so the known versions may be stale.
+            // An indeterminate write may have been executed, so the known versions may be stale.
             Ok(TransactionOutcome::Conflict { .. })
             | Err(StoreError::Indeterminate { .. } | StoreError::Malformed { .. }) => {
                 self.reload_versions().await;
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -24,8 +24,8 @@
 /// allows.
 const MIN_IN_FLIGHT: usize = 3;
 
-/// Writes the leader's placement batches. A batch whose outcome is in doubt blocks only its
-/// own tasks, capacity and quota: scheduling rounds continue with all others.
+/// Writes the leader's placement batches. A batch whose outcome is indeterminate blocks
+/// only its own tasks, capacity and quota: scheduling rounds continue with all others.
 pub struct PlacementWriter<'a> {
     controller: &'a Arc<Controller>,
     term_condition: &'a Condition,
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -32,7 +32,7 @@
 const WRITES_PER_COMPLETION: usize = 2;
 
 /// Makes completions of jobs durable for as long as this controller leads. A transaction
-/// whose outcome is in doubt delays only its own jobs. Never returns.
+/// whose outcome is indeterminate delays only its own jobs. Never returns.
 pub async fn commit_completed_jobs(controller: &Controller, term_condition: &Condition) {
     let min_pause = heartbeat_intervals(controller, MIN_FLUSH_HEARTBEAT_INTERVALS);
     let max_wait = heartbeat_intervals(controller, MAX_FLUSH_HEARTBEAT_INTERVALS);
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -14,8 +14,8 @@
     scheduling_delay_s: f64,
     /// Requests that wait for the rate limiter of the store client.
     requests_waiting: usize,
-    writes_in_doubt: usize,
-    oldest_in_doubt: Duration,
+    indeterminate_writes: usize,
+    oldest_indeterminate_write: Duration,
     /// Longest time for which a polling user has not been answered.
     oldest_unanswered_s: f64,
     connections: usize,
@@ -41,7 +41,7 @@
 
 fn measure_process(controller: &Controller) -> ProcessMeasurements {
     let (now, expiry_s) = (controller.now(), controller.caller_expiry_s());
-    let in_doubt = controller.store.indeterminate_writes();
+    let indeterminate = controller.store.indeterminate_writes();
     let oldest_unanswered_s = controller
         .unanswered_polls
         .longest_wait_s(now, expiry_s)
@@ -50,8 +50,8 @@
         longest_round_s: controller.load.take_longest_round_s(),
         scheduling_delay_s: controller.load.scheduling_delay_s(),
         requests_waiting: controller.store.budget().waiting(),
-        writes_in_doubt: in_doubt.count,
-        oldest_in_doubt: in_doubt.oldest_age,
+        indeterminate_writes: indeterminate.count,
+        oldest_indeterminate_write: indeterminate.oldest_age,
         oldest_unanswered_s,
         connections: controller.connection_limits.used(),
         connections_free: controller.connection_limits.free(),
@@ -79,8 +79,8 @@
         longest_round_ms = (process.longest_round_s * 1000.0) as u64,
         scheduling_delay_ms = (process.scheduling_delay_s * 1000.0) as u64,
         requests_waiting = process.requests_waiting,
-        writes_in_doubt = process.writes_in_doubt,
-        oldest_in_doubt_ms = process.oldest_in_doubt.as_millis() as u64,
+        writes_in_doubt = process.indeterminate_writes,
+        oldest_in_doubt_ms = process.oldest_indeterminate_write.as_millis() as u64,
         oldest_unanswered_s = process.oldest_unanswered_s as u64,
         connections = process.connections,
         connections_free = process.connections_free,
