--- a/crates/tallygauge/src/cloud/machine_list.rs
+++ b/crates/tallygauge/src/cloud/machine_list.rs
@@ -34,7 +34,7 @@
             if refresh_machine_list(controller).await.is_ok() {
                 listed_at = due_at;
                 session.mark_machine_list_read();
-                controller.wake_cloud.notify_one();
+                controller.wake_rentals.notify_one();
             }
         }
         tokio::time::sleep(Duration::from_secs_f64(
--- a/crates/tallygauge/src/cloud/rentals.rs
+++ b/crates/tallygauge/src/cloud/rentals.rs
@@ -38,7 +38,7 @@
     let mut pending: Option<RentRequest> = None;
     let mut request_count = 0u64;
     loop {
-        let _ = tokio::time::timeout(wait, controller.wake_cloud.notified()).await;
+        let _ = tokio::time::timeout(wait, controller.wake_rentals.notified()).await;
         session.rate_limiter.acquire().await;
         if pending.is_none() {
             pending = next_request(session, started_at, request_count + 1);
@@ -50,7 +50,7 @@
             continue;
         };
         match rent(controller, &request).await {
-            RentalOutcome::Completed => controller.wake_cloud.notify_one(),
+            RentalOutcome::Completed => controller.wake_rentals.notify_one(),
             RentalOutcome::Retry => {
                 pending = Some(request);
                 tokio::time::sleep(session.rate_limiter.interval() * RETRY_PAUSE_INTERVALS).await;
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -34,7 +34,7 @@
 
 /// Time for which a leader keeps answering workers while its term is not confirmed, as a
 /// fraction of the difference between the cancellation timeout and a worker's lease.
-const FENCE_FRACTION: f64 = 0.85;
+const FENCING_TIMEOUT_FRACTION: f64 = 0.85;
 
 /// Time to live of the leader's lease, as a fraction of a worker's lease.
 const LEADER_LEASE_FRACTION: f64 = 1.0 / 6.0;
@@ -47,10 +47,9 @@
 /// leader's lease divided by this.
 const STORE_RETRY_DIVISOR: u32 = 8;
 
-/// Capacity of the job cache, in jobs per megabyte of the process's memory limit. A job
-/// takes at most about one kilobyte, so the cache takes at most about a tenth of the
-/// memory.
-const CACHED_JOBS_PER_MB: f64 = 100.0;
+/// Capacity of the job cache, in jobs per MiB of the process's memory limit. A job takes at
+/// most about one KiB, so the cache takes at most about a tenth of the memory.
+const CACHED_JOBS_PER_MIB: f64 = 100.0;
 
 /// Minimum capacity of the job cache, in jobs, however low the memory limit is.
 const MIN_CACHED_JOBS: usize = 1000;
@@ -93,10 +92,10 @@
     /// Wakes the loop that makes completed tasks durable.
     pub wake_completions: Notify,
     /// Wakes the loop that rents machines.
-    pub wake_cloud: Notify,
+    pub wake_rentals: Notify,
     /// Relays users' requests to other controllers.
     pub relay: PeerRelay,
-    /// Users that are polling and have not been answered yet.
+    /// Jobs whose polls have not been answered yet.
     pub unanswered_polls: UnansweredPolls,
     /// Decides when all active jobs are read into the cache.
     pub job_refresh: JobRefresh,
@@ -123,7 +122,7 @@
             http.connection_count().clone(),
         ];
         let connection_limits = ConnectionLimits::new(resources.connections, outgoing);
-        let cached_jobs = (resources.memory_mib * CACHED_JOBS_PER_MB) as usize;
+        let cached_jobs = (resources.memory_mib * CACHED_JOBS_PER_MIB) as usize;
         let (version_checks, version_check_queue) =
             VersionChecks::new(resources.connections as usize);
         let controller = Self {
@@ -141,7 +140,7 @@
             version_checks,
             wake_scheduler: Notify::new(),
             wake_completions: Notify::new(),
-            wake_cloud: Notify::new(),
+            wake_rentals: Notify::new(),
             relay: PeerRelay::default(),
             unanswered_polls: UnansweredPolls::default(),
             job_refresh: JobRefresh::default(),
@@ -178,7 +177,7 @@
     #[must_use]
     pub fn fencing_timeout_s(&self) -> f64 {
         let workers = &self.settings.deployment.workers;
-        (workers.cancel_timeout_s - workers.lease_s) * FENCE_FRACTION
+        (workers.cancel_timeout_s - workers.lease_s) * FENCING_TIMEOUT_FRACTION
     }
 
     /// Time to live of the leader's lease.
@@ -249,10 +248,10 @@
             && self.leadership.is_leader()
     }
 
-    /// Seconds after which a user who has not polled again is assumed to have been answered
-    /// by another controller.
+    /// Seconds after a poll at which the poll expires: a user who has not polled again by
+    /// then is assumed to have been answered by another controller.
     #[must_use]
-    pub fn caller_expiry_s(&self) -> f64 {
+    pub fn poll_expiry_s(&self) -> f64 {
         self.settings.deployment.workers.lease_s
     }
 
--- a/crates/tallygauge/src/direct_messages.rs
+++ b/crates/tallygauge/src/direct_messages.rs
@@ -45,11 +45,11 @@
         else {
             return;
         };
-        let (term, fraction) = (leadership.term, controller.direct_message_fraction());
+        let (term, limit_fraction) = (leadership.term, controller.direct_message_fraction());
         let Some(cluster) = leadership.cluster.as_mut() else {
             return;
         };
-        (term, cluster.take_direct_messages(now, fraction))
+        (term, cluster.take_direct_messages(now, limit_fraction))
     };
     for message in messages {
         let controller = controller.clone();
--- a/crates/tallygauge/src/scheduling_loop.rs
+++ b/crates/tallygauge/src/scheduling_loop.rs
@@ -75,7 +75,7 @@
         // Preemptions depend on nothing durable, so they are sent before placements are stored.
         direct_messages::send_direct_messages(controller);
         placements.push(batches);
-        controller.wake_cloud.notify_one();
+        controller.wake_rentals.notify_one();
         let pause_s = min_gap_s.max(round_s * (1.0 / MAX_ROUND_TIME_FRACTION - 1.0));
         let pause = tokio::time::sleep(Duration::from_secs_f64(pause_s));
         placements.run_until(pause).await;
--- a/crates/tallygauge/src/summary.rs
+++ b/crates/tallygauge/src/summary.rs
@@ -16,7 +16,7 @@
     requests_waiting: usize,
     indeterminate_writes: usize,
     oldest_indeterminate_write: Duration,
-    /// Longest time for which a polling user has not been answered.
+    /// Longest time for which a job's polls have not been answered.
     oldest_unanswered_s: f64,
     connections: usize,
     connections_free: usize,
@@ -40,7 +40,7 @@
 }
 
 fn measure_process(controller: &Controller) -> ProcessMeasurements {
-    let (now, expiry_s) = (controller.now(), controller.caller_expiry_s());
+    let (now, expiry_s) = (controller.now(), controller.poll_expiry_s());
     let indeterminate = controller.store.indeterminate_writes();
     let oldest_unanswered_s = controller
         .unanswered_polls
--- a/crates/tallygauge/src/user_api/status.rs
+++ b/crates/tallygauge/src/user_api/status.rs
@@ -13,7 +13,7 @@
     if !is_valid_job_id(id) {
         return Reply::no_such_job();
     }
-    let (now, expiry_s) = (controller.now(), controller.caller_expiry_s());
+    let (now, expiry_s) = (controller.now(), controller.poll_expiry_s());
     let unanswered_since = controller.unanswered_polls.record_poll(id, now, expiry_s);
     let urgency = Urgency {
         priority: RequestPriority::Polls,
