--- a/crates/tallygauge-scheduler/src/mapping/round.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round.rs
@@ -105,9 +105,9 @@
         max
     }
 
-    /// Places one task of each job whose first task is overdue, and then further tasks
-    /// of jobs near their start deadline. Returns the groups that still have tasks to
-    /// place.
+    /// Places one task of each job whose first task is overdue, and then further tasks of
+    /// the jobs whose start claim gives priority to all tasks that never ran. Returns the
+    /// groups that still have tasks to place.
     fn place_overdue_first_tasks(
         &mut self,
         pending: Vec<PendingGroup<'a>>,
@@ -120,7 +120,7 @@
             }
         }
         if !self.cluster.start_deadlines.claims.is_empty() {
-            self.place_unstarted_near_deadline(&pending, &mut fully_placed);
+            self.place_prioritized_unstarted(&pending, &mut fully_placed);
         }
         let groups = pending.into_iter().enumerate();
         groups
@@ -169,10 +169,10 @@
         pending.group.resumable.is_some() || self.unplaced_pending_count(job_index) == 0
     }
 
-    /// Places tasks that never ran, of jobs near their start deadline, on a limited part
-    /// of the machines' CPUs. Adds the groups without further tasks to place to
-    /// `fully_placed`.
-    fn place_unstarted_near_deadline(
+    /// Places tasks that never ran, of jobs whose start claim gives priority to all such
+    /// tasks, on a limited part of the machines' CPUs. Adds the groups without further
+    /// tasks to place to `fully_placed`.
+    fn place_prioritized_unstarted(
         &mut self,
         pending: &[PendingGroup<'a>],
         fully_placed: &mut BTreeSet<usize>,
@@ -183,7 +183,7 @@
             .map(|s| self.machine_types[s.type_index].cpus)
             .sum();
         let mut cpus_left = self.cluster.cpus_left_for_unstarted(total_cpus);
-        for index in self.groups_near_start_deadline(pending, fully_placed) {
+        for index in self.prioritized_unstarted_groups(pending, fully_placed) {
             let group = pending[index];
             let (job_index, job) = (group.job_index, group.group.job);
             while cpus_left > 0.0
@@ -202,15 +202,16 @@
         }
     }
 
-    /// Indices of the groups of jobs near their start deadline, sorted by the jobs' time of
-    /// acceptance. Leaves out resumable tasks and the groups in `fully_placed`.
-    fn groups_near_start_deadline(
+    /// Indices of the groups of jobs whose start claim gives priority to all tasks that
+    /// never ran, sorted by the jobs' time of acceptance. Leaves out resumable tasks and
+    /// the groups in `fully_placed`.
+    fn prioritized_unstarted_groups(
         &self,
         pending: &[PendingGroup<'a>],
         fully_placed: &BTreeSet<usize>,
     ) -> Vec<usize> {
         let claims = &self.cluster.start_deadlines.claims;
-        let mut near: Vec<(u32, usize)> = pending
+        let mut prioritized: Vec<(u32, usize)> = pending
             .iter()
             .enumerate()
             .filter(|(index, p)| !fully_placed.contains(index) && p.group.resumable.is_none())
@@ -219,8 +220,8 @@
                 claim.prioritizes_all_tasks.then_some((claim.order, index))
             })
             .collect();
-        near.sort_unstable();
-        near.into_iter().map(|(_, index)| index).collect()
+        prioritized.sort_unstable();
+        prioritized.into_iter().map(|(_, index)| index).collect()
     }
 
     /// Places tasks of jobs with a priority claim, as long as such jobs may use more
--- a/crates/tallygauge-scheduler/src/mapping/utility.rs
+++ b/crates/tallygauge-scheduler/src/mapping/utility.rs
@@ -32,7 +32,7 @@
     }
 
     /// Utility of a task of the job that ends at `end`: the utility of the job's priority
-    /// until its deadline, and the fraction `Config::late_utility` of it afterwards.
+    /// until its deadline, and the fraction `Config::late_utility_factor` of it afterwards.
     pub(crate) fn utility(&self, job: &Job, end: f64) -> f64 {
         let full = self.config.utility_by_priority[priority_index(job.spec.priority)];
         let Some(deadline) = self.deadline_at(job) else {
