--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -238,7 +238,8 @@
         {
             return Some(ReturnReason::Slow);
         }
-        has_unconfirmed_cancellation(worker, config, now).then_some(ReturnReason::Unconfirmed)
+        has_unconfirmed_cancellation(worker, config, now)
+            .then_some(ReturnReason::UnconfirmedCancellation)
     }
 
     /// Whether a machine that has not booted has had enough time to, and this leader has
@@ -370,7 +371,10 @@
 /// Whether an attempt must be stopped so that its machine can be returned; otherwise the
 /// machine is kept until the attempt ends.
 fn must_stop_before_return(attempt: &Attempt, reason: ReturnReason) -> bool {
-    let is_urgent = matches!(reason, ReturnReason::Unconfirmed | ReturnReason::Faulty);
+    let is_urgent = matches!(
+        reason,
+        ReturnReason::UnconfirmedCancellation | ReturnReason::Faulty
+    );
     let saves_checkpoints = attempt.spec.checkpoint_every_s > 0.0;
     let is_starting = attempt.running_since.is_none();
     saves_checkpoints || is_urgent || is_starting || attempt.spec.shape == Shape::Service
--- a/crates/tallygauge-scheduler/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -19,7 +19,7 @@
     /// Tasks run slower on it than on other machines.
     Slow,
     /// It did not confirm in time that cancelled tasks have ended.
-    Unconfirmed,
+    UnconfirmedCancellation,
     /// It has sent no heartbeat for several leases.
     Silent,
     /// It sends heartbeats, but messages sent to it do not arrive.
--- a/crates/tallygauge-scheduler/src/scale_in.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -216,7 +216,7 @@
                 continue;
             };
             let is_given_up = match reason {
-                ReturnReason::Unconfirmed => true,
+                ReturnReason::UnconfirmedCancellation => true,
                 ReturnReason::BootTimeout | ReturnReason::Failed => {
                     now - self.term_started_at > settle_s
                 }
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -46,7 +46,7 @@
     let return_reason = c.workers["sa"]
         .return_decision
         .map(|decision| decision.reason);
-    assert_eq!(return_reason, Some(ReturnReason::Unconfirmed));
+    assert_eq!(return_reason, Some(ReturnReason::UnconfirmedCancellation));
 }
 
 /// Entry of the machine list for machine `sa`, which was rented 900 s ago.
--- a/crates/tallygauge-scheduler/src/tests/minimum_share.rs
+++ b/crates/tallygauge-scheduler/src/tests/minimum_share.rs
@@ -6,7 +6,10 @@
 /// Reference model of the mapping with priority claims: as long as jobs with a claim may use
 /// more CPUs, scores all of them and starts a task of the class that uses the fewest.
 /// Then places all other tasks by utility per time.
-fn plain_with_claims(cluster: &ClusterState, now: f64) -> Vec<(String, u32, String)> {
+fn reference_placements_with_claims(
+    cluster: &ClusterState,
+    now: f64,
+) -> Vec<(String, u32, String)> {
     let mut model = ReferenceModel::new(cluster, now);
     let usable = || {
         cluster
@@ -119,7 +122,7 @@
             cluster.add_job(spec, 1, 60.0 + n as f64, &RangeSet::default());
         }
         let without_claims = reference_placements(&cluster, 101.0);
-        prop_assert_eq!(plain_with_claims(&cluster, 101.0), without_claims);
+        prop_assert_eq!(reference_placements_with_claims(&cluster, 101.0), without_claims);
         let ids: Vec<String> = cluster.jobs.keys().cloned().collect();
         for (order, (id, (has_claim, for_min_share))) in (0..).zip(ids.iter().zip(claims)) {
             if has_claim {
@@ -135,7 +138,7 @@
             }
         }
         cluster.minimum_share.machine_share = machine_share;
-        let expected = plain_with_claims(&cluster, 101.0);
+        let expected = reference_placements_with_claims(&cluster, 101.0);
         prop_assert_eq!(round_without_preemption(&mut cluster, 101.0), expected);
     }
 }
--- a/crates/tallygauge-scheduler/src/tests/start_deadline.rs
+++ b/crates/tallygauge-scheduler/src/tests/start_deadline.rs
@@ -12,7 +12,10 @@
 ///    of their acceptance.
 /// 2. Jobs all of whose tasks have priority get further tasks.
 /// 3. All other tasks are placed by utility per time, except on reserved machines.
-fn plain_with_start_claims(cluster: &ClusterState, now: f64) -> Vec<(String, u32, String)> {
+fn reference_placements_with_start_claims(
+    cluster: &ClusterState,
+    now: f64,
+) -> Vec<(String, u32, String)> {
     let mut model = ReferenceModel::new(cluster, now);
     let mut claims: Vec<(&String, &crate::start_deadline::state::StartClaim)> =
         cluster.start_deadlines.claims.iter().collect();
@@ -88,7 +91,7 @@
         cluster.minimum_share.claims.clear();
         cluster.minimum_share.reserved.clear();
         cluster.update_start_claims(201.0);
-        let expected = plain_with_start_claims(&cluster, 201.0);
+        let expected = reference_placements_with_start_claims(&cluster, 201.0);
         cluster.run_round(201.0, false);
         let mut placements: Vec<(u64, (String, u32, String))> = cluster.workers.values().flat_map(|w| w.attempts.iter().filter(|a| a.phase == AttemptPhase::Planned).map(|a| (a.number, (a.spec.id.clone(), a.index, w.name.clone())))).collect();
         placements.sort();
--- a/crates/tallygauge/src/cloud/returns.rs
+++ b/crates/tallygauge/src/cloud/returns.rs
@@ -78,7 +78,9 @@
     let is_sole_leader = controller.holds_unexpired_lease();
     let due = controller.with_cluster(|cluster| {
         let mut due = cluster.machines_to_return(now);
-        due.retain(|machine| is_sole_leader || machine.reason == ReturnReason::Unconfirmed);
+        due.retain(|machine| {
+            is_sole_leader || machine.reason == ReturnReason::UnconfirmedCancellation
+        });
         due.truncate(MAX_MACHINES_PER_RETURN);
         let names: Vec<String> = due.iter().map(|machine| machine.name.clone()).collect();
         cluster.mark_return_sent(&names);
