--- a/crates/tallygauge-scheduler/src/cluster_state.rs
+++ b/crates/tallygauge-scheduler/src/cluster_state.rs
@@ -15,7 +15,7 @@
 use tallygauge_locality::ImageIndex;
 use tallygauge_protocol::{cloud::MachineType, users::JobSpec};
 
-/// Maximum number of tombstones for machines that are gone.
+/// Maximum number of tombstones for machines that no longer exist.
 const MAX_TOMBSTONES: usize = 4096;
 
 /// How long a tombstone is kept, as a multiple of the lease duration. Late duplicates of
@@ -38,7 +38,7 @@
 }
 
 /// The leader's model of jobs, workers and teams. Times are seconds of the leader's
-/// steady clock.
+/// monotonic clock.
 ///
 /// Invariants, which reconciliation checks:
 /// - `free_resources` of a worker equals the resources of its machine type minus those of
@@ -61,7 +61,7 @@
     pub jobs: BTreeMap<String, Job>,
     /// Machines with their workers, by name.
     pub workers: BTreeMap<String, Worker>,
-    /// Machines that are gone but may still appear in old machine lists and late
+    /// Machines that no longer exist but may still appear in old machine lists and late
     /// heartbeats.
     pub(crate) tombstones: Tombstones,
 
@@ -165,8 +165,8 @@
             self.machine_types
                 .insert(machine_type.name.clone(), machine_type.clone());
         }
-        // Machines may be known before their types, such as after a failover to a
-        // controller that has just started.
+        // Machines may be registered before their types are known, for example after a
+        // failover to a controller that has just started.
         for worker in self.workers.values_mut() {
             let Some(machine_type) = self.machine_types.get(&worker.machine_type) else {
                 continue;
@@ -183,8 +183,8 @@
         self.needs_scheduling = true;
     }
 
-    /// Adds an open job with the tasks that are known to be completed. A job that is
-    /// already known, or whose team is not configured, is ignored.
+    /// Adds an open job with the tasks that are known to be completed. A job that was added
+    /// before, or whose team is not configured, is ignored.
     pub fn add_job(&mut self, spec: JobSpec, version: u64, accepted_at: f64, completed: &RangeSet) {
         if self.jobs.contains_key(&spec.id) {
             return;
@@ -205,7 +205,7 @@
     }
 
     /// Removes a job that has completed or was cancelled, and decides to stop its
-    /// attempts that have not ended. Returns whether the job was known.
+    /// attempts that have not ended. Returns whether the job was open.
     pub fn remove_job(&mut self, id: &str, now: f64) -> bool {
         let Some(job) = self.jobs.remove(id) else {
             return false;
@@ -214,7 +214,7 @@
         self.record_job_end(&job, now);
         self.jobs_with_unsaved_progress.remove(id);
         self.completion_pages
-            .forget_job(id, job.spec.tasks.div_ceil(self.tasks_per_chunk));
+            .remove_job(id, job.spec.tasks.div_ceil(self.tasks_per_chunk));
         for machine in job.attempts_by_worker.keys() {
             let Some(worker) = self.workers.get_mut(machine) else {
                 continue;
--- a/crates/tallygauge-scheduler/src/commands.rs
+++ b/crates/tallygauge-scheduler/src/commands.rs
@@ -44,7 +44,7 @@
     Probe,
 }
 
-/// Numbers of direct messages that were neither answered nor have timed out.
+/// Numbers of direct messages that have neither been answered nor timed out.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightMessages {
     total: usize,
@@ -181,7 +181,7 @@
     }
 
     /// Records that a direct message was answered, or failed (`answered` is false). The
-    /// starts in a failed message may still be executed, unless the message was
+    /// start commands in a failed message may still be executed, unless the message was
     /// `never_sent` because no connection was made.
     pub fn record_direct_message_result(
         &mut self,
@@ -245,7 +245,8 @@
         (is_alive && is_probe_due).then_some(MessagePurpose::Probe)
     }
 
-    /// Whether a start was not sent yet, or a stop was decided since the last heartbeat.
+    /// Whether a start command was not sent yet, or a stop was decided since the last
+    /// heartbeat.
     fn has_unsent_command(&self) -> bool {
         self.attempts
             .iter()
@@ -261,15 +262,16 @@
             })
     }
 
-    /// Whether a command may be sent in a direct message. A start is sent in at most one
-    /// direct message, as that may arrive late; heartbeat responses repeat the start.
+    /// Whether a command may be sent in a direct message. A start command is sent in at most
+    /// one direct message, since that message may arrive late; heartbeat responses repeat
+    /// the command.
     fn may_send_directly(&self, command: &Command) -> bool {
         match command {
             Command::Start { attempt, .. } => self
                 .attempts
                 .iter()
-                .find(|known| known.number == *attempt)
-                .is_some_and(|known| !known.start_sent),
+                .find(|placed| placed.number == *attempt)
+                .is_some_and(|placed| !placed.start_sent),
             Command::Stop { .. } => true,
             Command::Clear { .. } => false,
         }
--- a/crates/tallygauge-scheduler/src/completion_pages.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages.rs
@@ -277,7 +277,7 @@
 
     /// Removes the first `chunks` chunks of a job that has ended. The next write of their
     /// pages leaves them out.
-    pub fn forget_job(&mut self, job: &str, chunks: u32) {
+    pub fn remove_job(&mut self, job: &str, chunks: u32) {
         for chunk in 0..chunks {
             self.remove_chunk_everywhere(&ChunkId {
                 job: job.to_string(),
--- a/crates/tallygauge-scheduler/src/completion_pages/tests.rs
+++ b/crates/tallygauge-scheduler/src/completion_pages/tests.rs
@@ -103,7 +103,7 @@
     let flush = pages.prepare_flush(std::slice::from_ref(&id), 3, 1000, |_| RangeSet::first(3));
     pages.mark_written(&flush.writes[0], 7);
     assert!(pages.empty_page_removals(9).is_empty());
-    pages.forget_job("req-1", 1);
+    pages.remove_job("req-1", 1);
     let removals = pages.empty_page_removals(9);
     assert_eq!((removals.len(), removals[0].version), (1, 7));
     pages.mark_written(&removals[0], 8);
--- a/crates/tallygauge-scheduler/src/events.rs
+++ b/crates/tallygauge-scheduler/src/events.rs
@@ -87,7 +87,7 @@
         /// Whether it is among the largest jobs of its class.
         is_large: bool,
     },
-    /// The first job that counts for a cutoff became known.
+    /// The first job that counts for a cutoff was added.
     CutoffOpened {
         /// Name of the cutoff.
         cutoff: Arc<str>,
--- a/crates/tallygauge-scheduler/src/heartbeats.rs
+++ b/crates/tallygauge-scheduler/src/heartbeats.rs
@@ -15,11 +15,11 @@
 pub enum HeartbeatOutcome {
     /// Applied; it may be answered.
     Applied,
-    /// Not applied: older than what is known, but its worker may still be waiting for the
-    /// response.
+    /// Not applied: older than a heartbeat that was applied, but its worker may still be
+    /// waiting for the response.
     Overtaken,
-    /// Not applied: older than what is known, either a late copy or from an agent that
-    /// restarted. No agent that a response should keep alive is waiting for one.
+    /// Not applied: older than a heartbeat that was applied, either a late copy or from an
+    /// agent that restarted. No agent that a response should keep alive is waiting for one.
     Stale,
     /// From an agent incarnation that is over, so that a response would be of no use.
     DeadIncarnation,
@@ -57,11 +57,11 @@
             return outcome;
         }
         self.assess_reachability(now, heartbeat, source);
-        let Some(is_known_incarnation) = self.record_contact(now, heartbeat, source) else {
+        let Some(is_current_incarnation) = self.record_contact(now, heartbeat, source) else {
             return HeartbeatOutcome::Stale;
         };
         // Most heartbeats contain nothing new. This fast path keeps them cheap.
-        if is_known_incarnation && self.is_routine(heartbeat) {
+        if is_current_incarnation && self.is_routine(heartbeat) {
             return HeartbeatOutcome::Applied;
         }
         // Without this leader's token the heartbeat may come from an earlier run of the
@@ -96,8 +96,9 @@
         self.apply_heartbeat(now, heartbeat, HeartbeatSource::DirectReply)
     }
 
-    /// Registers the machine of the heartbeat if it is not known. Returns `false` if the
-    /// machine is gone: a late copy of a heartbeat must not add its capacity again.
+    /// Registers the machine of the heartbeat if it is not registered. Returns `false` if
+    /// the machine no longer exists: a late copy of a heartbeat must not add its capacity
+    /// again.
     fn ensure_registered(&mut self, heartbeat: &Heartbeat, now: f64) -> bool {
         if self.workers.contains_key(&heartbeat.machine) {
             return true;
@@ -159,8 +160,9 @@
         Ok(())
     }
 
-    /// Records the data of a heartbeat about the worker itself. Returns whether its
-    /// incarnation was known before, or `None` if the worker is not known.
+    /// Records the data of a heartbeat about the worker itself. Returns whether the
+    /// heartbeat is from the worker's current incarnation, or `None` if the worker is not
+    /// registered.
     fn record_contact(
         &mut self,
         now: f64,
@@ -178,7 +180,7 @@
             worker.direct_failures = 0;
         }
         worker.revoke_return(&[ReturnReason::BootTimeout, ReturnReason::Silent]);
-        let is_known_incarnation = heartbeat.incarnation == worker.incarnation;
+        let is_current_incarnation = heartbeat.incarnation == worker.incarnation;
         if heartbeat.incarnation > worker.incarnation {
             self.needs_scheduling = true;
             worker.incarnation_seen_at = now;
@@ -199,10 +201,10 @@
                 machine: heartbeat.machine.clone(),
             });
         }
-        Some(is_known_incarnation)
+        Some(is_current_incarnation)
     }
 
-    /// Whether a heartbeat of a known incarnation leaves the cluster state unchanged.
+    /// Whether a heartbeat of the current incarnation leaves the cluster state unchanged.
     fn is_routine(&self, heartbeat: &Heartbeat) -> bool {
         self.workers.get(&heartbeat.machine).is_some_and(|worker| {
             worker.fencing_token_seen_at.is_some()
@@ -226,7 +228,8 @@
         }
     }
 
-    /// Handles the restart of a machine's agent, whose tasks are gone.
+    /// Handles the restart of a machine's agent, with which the tasks on the machine were
+    /// lost.
     ///
     /// The restarted agent counts its messages anew, so nothing more of this incarnation is
     /// accepted. It is not answered either, so that it continues with the next incarnation
@@ -278,7 +281,8 @@
         is_new
     }
 
-    /// Marks the current incarnation as dead and clears what was known of the agent.
+    /// Marks the current incarnation as dead, and resets the state of the agent that ended
+    /// with it.
     fn reset_for_agent_restart(&mut self, fencing_token: u64, now: f64) {
         self.last_dead_incarnation = self.last_dead_incarnation.max(self.incarnation);
         self.incarnation_seen_at = now;
--- a/crates/tallygauge-scheduler/src/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/image_locality.rs
@@ -6,10 +6,10 @@
 use tallygauge_locality::{CachedImage, ImageIndex, ImageLocations, ReplicaCounts};
 use tallygauge_protocol::users::Shape;
 
-/// Assumed fetch rate of a machine whose type is not known, GB/s.
+/// Fetch rate assumed for a machine of an unknown type, in GB/s.
 const DEFAULT_FETCH_GB_PER_S: f64 = 1.0;
 
-/// Lower bound of the fetch rate in estimates, GB/s.
+/// Lower bound of the fetch rate in estimates of fetch times, in GB/s.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 impl ClusterState {
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -9,15 +9,16 @@
     workers::TaskState,
 };
 
-/// Longest time without contact (of a machine without attempts), or of being
-/// unreachable, in multiples of the worker lease: a machine is returned after that.
+/// A machine is returned when it has been unreachable for longer than this, or when it has
+/// no attempts and has sent no heartbeat for longer than this. In multiples of the worker
+/// lease.
 const MAX_SILENCE_LEASES: f64 = 4.0;
 
 /// Time after its rental when a machine that has not booted is returned, in multiples
 /// of its type's boot time.
 const BOOT_TIMEOUT_BOOT_TIMES: f64 = 4.0;
 
-/// Boot time that is assumed if a machine's type is not known, in seconds.
+/// Boot time assumed for a machine of an unknown type, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
 /// Number of tasks whose run times must have been compared with those on other machines
@@ -46,8 +47,8 @@
 }
 
 impl ClusterState {
-    /// Adds a machine unless it is registered already, and sets its endpoint unless that
-    /// is known already.
+    /// Adds a machine unless it is registered already, and sets its endpoint unless it has
+    /// one already.
     pub fn register_machine(
         &mut self,
         name: &str,
@@ -80,10 +81,11 @@
         }
     }
 
-    /// Applies a complete machine list that was requested at `requested_at`. A machine
-    /// that was known long enough before that, given the lag of the list, but is not
-    /// listed no longer exists: a machine stays listed for as long as it exists. Such
-    /// machines are deregistered; returns their names.
+    /// Applies a complete machine list that was requested at `requested_at`.
+    ///
+    /// A machine stays listed for as long as it exists, but the list lags behind. So a
+    /// machine that is not listed, although it was known to exist for long enough before
+    /// the request, no longer exists. Deregisters such machines, and returns their names.
     pub fn apply_machine_list(
         &mut self,
         machines: &[Machine],
@@ -253,8 +255,8 @@
             && now - self.term_started_at > self.config.lease_s
     }
 
-    /// Decides whether a machine is to be returned, and stops the attempts that must not
-    /// stay on a machine that is to be returned or that the cloud is about to reclaim.
+    /// Decides whether a machine is to be returned. If it is, or if the cloud is about to
+    /// reclaim it, stops the attempts that must not stay on it.
     pub(crate) fn stop_unwanted_attempts(&mut self, machine: &str, now: f64) {
         let reason = self.return_reason(&self.workers[machine], now);
         let runtime_ratios = self.runtime_ratios_if_reclaimed(machine);
--- a/crates/tallygauge-scheduler/src/mapping/candidates.rs
+++ b/crates/tallygauge-scheduler/src/mapping/candidates.rs
@@ -70,7 +70,7 @@
     /// there is none.
     pub(super) fn best_slot(&mut self, pending: &PendingGroup<'a>) -> Option<BestSlot> {
         let (job_index, group) = (pending.job_index, &pending.group);
-        if self.is_known_unplaceable(job_index) {
+        if self.was_found_unplaceable(job_index) {
             return None;
         }
         let mut candidates = match self.jobs[job_index].candidates.take() {
@@ -99,9 +99,9 @@
         })
     }
 
-    /// Whether it is known that no machine fits a task of the job any more. This can be
-    /// remembered, since free resources only shrink within a round.
-    fn is_known_unplaceable(&self, job_index: usize) -> bool {
+    /// Whether an earlier search of this round has shown that no machine fits a task of the
+    /// job. The result stays valid, since free resources only shrink within a round.
+    fn was_found_unplaceable(&self, job_index: usize) -> bool {
         let entry = &self.jobs[job_index];
         !entry.has_precedence()
             && self
@@ -110,8 +110,8 @@
                 .any(|request| request.covers(&entry.job.spec))
     }
 
-    /// Remembers that no machine fits a task of the job, unless that may be due to the
-    /// job's own constraints or precedence and so does not apply to other jobs.
+    /// Records that no machine fits a task of the job, unless that may be due to the job's
+    /// own constraints or precedence and so does not apply to other jobs.
     fn record_unplaceable(&mut self, job_index: usize) {
         let entry = &self.jobs[job_index];
         let spec = &entry.job.spec;
--- a/crates/tallygauge-scheduler/src/mapping/preemption.rs
+++ b/crates/tallygauge-scheduler/src/mapping/preemption.rs
@@ -167,7 +167,7 @@
     /// already being freed on slots, then preempts running attempts for the tasks without
     /// such a reservation, on the cheapest slots first.
     ///
-    /// `headroom` is the number of tasks that the team's limit allows. Done once per
+    /// `headroom` is the number of tasks that the team's quota allows. Done once per
     /// round and job, for all of the job's pending tasks.
     pub(super) fn preempt_for(&mut self, pending: &PendingGroup<'a>, headroom: usize) {
         let job_index = pending.job_index;
--- a/crates/tallygauge-scheduler/src/mapping/round.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round.rs
@@ -1,6 +1,6 @@
 //! The phases of a scheduling round, in this order:
-//! 1. one task of each job whose first task is overdue, then further tasks of jobs near
-//!    their start deadline;
+//! 1. one task of each job whose first task is overdue, then further tasks of the jobs
+//!    whose start claim gives priority to all tasks that never ran;
 //! 2. tasks of jobs with a priority claim;
 //! 3. all other tasks, by utility per time.
 
@@ -66,9 +66,11 @@
 struct ClaimQueueKey {
     /// Whether the minimum share can be reached without the claimed jobs.
     beyond_min_share: bool,
-    /// Id of the class or team on whose behalf the claims are made. Unlike a
+    /// Group id of the class of the claimed jobs, see [`PriorityClaim::group`]. Unlike a
     /// [`PendingGroup`], it is a group of the minimum share.
-    fairness_group: usize,
+    ///
+    /// [`PriorityClaim::group`]: crate::minimum_share::state::PriorityClaim::group
+    class_group: usize,
 }
 
 type ClaimQueues<'a> = BTreeMap<ClaimQueueKey, VecDeque<ClaimedGroup<'a>>>;
@@ -146,10 +148,10 @@
         by_order.into_values().collect()
     }
 
-    /// Places one task of a job whose first task is overdue. If the team is at its limit,
-    /// the task is counted towards the team's usage without being placed, so that quota
-    /// that becomes free is kept for it. Returns whether the group has no more tasks to
-    /// place.
+    /// Places one task of a job whose first task is overdue. If the team has reached its
+    /// quota, the task is counted towards the team's usage without being placed, so that
+    /// quota that becomes free is kept for it. Returns whether the group has no more tasks
+    /// to place.
     fn place_overdue_first_task(&mut self, pending: PendingGroup<'a>, preempt: bool) -> bool {
         let job_index = pending.job_index;
         let job = pending.group.job;
@@ -228,9 +230,9 @@
     /// CPUs. Returns the groups that were not placed in full.
     ///
     /// - Claims that the minimum share needs come first.
-    /// - The next task is always taken from the class or team whose jobs with a claim use
-    ///   the fewest CPUs at that moment.
-    /// - Within a class or team, jobs are taken in the order of their claims.
+    /// - The next task is always taken from the class whose jobs with a claim use the fewest
+    ///   CPUs at that moment.
+    /// - Within a class, jobs are taken in the order of their claims.
     fn place_claimed_jobs(
         &mut self,
         pending: Vec<PendingGroup<'a>>,
@@ -281,7 +283,7 @@
             };
             let key = ClaimQueueKey {
                 beyond_min_share: !claim.for_min_share,
-                fairness_group: claim.group,
+                class_group: claim.group,
             };
             queues.entry(key).or_default().push_back(ClaimedGroup {
                 order: claim.order,
@@ -302,16 +304,16 @@
     }
 
     /// The queue that the next task is taken from: of the non-empty queues, those of
-    /// claims that the minimum share needs come first, and among them the class or team
-    /// whose jobs with a claim use the fewest CPUs.
+    /// claims that the minimum share needs come first, and among them the class whose jobs
+    /// with a claim use the fewest CPUs.
     fn next_claim_queue<'q>(
         &self,
         queues: &'q mut ClaimQueues<'a>,
     ) -> Option<&'q mut VecDeque<ClaimedGroup<'a>>> {
         let non_empty = queues.iter_mut().filter(|(_, queue)| !queue.is_empty());
         let next = non_empty.min_by(|(a, _), (b, _)| {
-            let by_usage = self.claim_cpus_used[a.fairness_group]
-                .total_cmp(&self.claim_cpus_used[b.fairness_group]);
+            let by_usage =
+                self.claim_cpus_used[a.class_group].total_cmp(&self.claim_cpus_used[b.class_group]);
             a.beyond_min_share.cmp(&b.beyond_min_share).then(by_usage)
         });
         next.map(|(_, queue)| queue)
--- a/crates/tallygauge-scheduler/src/mapping/round_setup.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round_setup.rs
@@ -156,8 +156,7 @@
     (jobs, pending)
 }
 
-/// CPUs used by jobs with a priority claim, by the id of the claim's group, which is a
-/// class or a team.
+/// CPUs used by jobs with a priority claim, by the group id of their class.
 fn claim_cpus_used(cluster: &ClusterState) -> Vec<f64> {
     let mut used_cpus = vec![0.0; cluster.minimum_share.service_counts.keys().len()];
     for (id, claim) in &cluster.minimum_share.claims {
--- a/crates/tallygauge-scheduler/src/mapping/round_state.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round_state.rs
@@ -212,12 +212,11 @@
     pub(super) unplaceable_requests: Vec<UnplaceableRequest>,
     /// What each team uses, including the starts of this round and the quota kept for
     /// tasks that can't start yet: those with a reservation on a slot that is being
-    /// freed, and overdue first tasks of teams at their limit.
+    /// freed, and overdue first tasks of teams that have reached their quota.
     pub(super) quota_usage: Vec<QuotaUsage>,
     /// What each team will release when the stops of its attempts are confirmed.
     pub(super) quota_being_released: Vec<QuotaUsage>,
-    /// CPUs used by jobs with a priority claim, by the id of the claim's group, which is
-    /// a class or a team.
+    /// CPUs used by jobs with a priority claim, by the group id of their class.
     pub(super) claim_cpus_used: Vec<f64>,
     /// CPUs that jobs with a priority claim may still use on machines that are not
     /// reserved for them.
@@ -257,7 +256,7 @@
         }
     }
 
-    /// Number of further tasks of the job that its team's limit allows.
+    /// Number of further tasks of the job that its team's quota allows.
     pub(super) fn quota_headroom(&self, job: &Job) -> usize {
         let team = &self.cluster.config.teams[job.team];
         let usage = &self.quota_usage[job.team];
--- a/crates/tallygauge-scheduler/src/minimum_share/mod.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/mod.rs
@@ -49,13 +49,13 @@
 }
 
 impl ClusterState {
-    /// Sets the Unix time at `now` of the steady clock, so that the time windows of service
-    /// counts match those of other leaders.
+    /// Sets the Unix time at `now` of the monotonic clock, so that the time windows of
+    /// service counts match those of other leaders.
     pub fn set_unix_time(&mut self, now: f64, unix_time_s: f64) {
         self.minimum_share.unix_time_offset_s = unix_time_s - now;
     }
 
-    /// Unix time at `now` of the steady clock, in seconds.
+    /// Unix time at `now` of the monotonic clock, in seconds.
     pub(crate) fn unix_time_s(&self, now: f64) -> f64 {
         now + self.minimum_share.unix_time_offset_s
     }
--- a/crates/tallygauge-scheduler/src/minimum_share/selection.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/selection.rs
@@ -15,11 +15,14 @@
 };
 use tallygauge_protocol::users::Shape;
 
-/// Where the backlog takes longer than the service deadline of a job, the job counts as
-/// overdue after this fraction of its service deadline, or earlier, the longer the
-/// backlog takes; later only if it takes longer by itself. For
-/// [`OverdueRule::Backlog`], this is also the fraction of the backlog's time after which
-/// it counts as overdue at the latest.
+/// Maximum fraction of its service deadline after which a job counts as overdue if the
+/// backlog takes longer than that deadline:
+///
+/// - The longer the backlog takes, the smaller is the fraction that applies.
+/// - A job that takes longer by itself is overdue only after that time.
+///
+/// For [`OverdueRule::Backlog`], this is also the fraction of the backlog's time after which
+/// a job counts as overdue at the latest.
 const OVERDUE_FRACTION: f64 = 0.7;
 
 /// Minimum share of a class or team, as a fraction of the configured target share.
@@ -28,10 +31,10 @@
 /// What determines when a job counts as overdue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum OverdueRule {
-    /// The time within which it should be served.
+    /// Its service deadline.
     ServiceDeadline,
-    /// That time or the backlog, whichever is earlier, so that a loose objective
-    /// doesn't keep a job from counting.
+    /// Its service deadline or the backlog, whichever is earlier, so that a loose objective
+    /// doesn't keep a job from counting as overdue.
     Backlog,
 }
 
--- a/crates/tallygauge-scheduler/src/minimum_share/state.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/state.rs
@@ -24,7 +24,7 @@
 /// What a machine is reserved for.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Reservation {
-    /// Id of the group whose jobs it is reserved for.
+    /// Group id of the class whose jobs it is reserved for.
     pub(crate) group: usize,
     /// CPUs of the smallest task that may start there.
     pub(crate) min_task_cpus: f64,
@@ -34,7 +34,7 @@
 pub(crate) struct MinimumShare {
     /// Numbers of jobs done, late and cancelled, by class and team.
     pub(crate) service_counts: ServiceCounts,
-    /// Unix time minus the time of the steady clock, in seconds.
+    /// Unix time minus the time of the monotonic clock, in seconds.
     pub(crate) unix_time_offset_s: f64,
     /// Priority claims by job id.
     pub(crate) claims: HashMap<String, PriorityClaim>,
--- a/crates/tallygauge-scheduler/src/model/attempt.rs
+++ b/crates/tallygauge-scheduler/src/model/attempt.rs
@@ -64,12 +64,12 @@
 pub struct StopDecision {
     /// Why the attempt is stopped.
     pub reason: StopReason,
-    /// When the decision was made, in seconds of the leader's steady clock.
+    /// When the decision was made, in seconds of the leader's monotonic clock.
     pub at: f64,
 }
 
 /// An attempt of a task on a worker, from its placement until the worker has
-/// forgotten it. Times are seconds of the leader's steady clock.
+/// forgotten it. Times are seconds of the leader's monotonic clock.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     /// Spec of the job that the task belongs to.
--- a/crates/tallygauge-scheduler/src/model/config.rs
+++ b/crates/tallygauge-scheduler/src/model/config.rs
@@ -35,7 +35,7 @@
     pub fencing_timeout_s: f64,
     /// Nominal time by which the cloud's machine list lags behind.
     pub list_lag_s: f64,
-    /// Maximum drift between two steady clocks, as a fraction of the elapsed time.
+    /// Maximum drift between two monotonic clocks, as a fraction of the elapsed time.
     pub clock_drift: f64,
     /// Lower bound of a task's remaining run time when its utility per time is computed.
     pub min_remaining_s: f64,
--- a/crates/tallygauge-scheduler/src/model/job.rs
+++ b/crates/tallygauge-scheduler/src/model/job.rs
@@ -42,7 +42,7 @@
     pub worker: String,
 }
 
-/// An open job. Times are seconds of the leader's steady clock.
+/// An open job. Times are seconds of the leader's monotonic clock.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// Spec as submitted.
--- a/crates/tallygauge-scheduler/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -31,7 +31,7 @@
 pub struct ReturnDecision {
     /// Why the machine is returned.
     pub reason: ReturnReason,
-    /// When the decision was made, in seconds of the leader's steady clock.
+    /// When the decision was made, in seconds of the leader's monotonic clock.
     pub at: f64,
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// A machine and the worker on it. Times are seconds of the leader's steady clock.
+/// A machine and the worker on it. Times are seconds of the leader's monotonic clock.
 #[derive(Debug, Clone)]
 pub struct Worker {
     /// Name of the machine.
--- a/crates/tallygauge-scheduler/src/reconciliation.rs
+++ b/crates/tallygauge-scheduler/src/reconciliation.rs
@@ -147,7 +147,7 @@
     }
     if attempts_by_task != job.attempts_by_task {
         differences.push(format!(
-            "{job_id}: {} tasks were recorded on machines, {} are there",
+            "{job_id}: {} tasks were recorded on machines, {} have attempts on machines",
             job.attempts_by_task.len(),
             attempts_by_task.len()
         ));
--- a/crates/tallygauge-scheduler/src/runtime_estimates.rs
+++ b/crates/tallygauge-scheduler/src/runtime_estimates.rs
@@ -18,7 +18,7 @@
 
 /// Minimum number of completed tasks of a job on other machines for a machine to be
 /// compared with them.
-const MIN_COMPARED_TASKS: u32 = 2;
+const MIN_TASKS_ON_OTHER_MACHINES: u32 = 2;
 
 /// Exponentially decaying mean of the ratio of measured to expected run time in a class.
 #[derive(Debug, Clone, Copy, Default)]
@@ -79,7 +79,7 @@
                 other_samples.count += samples.count;
             }
         }
-        if other_samples.count >= MIN_COMPARED_TASKS
+        if other_samples.count >= MIN_TASKS_ON_OTHER_MACHINES
             && other_samples.sum > 0.0
             && let Some(worker) = self.workers.get_mut(machine)
         {
--- a/crates/tallygauge-scheduler/src/scale_in.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -19,7 +19,7 @@
 /// boot time.
 const WARM_UP_BOOTS: f64 = 2.0;
 
-/// Boot time assumed for a machine of an unknown type.
+/// Boot time assumed for a machine of an unknown type, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
 /// Size of a machine type.
@@ -179,9 +179,12 @@
         candidates
     }
 
-    /// Marks empty machines as leaving if they are surplus or have been idle for long.
-    /// Returns all machines that can be returned now: those that are leaving and empty,
-    /// with all ends of tasks durable, and those that are given up.
+    /// Decides to return empty machines that are surplus or have been idle for long. Returns
+    /// all machines that can be returned now. These are, of the machines to be returned:
+    ///
+    /// - those that are empty and on which all ends of tasks are durable;
+    /// - those that need not become empty first, for example because they have been silent
+    ///   for long enough.
     pub fn machines_to_return(&mut self, now: f64) -> Vec<ReturnableMachine> {
         let mut returnable = Vec::new();
         let idle_timeout_boot_times = self.config.idle_timeout_boot_times;
@@ -215,7 +218,7 @@
             let Some(ReturnDecision { reason, at: since }) = worker.return_decision else {
                 continue;
             };
-            let is_given_up = match reason {
+            let need_not_be_empty = match reason {
                 ReturnReason::UnconfirmedCancellation => true,
                 ReturnReason::BootTimeout | ReturnReason::Failed => {
                     now - self.term_started_at > settle_s
@@ -223,7 +226,7 @@
                 ReturnReason::Silent | ReturnReason::Unreachable => now - since > settle_s,
                 ReturnReason::Faulty | ReturnReason::Slow | ReturnReason::Idle => false,
             };
-            if is_given_up || (is_empty && !has_unsaved_ends) {
+            if need_not_be_empty || (is_empty && !has_unsaved_ends) {
                 returnable.push(ReturnableMachine {
                     name: worker.name.clone(),
                     reason,
--- a/crates/tallygauge-scheduler/src/scale_out.rs
+++ b/crates/tallygauge-scheduler/src/scale_out.rs
@@ -131,7 +131,7 @@
     }
 
     /// Packs the tasks of a group into the machines of the plan, and adds machines to rent
-    /// for those that are left.
+    /// for the tasks that are left.
     fn pack<'a>(&'a self, group: &TaskGroup<'a>, now: f64, plan: &mut RentalPlan<'a>) {
         let job = group.job;
         let task_count = group.task_count();
@@ -176,9 +176,10 @@
         }
     }
 
-    /// Fraction of a slot's time until the horizon that a task of the group takes; less
-    /// than 1 if several tasks can run one after another in the same slot. That holds for
-    /// tasks that are short compared with a boot, or that have slack to wait.
+    /// Fraction of a slot's time until the horizon that a task of the group takes. A slot is
+    /// the capacity of a machine for one task at a time. The fraction is less than 1 if
+    /// several tasks can run one after another in the same slot, which holds for tasks that
+    /// are short compared with a boot or that have slack to wait.
     fn load_per_task(&self, group: &TaskGroup, machine_type: &MachineType, now: f64) -> f64 {
         let run_s = self.remaining_s(group.job, group.checkpointed_s());
         let boot_horizon_s = machine_type.boot_s * self.config.rental_horizon_boot_times;
@@ -230,7 +231,7 @@
     }
 
     /// Attempts on machines that are large enough for `large_task`, and the CPUs that are
-    /// free on others.
+    /// free on smaller machines.
     fn relocatable_attempts(&self, large_task: &JobSpec) -> RelocatableAttempts<'_> {
         let mut relocatable = RelocatableAttempts::default();
         for worker in self.workers.values() {
--- a/crates/tallygauge-scheduler/src/start_deadline/mod.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/mod.rs
@@ -12,8 +12,9 @@
 //!   the start deadline, since it can't be met any more.
 //!
 //! Any other job gets one task placed first if none has run when [`SMALL_JOB_AFTER`] of
-//! the time has passed. While the minimum share gives jobs priority, only few such jobs
-//! do: one task of each of many jobs would keep all of them from being done.
+//! the time has passed. While the minimum share gives jobs priority, this holds only for a
+//! few of these jobs: one task of each of many jobs would keep all of them from being
+//! done.
 //!
 //! Tasks of jobs with a start claim are not preempted until they have run for long
 //! enough to count as started.
--- a/crates/tallygauge-scheduler/src/task_status.rs
+++ b/crates/tallygauge-scheduler/src/task_status.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use tallygauge_protocol::workers::{EndCause, Heartbeat, TaskState, TaskStatus};
 
-/// Lower bound of the fetch rate in estimates of fetch times, in GB per second.
+/// Lower bound of the fetch rate in estimates of fetch times, in GB/s.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 impl ClusterState {
@@ -60,7 +60,7 @@
     }
 
     /// Applies the status of one attempt, or appends the attempt to `orphans` if it is
-    /// neither known nor can be adopted.
+    /// neither among the worker's attempts nor can be adopted.
     fn apply_task_status(
         &mut self,
         now: f64,
@@ -94,8 +94,8 @@
     }
 
     /// Index of a reported attempt in the attempts of its worker. An attempt that is not
-    /// known is adopted if its job is open, so that it is accounted for. Otherwise returns
-    /// `None`, and the worker is to be told to stop and forget the attempt.
+    /// among these is adopted if its job is open, so that it is accounted for. Otherwise
+    /// returns `None`, and the worker is to be told to stop and forget the attempt.
     fn find_or_adopt_attempt(
         &mut self,
         now: f64,
@@ -105,11 +105,11 @@
     ) -> Option<usize> {
         let (job_id, index) = parse_task_name(&status.task)?;
         let worker = self.workers.get(machine)?;
-        let known = worker.attempts.iter().position(|attempt| {
+        let position = worker.attempts.iter().position(|attempt| {
             attempt.number == status.attempt && attempt.spec.id == job_id && attempt.index == index
         });
-        if known.is_some() {
-            return known;
+        if position.is_some() {
+            return position;
         }
         let job = self.jobs.get(job_id).filter(|job| index < job.spec.tasks)?;
         let spec = job.spec.clone();
@@ -209,18 +209,18 @@
     }
 }
 
-/// Whether a heartbeat reports exactly the known attempts of a worker, each in its known
-/// state, and none of them is to be stopped or has a start time that is still to be
-/// recorded.
+/// Whether a heartbeat with these task statuses reports nothing new: it reports exactly the
+/// attempts of the worker, each in the state that was last observed, and none of them is
+/// to be stopped or has a start time that is still to be recorded.
 pub(crate) fn is_unchanged(worker: &Worker, statuses: &[TaskStatus]) -> bool {
     worker.orphaned_attempts.is_empty()
         && worker.attempts.len() == statuses.len()
         && statuses.iter().all(|status| {
-            let known = worker
+            let reported = worker
                 .attempts
                 .iter()
                 .find(|attempt| attempt.number == status.attempt);
-            known.is_some_and(|attempt| {
+            reported.is_some_and(|attempt| {
                 attempt.phase == AttemptPhase::Observed(status.state)
                     && attempt.stop.is_none()
                     && (status.state == TaskState::Fetching || attempt.running_since.is_some())
--- a/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
+++ b/crates/tallygauge-scheduler/src/tests/batch_deadlines.rs
@@ -40,7 +40,7 @@
     spec
 }
 
-/// A cluster whose steady clock shows 100 s at [`TEST_START`].
+/// A cluster whose monotonic clock shows 100 s at [`TEST_START`].
 fn cluster_with_rules(rules: Vec<CutoffRule>) -> ClusterState {
     let mut cluster = cluster(&["sa"], 100.0);
     cluster.set_unix_time(100.0, TEST_START);
@@ -121,7 +121,7 @@
         ((1, 0), 1),
         "a cancelled job counts neither as done nor as open"
     );
-    // The next leader, whose steady clock differs, has the same counts.
+    // The next leader, whose monotonic clock differs, has the same counts.
     let tracker_json = serde_json::to_string(cluster.deadline_tracker()).unwrap();
     let mut next = ClusterState::new(config(), 7000.0, 16, 4096);
     next.set_machine_types(&machine_types());
@@ -164,8 +164,8 @@
     assert_eq!(next.deadline_tracker().closed_cutoffs().count(), 1);
 }
 
-/// Adds a job that was accepted 20 s before `now` of the steady clock, and at the Unix time
-/// `accepted`.
+/// Adds a job that was accepted 20 s before `now` of the monotonic clock, and at the Unix
+/// time `accepted`.
 fn add_earlier_job(cluster: &mut ClusterState, spec: JobSpec, accepted: f64, now: f64) {
     let id = spec.id.clone();
     cluster.add_job(spec, 1, now - 20.0, &RangeSet::default());
--- a/crates/tallygauge-scheduler/src/tests/recovery.rs
+++ b/crates/tallygauge-scheduler/src/tests/recovery.rs
@@ -10,7 +10,7 @@
 /// Unix time of the failover, in seconds: 10 s after the first job was accepted.
 const UNIX_TIME_S: f64 = 1_750_000_010.5;
 
-/// The new leader's steady clock at the failover, in seconds.
+/// The new leader's monotonic clock at the failover, in seconds.
 const NOW: f64 = 100.0;
 
 /// A stored record: its key without the prefix, its version and its value.
--- a/crates/tallygauge/src/cleanup.rs
+++ b/crates/tallygauge/src/cleanup.rs
@@ -29,7 +29,7 @@
 
 /// Removes obsolete records for as long as this controller leads. Never returns.
 ///
-/// A removal whose answer is lost is repeated later. This is safe: removing a placement
+/// A removal whose response is lost is repeated later. This is safe: removing a placement
 /// batch twice has no effect, and the removal of a page is conditioned on its version.
 pub async fn run(controller: &Controller, term_condition: &Condition) {
     let pause = heartbeat_intervals(controller, CLEANUP_HEARTBEAT_INTERVALS);
--- a/crates/tallygauge/src/connection_limits.rs
+++ b/crates/tallygauge/src/connection_limits.rs
@@ -20,7 +20,7 @@
 const LOW_FRACTION: f64 = 1.0 / 4.0;
 
 /// The number of free connections is critical if it is below this fraction of the limit.
-/// Users' connections are then closed after each response, and a leader sheds users' load.
+/// Users' connections are then closed after each response, and a leader sheds user load.
 const CRITICAL_FRACTION: f64 = 1.0 / 8.0;
 
 /// Numbers of open connections, and the limit of the process.
--- a/crates/tallygauge/src/controller.rs
+++ b/crates/tallygauge/src/controller.rs
@@ -85,7 +85,7 @@
     pub job_cache: JobCache,
     /// On a follower: task counts of active jobs, as last read from the leader.
     pub task_counts: TaskCountCache,
-    /// Batched checks of known key versions against the store.
+    /// Batched checks of cached key versions against the store.
     pub version_checks: VersionChecks,
     /// Wakes the scheduling loop after a change of the cluster state.
     pub wake_scheduler: Notify,
--- a/crates/tallygauge/src/job_watch.rs
+++ b/crates/tallygauge/src/job_watch.rs
@@ -8,17 +8,17 @@
 ///
 /// - `now` and `unix_time_s` are the same instant, in seconds: `now` on the controller's
 ///   clock, `unix_time_s` since the Unix epoch.
-/// - `finished` contains the tasks that are known to be done.
+/// - `completed` contains the tasks that are known to be completed.
 pub fn add_job(
     cluster: &mut ClusterState,
     record: ActiveJobRecord,
     version: u64,
     (now, unix_time_s): (f64, f64),
-    finished: &RangeSet,
+    completed: &RangeSet,
 ) {
     let accepted_at = now - (unix_time_s - record.accepted_at).max(0.0);
     let id = record.spec.id.clone();
-    cluster.add_job(record.spec, version, accepted_at, finished);
+    cluster.add_job(record.spec, version, accepted_at, completed);
     cluster.set_accepted_unix_time(&id, record.accepted_at);
 }
 
@@ -33,8 +33,8 @@
             key,
         } => match serde_json::from_value::<ActiveJobRecord>(value) {
             Ok(record) => {
-                let finished = RangeSet::default();
-                add_job(cluster, record, version, (now, unix_time_s), &finished);
+                let completed = RangeSet::default();
+                add_job(cluster, record, version, (now, unix_time_s), &completed);
             }
             Err(error) => tracing::error!(%error, key, "malformed record of an active job"),
         },
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -290,7 +290,8 @@
                 }
                 self.records.mark_written(batch, self.controller.now());
             }
-            // An indeterminate write may have been executed, so the known versions may be stale.
+            // An indeterminate write may have been executed, so the last known versions may
+            // be stale.
             Ok(TransactionOutcome::Conflict { .. })
             | Err(StoreError::Indeterminate { .. } | StoreError::Malformed { .. }) => {
                 self.reload_versions().await;
--- a/crates/tallygauge/src/progress.rs
+++ b/crates/tallygauge/src/progress.rs
@@ -1,4 +1,4 @@
-//! Makes progress durable: completions of whole jobs, and completion pages with the finished
+//! Makes progress durable: completions of whole jobs, and completion pages with the completed
 //! tasks of jobs that are not complete.
 
 use crate::{
@@ -19,7 +19,7 @@
 use tallygauge_store::{RequestPriority, StoreError, TransactionOutcome};
 
 /// Longest wait before completed jobs are collected, when no notification arrives earlier,
-/// and pause before finished tasks are collected, in heartbeat intervals.
+/// and pause before completed tasks are collected, in heartbeat intervals.
 const MAX_FLUSH_HEARTBEAT_INTERVALS: f64 = 0.4;
 
 /// Minimum pause between two collections of completed jobs, in heartbeat intervals.
@@ -72,7 +72,7 @@
     }
 }
 
-/// Makes finished tasks of incomplete jobs durable for as long as this controller leads.
+/// Makes completed tasks of incomplete jobs durable for as long as this controller leads.
 /// Only one flush is in flight at a time, since the write of a page is conditioned on the
 /// page's version. Never returns.
 pub async fn flush_completion_pages(controller: &Arc<Controller>, term_condition: &Condition) {
@@ -157,8 +157,9 @@
     controller.wake_scheduler.notify_one();
 }
 
-/// Removes from the cluster state the jobs whose active record is gone: they were cancelled
-/// before their completion, or an unanswered attempt to commit the completion was executed.
+/// Removes from the cluster state the jobs whose active record no longer exists: they were
+/// cancelled before their completion, or an unanswered attempt to commit the completion was
+/// executed.
 fn remove_jobs_without_active_record(
     controller: &Controller,
     completions: &[JobCompletion],
--- a/crates/tallygauge/src/reconciliation.rs
+++ b/crates/tallygauge/src/reconciliation.rs
@@ -113,21 +113,21 @@
     ended: Vec<String>,
 }
 
-/// Compares `known`, the ids of the jobs in a cluster state that contained all changes up
-/// to `watched_revision`, with `stored`, the records that were listed afterwards.
+/// Compares `cluster_jobs`, the ids of the jobs in a cluster state that contained all changes
+/// up to `watched_revision`, with `stored`, the records that were listed afterwards.
 fn compare_jobs(
-    known: &BTreeSet<String>,
+    cluster_jobs: &BTreeSet<String>,
     stored: Vec<KeyValue>,
     watched_revision: u64,
 ) -> JobDifferences {
     let job_id = |entry: &KeyValue| active_job_id(&entry.key).map(str::to_string);
     let active: BTreeSet<String> = stored.iter().filter_map(job_id).collect();
     let is_missing = |entry: &KeyValue| {
-        let is_known = job_id(entry).is_some_and(|id| known.contains(&id));
-        entry.version <= watched_revision && !is_known
+        let is_in_cluster = job_id(entry).is_some_and(|id| cluster_jobs.contains(&id));
+        entry.version <= watched_revision && !is_in_cluster
     };
     JobDifferences {
-        ended: known.difference(&active).cloned().collect(),
+        ended: cluster_jobs.difference(&active).cloned().collect(),
         missing: stored.into_iter().filter(is_missing).collect(),
     }
 }
--- a/crates/tallygauge/src/reconciliation/tests.rs
+++ b/crates/tallygauge/src/reconciliation/tests.rs
@@ -14,9 +14,9 @@
 // will add it.
 #[test]
 fn only_jobs_with_records_up_to_the_watched_revision_are_missing() {
-    let known = BTreeSet::from(["req-1".to_string(), "req-4".to_string()]);
+    let cluster_jobs = BTreeSet::from(["req-1".to_string(), "req-4".to_string()]);
     let stored = vec![stored_job(1, 5), stored_job(2, 7), stored_job(3, 11)];
-    let differences = compare_jobs(&known, stored, 10);
+    let differences = compare_jobs(&cluster_jobs, stored, 10);
     let missing: Vec<&str> = differences
         .missing
         .iter()
--- a/crates/tallygauge/src/server.rs
+++ b/crates/tallygauge/src/server.rs
@@ -94,7 +94,7 @@
 ///
 /// - It has read the machine types, so that it can validate submissions.
 /// - It has reached the store, so that it can report the state of jobs.
-/// - It does not shed users' load.
+/// - It does not shed user load.
 /// - It is not isolated.
 ///
 /// A controller that is not ready still serves the users that reach it. While it is isolated,
@@ -130,10 +130,10 @@
     let listener = TcpListener::bind(address)
         .await
         .expect("failed to bind the listen address of the HTTP server");
-    // A client that is gone must not hold its connection forever. A worker that sends
-    // nothing for the duration of a lease has lost its lease anyway. Warp's own accept loop
-    // is not used: it would detect the HTTP version of each connection, and check for it on
-    // every poll.
+    // A client that vanished without closing its connection must not hold it forever. A
+    // worker that sends nothing for the duration of a lease has lost its lease anyway. Warp's
+    // own accept loop is not used: it would detect the HTTP version of each connection, and
+    // check for it on every poll.
     let idle_timeout = Duration::from_secs_f64(lease_s);
     accept(listener, service, idle_timeout, |_| Some(counter.acquire())).await;
 }
--- a/crates/tallygauge/src/unanswered_polls.rs
+++ b/crates/tallygauge/src/unanswered_polls.rs
@@ -8,7 +8,7 @@
 /// Maximum number of jobs whose unanswered polls are tracked.
 const MAX_POLLED_JOBS: usize = 4096;
 
-/// Jobs that users have polled without a reply so far. The number of jobs is bounded. When
+/// Jobs that users have polled without an answer so far. The number of jobs is bounded. When
 /// the bound is reached, jobs that are no longer polled are dropped. If none can be dropped,
 /// polls of further jobs are not tracked.
 #[derive(Default)]
@@ -64,7 +64,7 @@
     }
 
     /// Records that a poll of a job was answered, which ends the tracking of the job.
-    pub fn record_reply(&self, id: &str) {
+    pub fn record_answer(&self, id: &str) {
         self.lock().remove(id);
     }
 
--- a/crates/tallygauge/src/user_api/status.rs
+++ b/crates/tallygauge/src/user_api/status.rs
@@ -23,7 +23,7 @@
         Ok(found) => found,
         Err(unavailable) => return unavailable.into(),
     };
-    controller.unanswered_polls.record_reply(id);
+    controller.unanswered_polls.record_answer(id);
     match job_response(controller, id, found) {
         Some(response) => Reply::Job {
             status: 200,
--- a/crates/tallygauge/tests/user_state.rs
+++ b/crates/tallygauge/tests/user_state.rs
@@ -57,7 +57,7 @@
     assert_eq!(polls.record_poll("req-1", 14.0, 5.0), 10.0);
     assert_eq!(polls.record_poll("req-2", 15.0, 5.0), 15.0);
     assert_eq!(polls.longest_wait_s(16.0, 5.0), Some(6.0));
-    polls.record_reply("req-1");
+    polls.record_answer("req-1");
     assert_eq!(polls.longest_wait_s(16.0, 5.0), Some(1.0));
     assert_eq!(polls.longest_wait_s(21.0, 5.0), None);
     assert_eq!(polls.record_poll("req-2", 21.0, 5.0), 21.0);
