--- a/crates/tallygauge-scheduler/src/attempt_accounting.rs
+++ b/crates/tallygauge-scheduler/src/attempt_accounting.rs
@@ -24,18 +24,18 @@
         self.end_attempts(machine, now, |attempt| attempt.incarnation <= last);
     }
 
-    /// Ends the attempts on a machine that `is_over` selects. They must be certainly over,
-    /// as is their agent incarnation.
+    /// Ends the attempts on a machine that `has_ended` selects. They must certainly have
+    /// ended, as must their agent incarnation.
     pub(crate) fn end_attempts(
         &mut self,
         machine: &str,
         now: f64,
-        is_over: impl FnMut(&mut Attempt) -> bool,
+        has_ended: impl FnMut(&mut Attempt) -> bool,
     ) {
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.orphaned_attempts.clear();
         }
-        for attempt in self.remove_attempts(machine, is_over) {
+        for attempt in self.remove_attempts(machine, has_ended) {
             if attempt.occupies_capacity() {
                 self.requeue_lost(machine, &attempt, now);
                 self.events.push(ClusterEvent::AttemptLost {
--- a/crates/tallygauge-scheduler/src/events.rs
+++ b/crates/tallygauge-scheduler/src/events.rs
@@ -36,7 +36,7 @@
         /// Why the machine is returned.
         reason: ReturnReason,
     },
-    /// An attempt was lost because its agent incarnation is over.
+    /// An attempt was lost because its agent incarnation has ended.
     AttemptLost {
         /// Name of the task, `JOB/INDEX`.
         task: String,
--- a/crates/tallygauge-scheduler/src/heartbeats.rs
+++ b/crates/tallygauge-scheduler/src/heartbeats.rs
@@ -21,7 +21,7 @@
     /// Not applied: older than a heartbeat that was applied, either a late copy or from an
     /// agent that restarted. No agent that a response should keep alive is waiting for one.
     Stale,
-    /// From an agent incarnation that is over, so that a response would be of no use.
+    /// From an agent incarnation that has ended, so that a response would be of no use.
     DeadIncarnation,
     /// Not applied: it carries a higher fencing token, which is returned. This controller
     /// is no longer the leader.
@@ -237,7 +237,7 @@
     ///
     /// `evidence` is a heartbeat of the restarted agent, if there is one. If it carries this
     /// leader's token, the attempts that it does not report are requeued at once, except
-    /// those whose start may still arrive: they are kept until the incarnation is over.
+    /// those whose start may still arrive: they are kept until the incarnation has ended.
     fn handle_agent_restart(&mut self, machine: &str, evidence: Option<&Heartbeat>, now: f64) {
         let term = self.config.term;
         let Some(worker) = self.workers.get_mut(machine) else {
--- a/crates/tallygauge-scheduler/src/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/image_locality.rs
@@ -20,7 +20,7 @@
         self.image_index.restore(shard)
     }
 
-    /// The images that machines are believed to have cached, to be recorded for the next
+    /// The images that machines are assumed to have cached, to be recorded for the next
     /// leader: at most `max_shards` shards of at most `shard_bytes` bytes each. Left out
     /// are machines that are to be returned, images still being fetched, and images that
     /// a machine fetches in less than `min_fetch_s` seconds.
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -240,8 +240,7 @@
         {
             return Some(ReturnReason::Slow);
         }
-        has_unconfirmed_cancellation(worker, config, now)
-            .then_some(ReturnReason::UnconfirmedCancellation)
+        has_unconfirmed_cancellation(worker, config, now).then_some(ReturnReason::CancelUnconfirmed)
     }
 
     /// Whether a machine that has not booted has had enough time to, and this leader has
@@ -375,7 +374,7 @@
 fn must_stop_before_return(attempt: &Attempt, reason: ReturnReason) -> bool {
     let is_urgent = matches!(
         reason,
-        ReturnReason::UnconfirmedCancellation | ReturnReason::Faulty
+        ReturnReason::CancelUnconfirmed | ReturnReason::Faulty
     );
     let saves_checkpoints = attempt.spec.checkpoint_every_s > 0.0;
     let is_starting = attempt.running_since.is_none();
--- a/crates/tallygauge-scheduler/src/minimum_share/reservations.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/reservations.rs
@@ -18,8 +18,8 @@
     ///
     /// Each class with claims may reserve up to an equal part of `machine_share`, a
     /// fraction of the usable CPUs, as far as its tasks can use it. A machine stays
-    /// reserved for as long as it is needed, so that resources which have become free
-    /// on it are not given away again.
+    /// reserved for as long as it is needed, so that other tasks don't take the resources
+    /// which have become free on it.
     pub(super) fn reserve_machines(
         &self,
         selected: &[&Job],
--- a/crates/tallygauge-scheduler/src/model/attempt.rs
+++ b/crates/tallygauge-scheduler/src/model/attempt.rs
@@ -20,7 +20,7 @@
 /// sent only after its placement batch is durable. `Ended` is final. An attempt may be
 /// removed in any phase:
 /// - a `Planned` one when its batch is rejected;
-/// - one in another phase when its agent incarnation is over or the worker has
+/// - one in another phase when its agent incarnation has ended or the worker has
 ///   forgotten it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptPhase {
@@ -99,7 +99,7 @@
     /// Number of direct messages with its start command that are in flight.
     pub start_messages_in_flight: u32,
     /// Since when the outcome of a direct message with its start command is indeterminate:
-    /// the message timed out but may still arrive. Until the incarnation is over, the
+    /// the message timed out but may still arrive. Until the incarnation has ended, the
     /// worker must not be told to forget the attempt: it would execute the late start.
     pub start_indeterminate_since: Option<f64>,
     /// Whether everything that follows from its end is durable.
--- a/crates/tallygauge-scheduler/src/model/worker.rs
+++ b/crates/tallygauge-scheduler/src/model/worker.rs
@@ -19,7 +19,7 @@
     /// Tasks run slower on it than on other machines.
     Slow,
     /// It did not confirm in time that cancelled tasks have ended.
-    UnconfirmedCancellation,
+    CancelUnconfirmed,
     /// It has sent no heartbeat for several leases.
     Silent,
     /// It sends heartbeats, but messages sent to it do not arrive.
@@ -107,7 +107,7 @@
     /// When the machine list first showed it as running. It has booted then, although its
     /// worker may be unreachable.
     pub booted_at: Option<f64>,
-    /// All incarnations up to and including this one are certainly over.
+    /// All incarnations up to and including this one have certainly ended.
     pub last_dead_incarnation: u64,
     /// When a heartbeat first carried this leader's fencing token.
     pub fencing_token_seen_at: Option<f64>,
--- a/crates/tallygauge-scheduler/src/placements.rs
+++ b/crates/tallygauge-scheduler/src/placements.rs
@@ -1,5 +1,5 @@
 //! Durable placements. The placements of a scheduling round are stored in few records, the
-//! placement batches. Each is written once, and removed when all attempts in it are over:
+//! placement batches. Each is written once, and removed when all attempts in it have ended:
 //! a hundred starts take one write.
 
 mod batch_builder;
@@ -36,11 +36,11 @@
 struct RestoredJob {
     spec: Arc<JobSpec>,
     /// Whether the job is active. Otherwise its attempts are cancelled, and count against
-    /// its team's quota until they are over.
+    /// its team's quota until they have ended.
     is_active: bool,
 }
 
-/// Stands in for the specification of a job that is over: only the id, the team and the
+/// Stands in for the specification of a job that has ended: only the id, the team and the
 /// resources are set, by which its remaining attempts are still counted.
 fn placeholder_spec(job: &PlacedJobRecord) -> JobSpec {
     JobSpec {
--- a/crates/tallygauge-scheduler/src/scale_in.rs
+++ b/crates/tallygauge-scheduler/src/scale_in.rs
@@ -219,7 +219,7 @@
                 continue;
             };
             let need_not_be_empty = match reason {
-                ReturnReason::UnconfirmedCancellation => true,
+                ReturnReason::CancelUnconfirmed => true,
                 ReturnReason::BootTimeout | ReturnReason::Failed => {
                     now - self.term_started_at > settle_s
                 }
--- a/crates/tallygauge-scheduler/src/start_deadline/reservations.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/reservations.rs
@@ -154,9 +154,9 @@
     }
 
     /// Seconds until a task of the job fits a machine, without the resources `promised`
-    /// to other jobs there; `None` if it never does. For a machine that is already
-    /// reserved, a heartbeat interval is subtracted, so that the reservation doesn't move
-    /// to another machine and resources that have become free there are not given away.
+    /// to other jobs on it; `None` if it never does. For a machine that is already reserved,
+    /// a heartbeat interval is subtracted, so that the reservation doesn't move to another
+    /// machine and other tasks don't take the resources that have become free on this one.
     fn time_until_fit(
         &self,
         machine: &MachineWithEnds,
--- a/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
+++ b/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
@@ -147,8 +147,8 @@
     );
     cluster.advance_time(latest_lease_expiry + 2.0);
     assert_eq!(round(&mut cluster, latest_lease_expiry + 2.0).len(), 1);
-    // The machine is gone if a machine list that was requested well after the machine
-    // became known does not contain it.
+    // The machine no longer exists if it is not in a machine list that was requested well
+    // after it was first known to exist.
     let mut cluster = restored_cluster();
     let listed = |name: &str| Machine {
         name: name.into(),
@@ -231,8 +231,8 @@
     cluster.needs_scheduling = false;
     assert!(apply(&mut cluster, &running), "the heartbeat was applied");
     assert!(!cluster.needs_scheduling);
-    // Another task under a known attempt number is an orphaned attempt, even if everything
-    // else is equal.
+    // Another task under the number of an attempt of the worker is an orphaned attempt, even
+    // if everything else is equal.
     let mut other = running.clone();
     other[1].task = "req-9/0".into();
     apply(&mut cluster, &other);
@@ -240,7 +240,7 @@
     assert_eq!(
         cluster.jobs["req-1"].attempts_by_task.len(),
         1,
-        "the known attempt is removed"
+        "the attempt that the heartbeat does not report is removed"
     );
     let mut ended = running[..1].to_vec();
     (ended[0].state, ended[0].cause) = (TaskState::Ended, Some(EndCause::Done));
--- a/crates/tallygauge-scheduler/src/tests/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/tests/image_locality.rs
@@ -14,14 +14,14 @@
     spec
 }
 
-/// Adds an image to what the scheduler believes a machine has cached.
+/// Adds an image to those that the scheduler assumes a machine has cached.
 fn cache_image(cluster: &mut ClusterState, machine: &str, image: &str, gb: f64) {
     let worker = cluster.workers.get_mut(machine).unwrap();
     worker.images.cached.push((image.into(), gb));
 }
 
-/// A cluster whose teams' CPU limits exceed what any of these tests use.
-fn cluster_without_limits(machines: &[&str]) -> ClusterState {
+/// A cluster whose teams' CPU quotas exceed what any of these tests use.
+fn cluster_with_large_quotas(machines: &[&str]) -> ClusterState {
     let mut cluster = cluster(machines, 100.0);
     for team in &mut cluster.config.teams {
         team.max_cpus = 1000.0;
@@ -35,7 +35,7 @@
 #[test]
 fn new_leader_restores_image_locations() {
     let machines = ["l-1", "l-2", "l-3", "l-4"];
-    let mut old = cluster_without_limits(&machines);
+    let mut old = cluster_with_large_quotas(&machines);
     cache_image(&mut old, "l-3", "llm", 18.0);
     cache_image(&mut old, "l-4", "small", 0.1);
     let mut cluster = ClusterState::new(config(), 200.0, 16, 4096);
@@ -106,7 +106,7 @@
 #[test]
 fn replicas_use_cached_images_and_are_spread() {
     let names = ["l1a", "l2a", "l3a", "l4b", "l5b", "l6b"];
-    let mut cluster = cluster_without_limits(&names);
+    let mut cluster = cluster_with_large_quotas(&names);
     cache_image(&mut cluster, "l1a", "llm", 18.0);
     cache_image(&mut cluster, "l4b", "llm", 18.0);
     cluster.add_job(service_spec(1, 6), 1, 100.0, &RangeSet::default());
@@ -120,7 +120,7 @@
     );
     // With a risk weight of 60 s, zone b gets its share of the replicas even though only
     // machines in zone a have the image cached.
-    let mut cluster = cluster_without_limits(&names);
+    let mut cluster = cluster_with_large_quotas(&names);
     for machine in ["l1a", "l2a", "l3a"] {
         cache_image(&mut cluster, machine, "llm", 18.0);
     }
@@ -136,7 +136,7 @@
         "{by_machine:?}"
     );
     // With a risk weight of 0 only the fetch time counts.
-    let mut cluster = cluster_without_limits(&names);
+    let mut cluster = cluster_with_large_quotas(&names);
     cache_image(&mut cluster, "l2a", "llm", 18.0);
     cluster.config.replica_spread.risk_s = 0.0;
     cluster.add_job(service_spec(1, 5), 1, 100.0, &RangeSet::default());
@@ -149,7 +149,7 @@
 // A service restricted to one zone is not spread over zones.
 #[test]
 fn one_zone_constraint_is_respected() {
-    let mut cluster = cluster_without_limits(&["l1a", "l2a", "l3b", "l4b"]);
+    let mut cluster = cluster_with_large_quotas(&["l1a", "l2a", "l3b", "l4b"]);
     let mut spec = service_spec(1, 4);
     spec.one_zone = true;
     cluster.add_job(spec, 1, 100.0, &RangeSet::default());
@@ -170,7 +170,7 @@
         has_image in prop::collection::vec(any::<bool>(), 8), replicas in 1u32..12, risk_s in 0.0f64..120.0,
     ) {
         let names = ["l1a", "l2b", "l3a", "l4b", "l5a", "l6b", "l7a", "l8a"];
-        let mut cluster = cluster_without_limits(&names);
+        let mut cluster = cluster_with_large_quotas(&names);
         cluster.config.replica_spread.risk_s = risk_s;
         for (name, has_image) in names.iter().zip(&has_image) {
             if *has_image { cache_image(&mut cluster, name, "llm", 18.0); }
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -5,7 +5,7 @@
 #[test]
 fn silent_machine_with_attempts_of_ended_job_is_kept_until_its_lease_expires() {
     // Guards against a new leader that returns all machines of a partitioned zone, with
-    // the tasks that run there: batches still list attempts of jobs that are over, and
+    // the tasks that run there: batches still list attempts of jobs that have ended, and
     // nothing confirmed that those attempts had stopped.
     let mut c = cluster(&[], 100.0);
     c.restore_placements("2-7", &earlier_leader_batch(), 100.0, 0.0);
@@ -46,7 +46,7 @@
     let return_reason = c.workers["sa"]
         .return_decision
         .map(|decision| decision.reason);
-    assert_eq!(return_reason, Some(ReturnReason::UnconfirmedCancellation));
+    assert_eq!(return_reason, Some(ReturnReason::CancelUnconfirmed));
 }
 
 /// Entry of the machine list for machine `sa`, which was rented 900 s ago.
--- a/crates/tallygauge-scheduler/src/tests/placement_batches.rs
+++ b/crates/tallygauge-scheduler/src/tests/placement_batches.rs
@@ -63,8 +63,8 @@
     };
     assert_eq!(placed_attempts(&c).len(), 120);
     assert_eq!(placed_attempts(&c), placed_attempts(&next_leader));
-    // Attempts of the job that is over also count against the quota, until they are
-    // certainly over.
+    // Attempts of the job that has ended also count against the quota, until they have
+    // certainly ended.
     assert!((next_leader.quota_usage[0].cpus - 120.0).abs() < 1e-6);
     assert_eq!(next_leader.live_attempts_by_batch.len(), batches.len());
 }
@@ -73,7 +73,7 @@
 fn batch_is_kept_for_a_running_job_if_another_is_cancelled_during_the_write() {
     // Guards against dropping the attempts of the first worker before those of the second
     // are counted: the batch becomes obsolete and is removed, and the next leader starts
-    // tasks again that still run.
+    // tasks again although they still run.
     let mut c = cluster(&["sa", "s2b"], 100.0);
     c.add_job(spec(1, 1, 3.0), 1, 90.0, &RangeSet::default());
     c.add_job(spec(2, 1, 3.0), 1, 90.0, &RangeSet::default());
--- a/crates/tallygauge-scheduler/src/tests/preemption.rs
+++ b/crates/tallygauge-scheduler/src/tests/preemption.rs
@@ -121,7 +121,7 @@
 }
 
 /// Regression: attempts were preempted for every pending task of a job, including those
-/// that the team's limit did not allow to start.
+/// that the team's quota did not allow to start.
 #[test]
 fn preemption_for_one_job_stays_within_team_limit() {
     let mut cluster = cluster(&["l1a", "l2b"], 100.0);
--- a/crates/tallygauge-scheduler/src/tests/reachability.rs
+++ b/crates/tallygauge-scheduler/src/tests/reachability.rs
@@ -433,9 +433,9 @@
     );
 }
 
-// A start in a direct message that was not answered may still arrive after the agent has
-// restarted, and be executed in an incarnation of the same number. Until that can no
-// longer happen, the attempt must not be placed again.
+// A start command in a direct message that was not answered may still arrive after the
+// agent has restarted, and be executed in an incarnation of the same number. Until that
+// can no longer happen, the attempt must not be placed again.
 #[test]
 fn attempt_whose_start_may_still_arrive_is_kept_when_the_agent_restarts() {
     let mut c = cluster(&["sa"], 100.0);
@@ -460,10 +460,10 @@
     assert_eq!(
         c.jobs["req-1"].attempts_by_task.len(),
         2,
-        "kept until the incarnation is over"
+        "kept until the incarnation has ended"
     );
-    // The message timed out at 103 s. It may arrive for one lease after that, and what it
-    // starts may run for another.
+    // The message timed out at 103 s. It may arrive for one lease after that, and the task
+    // that it starts may run for another.
     let lease_s = c.config.with_clock_drift(c.config.lease_s);
     for now in [104.1 + lease_s + 0.1, 103.0 + 2.0 * lease_s - 0.1] {
         c.advance_time(now);
--- a/crates/tallygauge/src/cloud/returns.rs
+++ b/crates/tallygauge/src/cloud/returns.rs
@@ -78,9 +78,7 @@
     let is_sole_leader = controller.holds_unexpired_lease();
     let due = controller.with_cluster(|cluster| {
         let mut due = cluster.machines_to_return(now);
-        due.retain(|machine| {
-            is_sole_leader || machine.reason == ReturnReason::UnconfirmedCancellation
-        });
+        due.retain(|machine| is_sole_leader || machine.reason == ReturnReason::CancelUnconfirmed);
         due.truncate(MAX_MACHINES_PER_RETURN);
         let names: Vec<String> = due.iter().map(|machine| machine.name.clone()).collect();
         cluster.mark_return_sent(&names);
