--- a/crates/tallygauge-scheduler/src/events.rs
+++ b/crates/tallygauge-scheduler/src/events.rs
@@ -36,7 +36,7 @@
         /// Why the machine is returned.
         reason: ReturnReason,
     },
-    /// An attempt was lost because its agent incarnation is over.
+    /// An attempt was lost because its agent incarnation has ended.
     AttemptLost {
         /// Name of the task, `JOB/INDEX`.
         task: String,
@@ -87,7 +87,7 @@
         /// Whether it is among the largest jobs of its class.
         is_large: bool,
     },
-    /// The first job that counts for a cutoff became known.
+    /// The first job that counts for a cutoff was added.
     CutoffOpened {
         /// Name of the cutoff.
         cutoff: Arc<str>,
--- a/crates/tallygauge-scheduler/src/image_locality.rs
+++ b/crates/tallygauge-scheduler/src/image_locality.rs
@@ -6,10 +6,10 @@
 use tallygauge_locality::{CachedImage, ImageIndex, ImageLocations, ReplicaCounts};
 use tallygauge_protocol::users::Shape;
 
-/// Assumed fetch rate of a machine whose type is not known, GB/s.
+/// Fetch rate assumed for a machine of an unknown type, in GB/s.
 const DEFAULT_FETCH_GB_PER_S: f64 = 1.0;
 
-/// Lower bound of the fetch rate in estimates, GB/s.
+/// Lower bound of the fetch rate in estimates of fetch times, in GB/s.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 impl ClusterState {
@@ -20,7 +20,7 @@
         self.image_index.restore(shard)
     }
 
-    /// The images that machines are believed to have cached, to be recorded for the next
+    /// The images that machines are assumed to have cached, to be recorded for the next
     /// leader: at most `max_shards` shards of at most `shard_bytes` bytes each. Left out
     /// are machines that are to be returned, images still being fetched, and images that
     /// a machine fetches in less than `min_fetch_s` seconds.
--- a/crates/tallygauge-scheduler/src/mapping/round.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round.rs
@@ -1,6 +1,6 @@
 //! The phases of a scheduling round, in this order:
-//! 1. one task of each job whose first task is overdue, then further tasks of jobs near
-//!    their start deadline;
+//! 1. one task of each job whose first task is overdue, then further tasks of the jobs
+//!    whose start claim gives priority to all tasks that never ran;
 //! 2. tasks of jobs with a priority claim;
 //! 3. all other tasks, by utility per time.
 
@@ -66,9 +66,11 @@
 struct ClaimQueueKey {
     /// Whether the minimum share can be reached without the claimed jobs.
     beyond_min_share: bool,
-    /// Id of the class or team on whose behalf the claims are made. Unlike a
+    /// Group id of the class of the claimed jobs, see [`PriorityClaim::group`]. Unlike a
     /// [`PendingGroup`], it is a group of the minimum share.
-    fairness_group: usize,
+    ///
+    /// [`PriorityClaim::group`]: crate::minimum_share::state::PriorityClaim::group
+    class_group: usize,
 }
 
 type ClaimQueues<'a> = BTreeMap<ClaimQueueKey, VecDeque<ClaimedGroup<'a>>>;
@@ -105,9 +107,9 @@
         max
     }
 
-    /// Places one task of each job whose first task is overdue, and then further tasks
-    /// of jobs near their start deadline. Returns the groups that still have tasks to
-    /// place.
+    /// Places one task of each job whose first task is overdue, and then further tasks of
+    /// the jobs whose start claim gives priority to all tasks that never ran. Returns the
+    /// groups that still have tasks to place.
     fn place_overdue_first_tasks(
         &mut self,
         pending: Vec<PendingGroup<'a>>,
@@ -120,7 +122,7 @@
             }
         }
         if !self.cluster.start_deadlines.claims.is_empty() {
-            self.place_unstarted_near_deadline(&pending, &mut fully_placed);
+            self.place_prioritized_unstarted(&pending, &mut fully_placed);
         }
         let groups = pending.into_iter().enumerate();
         groups
@@ -146,10 +148,10 @@
         by_order.into_values().collect()
     }
 
-    /// Places one task of a job whose first task is overdue. If the team is at its limit,
-    /// the task is counted towards the team's usage without being placed, so that quota
-    /// that becomes free is kept for it. Returns whether the group has no more tasks to
-    /// place.
+    /// Places one task of a job whose first task is overdue. If the team has reached its
+    /// quota, the task is counted towards the team's usage without being placed, so that
+    /// quota that becomes free is kept for it. Returns whether the group has no more tasks
+    /// to place.
     fn place_overdue_first_task(&mut self, pending: PendingGroup<'a>, preempt: bool) -> bool {
         let job_index = pending.job_index;
         let job = pending.group.job;
@@ -169,10 +171,10 @@
         pending.group.resumable.is_some() || self.unplaced_pending_count(job_index) == 0
     }
 
-    /// Places tasks that never ran, of jobs near their start deadline, on a limited part
-    /// of the machines' CPUs. Adds the groups without further tasks to place to
-    /// `fully_placed`.
-    fn place_unstarted_near_deadline(
+    /// Places tasks that never ran, of jobs whose start claim gives priority to all such
+    /// tasks, on a limited part of the machines' CPUs. Adds the groups without further
+    /// tasks to place to `fully_placed`.
+    fn place_prioritized_unstarted(
         &mut self,
         pending: &[PendingGroup<'a>],
         fully_placed: &mut BTreeSet<usize>,
@@ -183,7 +185,7 @@
             .map(|s| self.machine_types[s.type_index].cpus)
             .sum();
         let mut cpus_left = self.cluster.cpus_left_for_unstarted(total_cpus);
-        for index in self.groups_near_start_deadline(pending, fully_placed) {
+        for index in self.prioritized_unstarted_groups(pending, fully_placed) {
             let group = pending[index];
             let (job_index, job) = (group.job_index, group.group.job);
             while cpus_left > 0.0
@@ -202,15 +204,16 @@
         }
     }
 
-    /// Indices of the groups of jobs near their start deadline, sorted by the jobs' time of
-    /// acceptance. Leaves out resumable tasks and the groups in `fully_placed`.
-    fn groups_near_start_deadline(
+    /// Indices of the groups of jobs whose start claim gives priority to all tasks that
+    /// never ran, sorted by the jobs' time of acceptance. Leaves out resumable tasks and
+    /// the groups in `fully_placed`.
+    fn prioritized_unstarted_groups(
         &self,
         pending: &[PendingGroup<'a>],
         fully_placed: &BTreeSet<usize>,
     ) -> Vec<usize> {
         let claims = &self.cluster.start_deadlines.claims;
-        let mut near: Vec<(u32, usize)> = pending
+        let mut prioritized: Vec<(u32, usize)> = pending
             .iter()
             .enumerate()
             .filter(|(index, p)| !fully_placed.contains(index) && p.group.resumable.is_none())
@@ -219,17 +222,17 @@
                 claim.prioritizes_all_tasks.then_some((claim.order, index))
             })
             .collect();
-        near.sort_unstable();
-        near.into_iter().map(|(_, index)| index).collect()
+        prioritized.sort_unstable();
+        prioritized.into_iter().map(|(_, index)| index).collect()
     }
 
     /// Places tasks of jobs with a priority claim, as long as such jobs may use more
     /// CPUs. Returns the groups that were not placed in full.
     ///
     /// - Claims that the minimum share needs come first.
-    /// - The next task is always taken from the class or team whose jobs with a claim use
-    ///   the fewest CPUs at that moment.
-    /// - Within a class or team, jobs are taken in the order of their claims.
+    /// - The next task is always taken from the class whose jobs with a claim use the fewest
+    ///   CPUs at that moment.
+    /// - Within a class, jobs are taken in the order of their claims.
     fn place_claimed_jobs(
         &mut self,
         pending: Vec<PendingGroup<'a>>,
@@ -280,7 +283,7 @@
             };
             let key = ClaimQueueKey {
                 beyond_min_share: !claim.for_min_share,
-                fairness_group: claim.group,
+                class_group: claim.group,
             };
             queues.entry(key).or_default().push_back(ClaimedGroup {
                 order: claim.order,
@@ -301,16 +304,16 @@
     }
 
     /// The queue that the next task is taken from: of the non-empty queues, those of
-    /// claims that the minimum share needs come first, and among them the class or team
-    /// whose jobs with a claim use the fewest CPUs.
+    /// claims that the minimum share needs come first, and among them the class whose jobs
+    /// with a claim use the fewest CPUs.
     fn next_claim_queue<'q>(
         &self,
         queues: &'q mut ClaimQueues<'a>,
     ) -> Option<&'q mut VecDeque<ClaimedGroup<'a>>> {
         let non_empty = queues.iter_mut().filter(|(_, queue)| !queue.is_empty());
         let next = non_empty.min_by(|(a, _), (b, _)| {
-            let by_usage = self.claim_cpus_used[a.fairness_group]
-                .total_cmp(&self.claim_cpus_used[b.fairness_group]);
+            let by_usage =
+                self.claim_cpus_used[a.class_group].total_cmp(&self.claim_cpus_used[b.class_group]);
             a.beyond_min_share.cmp(&b.beyond_min_share).then(by_usage)
         });
         next.map(|(_, queue)| queue)
--- a/crates/tallygauge-scheduler/src/minimum_share/selection.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/selection.rs
@@ -15,11 +15,14 @@
 };
 use tallygauge_protocol::users::Shape;
 
-/// Where the backlog takes longer than the service deadline of a job, the job counts as
-/// overdue after this fraction of its service deadline, or earlier, the longer the
-/// backlog takes; later only if it takes longer by itself. For
-/// [`OverdueRule::Backlog`], this is also the fraction of the backlog's time after which
-/// it counts as overdue at the latest.
+/// Maximum fraction of its service deadline after which a job counts as overdue if the
+/// backlog takes longer than that deadline:
+///
+/// - The longer the backlog takes, the smaller is the fraction that applies.
+/// - A job that takes longer by itself is overdue only after that time.
+///
+/// For [`OverdueRule::Backlog`], this is also the fraction of the backlog's time after which
+/// a job counts as overdue at the latest.
 const OVERDUE_FRACTION: f64 = 0.7;
 
 /// Minimum share of a class or team, as a fraction of the configured target share.
@@ -28,10 +31,10 @@
 /// What determines when a job counts as overdue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum OverdueRule {
-    /// The time within which it should be served.
+    /// Its service deadline.
     ServiceDeadline,
-    /// That time or the backlog, whichever is earlier, so that a loose objective
-    /// doesn't keep a job from counting.
+    /// Its service deadline or the backlog, whichever is earlier, so that a loose objective
+    /// doesn't keep a job from counting as overdue.
     Backlog,
 }
 
@@ -104,14 +107,14 @@
             min_share: target_share * MIN_SHARE_FRACTION,
             target_share,
         };
-        let time_of_day = self.time_of_day(now);
+        let unix_time_s = self.unix_time_s(now);
         let select = |rule: OverdueRule| {
             let candidates: Vec<Candidate> = open_jobs
                 .iter()
                 .map(|open| self.candidate(open, &backlog, rule, now))
                 .collect();
             let service_counts = &self.minimum_share.service_counts;
-            select_underserved(service_counts, &candidates, target, time_of_day)
+            select_underserved(service_counts, &candidates, target, unix_time_s)
         };
         let selection = select(OverdueRule::ServiceDeadline);
         if selection.selected.is_empty() {
@@ -206,14 +209,14 @@
             return ClusterEvent::MinimumShareReached;
         }
         let service_counts = &self.minimum_share.service_counts;
-        let time_of_day = self.time_of_day(now);
+        let unix_time_s = self.unix_time_s(now);
         let underserved = shortfalls
             .iter()
             .enumerate()
             .filter(|(_, shortfall)| shortfall.to_target_share > 0);
         let groups = underserved.map(|(group, shortfall)| UnderservedGroup {
             name: service_counts.keys()[group].name.to_string(),
-            done_within_day: service_counts.done_in_windows(group, time_of_day)[0],
+            done_within_day: service_counts.done_in_windows(group, unix_time_s)[0],
             overdue: shortfall.overdue,
             to_target_share: shortfall.to_target_share,
         });
--- a/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
+++ b/crates/tallygauge-scheduler/src/tests/attempt_lifecycle.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn attempt_with_start_in_doubt_is_not_forgotten_until_its_incarnation_ends() {
+fn attempt_with_indeterminate_start_is_not_forgotten_until_its_incarnation_ends() {
     // The start command may be delivered minutes late. If the worker had been told to
     // forget the attempt, it would run the task again.
     let mut cluster = cluster(&["sa"], 100.0);
@@ -49,8 +49,8 @@
         cluster.commands("sa", 110.0).is_empty(),
         "the worker must not be told to forget the attempt"
     );
-    // While its start is in doubt, the attempt occupies its capacity even if a heartbeat
-    // does not report it.
+    // While it is indeterminate whether the start command was executed, the attempt occupies
+    // its capacity even if a heartbeat does not report it.
     cluster.apply_heartbeat(
         111.0,
         &heartbeat_from("sa", 1, 6, TERM, vec![]),
@@ -147,8 +147,8 @@
     );
     cluster.advance_time(latest_lease_expiry + 2.0);
     assert_eq!(round(&mut cluster, latest_lease_expiry + 2.0).len(), 1);
-    // The machine is gone if a machine list that was requested well after the machine
-    // became known does not contain it.
+    // The machine no longer exists if it is not in a machine list that was requested well
+    // after it was first known to exist.
     let mut cluster = restored_cluster();
     let listed = |name: &str| Machine {
         name: name.into(),
@@ -231,8 +231,8 @@
     cluster.needs_scheduling = false;
     assert!(apply(&mut cluster, &running), "the heartbeat was applied");
     assert!(!cluster.needs_scheduling);
-    // Another task under a known attempt number is an orphaned attempt, even if everything
-    // else is equal.
+    // Another task under the number of an attempt of the worker is an orphaned attempt, even
+    // if everything else is equal.
     let mut other = running.clone();
     other[1].task = "req-9/0".into();
     apply(&mut cluster, &other);
@@ -240,7 +240,7 @@
     assert_eq!(
         cluster.jobs["req-1"].attempts_by_task.len(),
         1,
-        "the known attempt is removed"
+        "the attempt that the heartbeat does not report is removed"
     );
     let mut ended = running[..1].to_vec();
     (ended[0].state, ended[0].cause) = (TaskState::Ended, Some(EndCause::Done));
--- a/crates/tallygauge/src/reconciliation.rs
+++ b/crates/tallygauge/src/reconciliation.rs
@@ -113,21 +113,21 @@
     ended: Vec<String>,
 }
 
-/// Compares `known`, the ids of the jobs in a cluster state that contained all changes up
-/// to `watched_revision`, with `stored`, the records that were listed afterwards.
+/// Compares `cluster_jobs`, the ids of the jobs in a cluster state that contained all changes
+/// up to `watched_revision`, with `stored`, the records that were listed afterwards.
 fn compare_jobs(
-    known: &BTreeSet<String>,
+    cluster_jobs: &BTreeSet<String>,
     stored: Vec<KeyValue>,
     watched_revision: u64,
 ) -> JobDifferences {
     let job_id = |entry: &KeyValue| active_job_id(&entry.key).map(str::to_string);
     let active: BTreeSet<String> = stored.iter().filter_map(job_id).collect();
     let is_missing = |entry: &KeyValue| {
-        let is_known = job_id(entry).is_some_and(|id| known.contains(&id));
-        entry.version <= watched_revision && !is_known
+        let is_in_cluster = job_id(entry).is_some_and(|id| cluster_jobs.contains(&id));
+        entry.version <= watched_revision && !is_in_cluster
     };
     JobDifferences {
-        ended: known.difference(&active).cloned().collect(),
+        ended: cluster_jobs.difference(&active).cloned().collect(),
         missing: stored.into_iter().filter(is_missing).collect(),
     }
 }
@@ -138,14 +138,14 @@
     term: u64,
     differences: JobDifferences,
 ) -> JobRepairCounts {
-    let (now, time_of_day) = (controller.now(), controller.time_of_day());
+    let (now, unix_time_s) = (controller.now(), controller.unix_time_s());
     let mut leadership = controller.leadership.lock();
     let leadership = leadership.as_mut().filter(|current| current.term == term);
     let Some(cluster) = leadership.and_then(|current| current.cluster.as_mut()) else {
         return JobRepairCounts::default();
     };
     JobRepairCounts {
-        added: add_missing_jobs(cluster, differences.missing, now, time_of_day),
+        added: add_missing_jobs(cluster, differences.missing, now, unix_time_s),
         removed: remove_ended_jobs(cluster, &differences.ended, now),
     }
 }
@@ -154,7 +154,7 @@
     cluster: &mut ClusterState,
     missing: Vec<KeyValue>,
     now: f64,
-    time_of_day: f64,
+    unix_time_s: f64,
 ) -> usize {
     let mut added = 0;
     for entry in missing {
@@ -165,7 +165,7 @@
             version: entry.version,
         };
         let jobs_before = cluster.jobs.len();
-        job_watch::apply_event(cluster, event, now, time_of_day);
+        job_watch::apply_event(cluster, event, now, unix_time_s);
         if cluster.jobs.len() > jobs_before {
             added += 1;
             tracing::warn!(key, "reconciliation added a missing active job");
