--- a/crates/tallygauge-deadlines/src/deadline_tracker.rs
+++ b/crates/tallygauge-deadlines/src/deadline_tracker.rs
@@ -56,15 +56,15 @@
     }
 }
 
-/// Change of a cutoff's state. The first field is its name.
+/// Change of a cutoff's state. The first field is the name of the cutoff.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CutoffEvent {
-    /// It is tracked from now on: a job that counts for it was accepted.
+    /// The cutoff is tracked from now on: a job that counts for it was accepted.
     Opened(Arc<str>),
-    /// It has passed while some of its jobs are still open.
+    /// The cutoff has passed while some of its jobs are still open.
     Missed(Arc<str>),
-    /// It has passed and all its jobs have ended. The other fields are whether it was met,
-    /// and by how many seconds its last job was late.
+    /// The cutoff has passed and all its jobs have ended. The other fields are whether it was
+    /// met, and by how many seconds its last job was late.
     Closed(Arc<str>, bool, f64),
 }
 
--- a/crates/tallygauge-deadlines/src/forecast.rs
+++ b/crates/tallygauge-deadlines/src/forecast.rs
@@ -20,8 +20,8 @@
     /// Seconds from the end of its work to the cutoff, if all work is done in the order of
     /// cutoffs. If negative, the work ends that much after the cutoff.
     pub slack_s: f64,
-    /// Seconds until the latest time at which its work can start and still meet the cutoff,
-    /// given all CPUs that it may use. If negative, the cutoff can no longer be met.
+    /// Seconds until the latest time at which the remaining work can start and still meet the
+    /// cutoff, given all CPUs that this work may use. If negative, the cutoff can no longer be met.
     pub latest_start_s: f64,
     /// Whether its slack is too small although it can still be met.
     pub at_risk: bool,
--- a/crates/tallygauge-fairness/src/selection.rs
+++ b/crates/tallygauge-fairness/src/selection.rs
@@ -15,18 +15,18 @@
     pub groups: GroupIds,
     /// CPU-seconds of work left until its last task is done.
     pub remaining_cpu_s: f64,
-    /// Seconds since the time by which it should have been served; `None` if that time
-    /// has not come yet.
+    /// Seconds since the time by which the job should have been served; `None` if that
+    /// time has not come yet.
     pub overdue_s: Option<f64>,
-    /// Whether it can no longer meet its loosest service-level objective.
+    /// Whether the job can no longer meet its loosest service-level objective.
     pub late: bool,
     /// Whether it has been overdue for so long that this job alone shows that its groups
     /// are underserved.
     pub long_overdue: bool,
     /// Whether one of its tasks fits on a machine that exists or can be rented.
     pub fits: bool,
-    /// Whether it counts as served although it is open: a service whose replicas all
-    /// run.
+    /// Whether the job counts as served although it is open. This is the case for a service
+    /// whose replicas all run.
     pub served: bool,
 }
 
--- a/crates/tallygauge-fairness/src/service_counts.rs
+++ b/crates/tallygauge-fairness/src/service_counts.rs
@@ -17,7 +17,7 @@
     Class,
     /// By team.
     Team,
-    /// The largest jobs of a class, by that class.
+    /// By class, counting only the largest jobs of each class.
     Largest,
 }
 
@@ -303,7 +303,8 @@
         record
     }
 
-    /// Ids of the groups with ended jobs, sorted by their number, the most first.
+    /// Ids of the groups with ended jobs, sorted by the number of these jobs in descending
+    /// order.
     fn groups_by_ended_jobs(&self) -> Vec<usize> {
         let ended_jobs = |group: &usize| self.counts[*group].done + self.counts[*group].cancelled;
         let mut groups: Vec<usize> = (0..self.keys.len()).collect();
--- a/crates/tallygauge-health/src/message_order.rs
+++ b/crates/tallygauge-health/src/message_order.rs
@@ -15,8 +15,8 @@
 pub enum Arrival {
     /// Newer than all messages that arrived before.
     New,
-    /// Older than the newest message, but the worker may still wait for the response to
-    /// it: a direct reply that the worker sent later arrived earlier.
+    /// Older than the newest message, because a direct reply that the worker sent later
+    /// arrived earlier. The worker may still wait for the response to this older message.
     Overtaken,
     /// Not newer than the newest message: either a late copy, or a message of a worker
     /// that has restarted. A liveness probe tells which of the two it is.
--- a/crates/tallygauge-locality/src/image_locations.rs
+++ b/crates/tallygauge-locality/src/image_locations.rs
@@ -14,7 +14,7 @@
 /// Maximum number of bytes in JSON of an entry besides the image's name and machines.
 const ENTRY_OVERHEAD_BYTES: usize = 40;
 
-/// Smallest number of digits of a machine number for which a record counts as corrupt.
+/// A record counts as corrupt if a machine number in it has at least this many digits.
 const MIN_INVALID_DIGITS: usize = 20;
 
 /// One shard of the image locations that a leader stores for its successor: images with the
--- a/crates/tallygauge-records/src/record.rs
+++ b/crates/tallygauge-records/src/record.rs
@@ -38,8 +38,8 @@
 pub struct StoredRecord<T> {
     /// The record.
     pub record: T,
-    /// Wall-clock time at which it was written, in seconds since the Unix epoch; 0 if
-    /// unknown.
+    /// Wall-clock time at which the record was written, in seconds since the Unix epoch; 0
+    /// if unknown.
     pub written_at: f64,
 }
 
--- a/crates/tallygauge-records/src/staging.rs
+++ b/crates/tallygauge-records/src/staging.rs
@@ -75,8 +75,8 @@
 pub struct StagedRecords {
     pending: BTreeMap<String, PendingRecord>,
     max_record_bytes: usize,
-    /// Names of records that have exceeded the size limit, with their last such size in
-    /// bytes.
+    /// Names of records that have exceeded the size limit. The value is the size in bytes
+    /// when the record last exceeded it.
     too_large: BTreeMap<String, usize>,
 }
 
--- a/crates/tallygauge-scheduler/examples/scale.rs
+++ b/crates/tallygauge-scheduler/examples/scale.rs
@@ -189,10 +189,10 @@
     /// Largest number of pending tasks after a step, without those that have state of
     /// their own (a checkpoint, a backoff).
     max_pending: u32,
-    /// Duration of each scheduling round, with the advance of time and the taking of
-    /// placement batches.
+    /// Duration of each scheduling round, including the calls that advance time and take
+    /// the placement batches.
     round_times_s: Vec<f64>,
-    /// Time that the cluster state took for each heartbeat.
+    /// Time to apply each heartbeat to the cluster state.
     heartbeat_times_s: Vec<f64>,
     committed_batches: usize,
     /// Sum of the JSON sizes of the committed placement batches.
--- a/crates/tallygauge-scheduler/src/machines.rs
+++ b/crates/tallygauge-scheduler/src/machines.rs
@@ -9,8 +9,8 @@
     workers::TaskState,
 };
 
-/// Longest time without contact (of a machine without attempts), or of being
-/// unreachable, in multiples of the worker lease: a machine is returned after that.
+/// Time, in multiples of the worker lease, after which a machine is returned if it has been
+/// unreachable, or if it has no attempts and there has been no contact with it.
 const MAX_SILENCE_LEASES: f64 = 4.0;
 
 /// Time after its rental when a machine that has not booted is returned, in multiples
--- a/crates/tallygauge-scheduler/src/mapping/round.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round.rs
@@ -66,8 +66,8 @@
 struct ClaimQueueKey {
     /// Whether the minimum share can be reached without the claimed jobs.
     beyond_min_share: bool,
-    /// Id of the class or team on whose behalf the claims are made. Unlike a
-    /// [`PendingGroup`], it is a group of the minimum share.
+    /// Minimum-share group id of the class or team on whose behalf the claims are made. Not
+    /// related to [`PendingGroup`], which is a group of tasks.
     fairness_group: usize,
 }
 
--- a/crates/tallygauge-scheduler/src/mapping/round_state.rs
+++ b/crates/tallygauge-scheduler/src/mapping/round_state.rs
@@ -50,7 +50,7 @@
     pub(super) job_index: usize,
 }
 
-/// A job with pending tasks, and the round's own state of it.
+/// A job with pending tasks, and what the round keeps about the job.
 pub(super) struct JobInRound<'a> {
     pub(super) job: &'a Job,
     /// Whether the job fits into its team's guarantee, see
@@ -319,8 +319,8 @@
         self.changed_slots.push(slot_index);
     }
 
-    /// Counts a start towards the CPUs that jobs with a priority claim use, if the job
-    /// has one.
+    /// If the job has a priority claim, counts a start of one of its tasks towards the CPUs
+    /// that jobs with such claims use.
     fn count_claim_usage(&mut self, job_index: usize, slot_index: usize) {
         let entry = &self.jobs[job_index];
         if let Some(claim) = entry.claim {
--- a/crates/tallygauge-scheduler/src/minimum_share/selection.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/selection.rs
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Seconds after its acceptance from which on a job counts as overdue. `deadline_s`
-    /// is its service deadline.
+    /// Seconds from a job's acceptance until the job counts as overdue. `deadline_s` is the
+    /// job's service deadline.
     fn overdue_after_s(
         &self,
         job: &Job,
--- a/crates/tallygauge-scheduler/src/minimum_share/state.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/state.rs
@@ -24,9 +24,9 @@
 /// What a machine is reserved for.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Reservation {
-    /// Id of the group whose jobs it is reserved for.
+    /// Id of the group for whose jobs the machine is reserved.
     pub(crate) group: usize,
-    /// CPUs of the smallest task that may start there.
+    /// CPUs of the smallest task that may start on the machine.
     pub(crate) min_task_cpus: f64,
 }
 
--- a/crates/tallygauge-scheduler/src/model/attempt.rs
+++ b/crates/tallygauge-scheduler/src/model/attempt.rs
@@ -86,8 +86,8 @@
     pub placed_at: f64,
     /// When it was first known to be running.
     pub running_since: Option<f64>,
-    /// Run time saved in the checkpoint that it resumes from, in seconds, as of its
-    /// placement.
+    /// Run time saved in the checkpoint from which the attempt resumes, in seconds, as known
+    /// when the attempt was placed.
     pub checkpointed_s: f64,
     /// The decision to stop it, if one was made.
     pub stop: Option<StopDecision>,
--- a/crates/tallygauge-scheduler/src/model/config.rs
+++ b/crates/tallygauge-scheduler/src/model/config.rs
@@ -33,7 +33,8 @@
     pub cancel_timeout_s: f64,
     /// How long a leader that cannot confirm its term keeps answering workers.
     pub fencing_timeout_s: f64,
-    /// Nominal time by which the cloud's machine list lags behind.
+    /// Nominal time, in seconds, by which the cloud's machine list lags behind the actual
+    /// state of the machines.
     pub list_lag_s: f64,
     /// Maximum drift between two steady clocks, as a fraction of the elapsed time.
     pub clock_drift: f64,
@@ -107,9 +108,9 @@
         seconds * (1.0 + 2.0 * self.clock_drift) + self.timing_margin_s()
     }
 
-    /// How much evidence keeps new tasks away from a machine, and how much makes it count as
-    /// unreachable. A single lost response is told from an unreachable machine by the
-    /// responses that follow it: within a lease, and not before three heartbeats.
+    /// Amounts of evidence at which a machine gets no new tasks and at which it counts as
+    /// unreachable. A single lost response is not enough: the responses that follow it
+    /// decide, within a lease but not before three heartbeats.
     #[must_use]
     pub fn reachability_thresholds(&self) -> ReachabilityThresholds {
         ReachabilityThresholds {
--- a/crates/tallygauge-scheduler/src/model/job.rs
+++ b/crates/tallygauge-scheduler/src/model/job.rs
@@ -38,7 +38,7 @@
 pub struct UnsavedCompletion {
     /// Number of the task within the job.
     pub index: u32,
-    /// Name of the worker that reported its end.
+    /// Name of the worker that reported the end of the task.
     pub worker: String,
 }
 
@@ -83,7 +83,7 @@
     pub unstarted: RangeSet,
     /// The cutoff that it has to meet, if any.
     pub cutoff: Option<CutoffWindow>,
-    /// Unix time at which it was accepted, in seconds, from its record.
+    /// Unix time, in seconds, at which the job was accepted, as stored in the job's record.
     pub accepted_time_of_day: Option<f64>,
     /// How far its utility is raised towards that of the next priority, from 0 (not at
     /// all) to 1 (as far as a boost goes).
--- a/crates/tallygauge-scheduler/src/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/pending_reasons.rs
@@ -14,28 +14,28 @@
     TeamLimit {
         /// CPUs that the tasks of the team use.
         cpus: f64,
-        /// Maximum of CPUs that they may use.
+        /// Maximum number of CPUs that these tasks may use.
         max_cpus: f64,
         /// GPUs that the tasks of the team use.
         gpus: f64,
-        /// Maximum of GPUs that they may use.
+        /// Maximum number of GPUs that these tasks may use.
         max_gpus: f64,
     },
     /// No machine that the job may use has enough free resources for a task.
     InsufficientResources {
         /// Number of machines that the job may use and that accept work.
         machines: usize,
-        /// Number of machines that it may use and that are booting.
+        /// Number of machines that the job may use and that are booting.
         booting: usize,
-        /// Number of machines that it may use and that are being returned to the cloud or
-        /// reclaimed by it.
+        /// Number of machines that the job may use and that are being returned to the cloud
+        /// or reclaimed by it.
         leaving: usize,
     },
     /// The cloud had no capacity for machines that the job may use.
     NoCloudCapacity {
         /// Number of kinds of machines for which the cloud had no capacity.
         kinds: usize,
-        /// Seconds until the first of them may be requested again.
+        /// Seconds until a machine of the first of these kinds may be requested again.
         retry_in_s: f64,
     },
     /// Machines have enough free resources for a task. The next scheduling round will use
--- a/crates/tallygauge-scheduler/src/scale_out.rs
+++ b/crates/tallygauge-scheduler/src/scale_out.rs
@@ -131,7 +131,7 @@
     }
 
     /// Packs the tasks of a group into the machines of the plan, and adds machines to rent
-    /// for those that are left.
+    /// for the tasks that do not fit into those.
     fn pack<'a>(&'a self, group: &TaskGroup<'a>, now: f64, plan: &mut RentalPlan<'a>) {
         let job = group.job;
         let task_count = group.task_count();
--- a/crates/tallygauge-scheduler/src/start_deadline/mod.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/mod.rs
@@ -53,7 +53,7 @@
 /// large before other tasks, while the minimum share gives jobs priority.
 const MAX_SMALL_JOB_SHARE: f64 = 0.05;
 
-/// Sizes from which on jobs of a class count as large, by group id of the class.
+/// Minimum sizes of the jobs that count as large in a class, by group id of the class.
 type LargeJobThresholds = HashMap<usize, SizeThresholds>;
 
 fn is_large(thresholds: &LargeJobThresholds, job: &Job) -> bool {
@@ -199,8 +199,8 @@
     }
 
     /// CPUs that further tasks of large jobs near their start deadline may use with
-    /// priority: [`MAX_LARGE_JOB_SHARE`] of `total_cpus`, less those that attempts of all
-    /// jobs with a start claim use already.
+    /// priority: [`MAX_LARGE_JOB_SHARE`] of `total_cpus`, minus the CPUs that the attempts of
+    /// all jobs with a start claim already use.
     pub(crate) fn cpus_left_for_unstarted(&self, total_cpus: f64) -> f64 {
         let ids = self.start_deadlines.claims.keys();
         let jobs = ids.filter_map(|id| self.jobs.get(id));
--- a/crates/tallygauge-scheduler/src/start_deadline/state.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/state.rs
@@ -25,7 +25,7 @@
 pub(crate) struct StartDeadlines {
     /// Claims by job id.
     pub(crate) claims: BTreeMap<String, StartClaim>,
-    /// Machines reserved for first tasks: by name of the machine, the CPUs of the smallest
-    /// task that may start there.
+    /// Machines reserved for first tasks. Maps the name of each machine to the CPUs of the
+    /// smallest task that may start on it.
     pub(crate) reserved: BTreeMap<String, f64>,
 }
--- a/crates/tallygauge-scheduler/src/tests/machines.rs
+++ b/crates/tallygauge-scheduler/src/tests/machines.rs
@@ -312,7 +312,7 @@
         now
     };
     let surplus_count = |c: &ClusterState| c.workers.values().filter(|w| w.surplus).count();
-    // Demand is 128 of 160 CPUs, and rose by as many within a recent boot time.
+    // The demand is 128 of 160 CPUs and has recently risen by 128 CPUs within a boot time.
     send_heartbeats_until(&mut c, 105.0);
     c.add_job(spec(1, 128, 1.0), 1, 105.0, &RangeSet::default());
     send_heartbeats_until(&mut c, 200.0);
--- a/crates/tallygauge-scheduler/src/tests/reachability.rs
+++ b/crates/tallygauge-scheduler/src/tests/reachability.rs
@@ -8,7 +8,7 @@
     incarnation: u64,
     sequence: u64,
     token: u64,
-    /// When the last heartbeat was sent whose response arrived.
+    /// Time at which the latest heartbeat with a received response was sent.
     lease_renewed_at: f64,
     tasks: Vec<TaskStatus>,
 }
--- a/crates/tallygauge-scheduler/tests/minimum_share_under_overload.rs
+++ b/crates/tallygauge-scheduler/tests/minimum_share_under_overload.rs
@@ -146,9 +146,10 @@
 
 /// Maximum seconds for which an underserved class or team has none of its jobs done.
 ///
-/// Its jobs have priority on an equal part of the machines, which become free within the run
-/// time `longest_s` of the longest task. Then they run for as long again. Jobs that wait for
-/// earlier ones of the group take another `longest_s` for each of the `rounds` of such jobs.
+/// The group's jobs have priority on an equal part of the machines. These machines become
+/// free within `longest_s`, the run time of the longest task, and the jobs then run for at
+/// most another `longest_s`. Jobs that wait for earlier jobs of the group take another
+/// `longest_s` for each of the `rounds` of such jobs.
 fn max_unserved_s(longest_s: f64, rounds: f64) -> f64 {
     longest_s * (2.0 + rounds) + 4.0 * day::HEARTBEAT_INTERVAL_S
 }
--- a/crates/tallygauge-sim/tests/concurrent_faults.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults.rs
@@ -142,7 +142,7 @@
 
 // Eight leaders crash in a row, within seconds of one another. A leader that reused an
 // identifier of its predecessor could have its commands confused with earlier ones; the
-// stand-ins record a violation for each term, attempt, batch or booking used twice.
+// simulation records a violation for each term, attempt, batch or booking used twice.
 #[tokio::test(start_paused = true)]
 async fn rapid_failovers_reuse_no_term_attempt_batch_or_booking() {
     let (simulation, controller_a, mut task) = start_with_leader().await;
--- a/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_failover.rs
@@ -399,7 +399,7 @@
 
 // A leader is paused just before it sends a placement write, and resumes after another
 // controller was elected. The write must fail on its term condition, or the task would be
-// placed twice; the store's stand-in records a violation if it does not.
+// placed twice; the simulated store records a violation if it does not.
 #[tokio::test(start_paused = true)]
 async fn placement_write_from_previous_term_is_rejected() {
     let (simulation, controller_a, _task_a) = start_with_leader().await;
--- a/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_machines.rs
@@ -78,8 +78,8 @@
 }
 
 // Workers can't connect to any controller, for less and for more than a lease, while
-// direct commands still reach them. A cancelled task has to stop although no reply to a
-// heartbeat can tell its worker to.
+// direct commands still reach them. A cancelled task must stop although its worker
+// receives no heartbeat response that could carry the command.
 #[tokio::test(start_paused = true)]
 async fn workers_with_blocked_heartbeats_still_obey_direct_commands() {
     for (blocked_s, crashes) in [
--- a/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
+++ b/crates/tallygauge-sim/tests/concurrent_faults_user_reads.rs
@@ -159,9 +159,9 @@
     }
 }
 
-// A transaction is committed and only its response is lost, while other controllers read
-// what it wrote. The controller that sent the transaction must not report what was stored
-// before it.
+// A transaction is committed but its response is lost, while other controllers read what it
+// wrote. The controller that sent the transaction must not report the state from before the
+// transaction.
 #[tokio::test(start_paused = true)]
 async fn status_reads_stay_linearizable_with_lost_store_responses() {
     for seed in 0..4 {
--- a/crates/tallygauge-sim/tests/message_faults.rs
+++ b/crates/tallygauge-sim/tests/message_faults.rs
@@ -174,8 +174,8 @@
 }
 
 // A controller that restarts within a fraction of a second finds its own name in the leader
-// record, with a lease that has not expired. If it took that term for its own, it would use the term
-// and the names that it gives out a second time.
+// record, with a lease that has not expired. If the controller took this to mean that it still
+// leads that term, it would use the term and the names that it assigns a second time.
 #[tokio::test(start_paused = true)]
 async fn controller_restarted_at_once_reuses_no_term_or_name() {
     for restart_delay_ms in [10u64, 90, 300, 900] {
--- a/crates/tallygauge-store/src/error.rs
+++ b/crates/tallygauge-store/src/error.rs
@@ -8,8 +8,8 @@
 /// [`StoreError::may_have_executed`].
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum StoreError {
-    /// Certainly not executed, neither by now nor later: the caller may drop the
-    /// request.
+    /// The request was not executed and will not be executed later: the caller may drop
+    /// it.
     #[error("{request} was not executed by the key-value store: {reason}")]
     NotExecuted {
         /// The request: its path, or the keys of a transaction.
@@ -85,7 +85,7 @@
     #[error("no connection to the store")]
     NotConnected,
     /// The store responded with 400: it could not parse or validate the request.
-    #[error("rejected as malformed")]
+    #[error("rejected by the store as malformed")]
     InvalidRequest,
 }
 
--- a/crates/tallygauge/src/connection_limits.rs
+++ b/crates/tallygauge/src/connection_limits.rs
@@ -4,8 +4,8 @@
 //! Connections are kept available in this order of importance:
 //!
 //! 1. Workers' heartbeats: a worker that gets no connection loses its lease.
-//! 2. Direct messages to workers, since the response to the worker's next heartbeat carries
-//!    the same commands.
+//! 2. Direct messages to workers. They are less important than heartbeats, since the response
+//!    to the worker's next heartbeat carries the same commands.
 //! 3. Users, where other controllers can serve them.
 
 use tallygauge_store::ConnectionCount;
--- a/crates/tallygauge/src/leader_records.rs
+++ b/crates/tallygauge/src/leader_records.rs
@@ -165,13 +165,17 @@
         if declared.version > version_in_force {
             let now = self.controller.time_of_day();
             let staged = self.records.stage(None, declared, now);
-            tracing::info!(version = declared.version, ?staged, "declared cutoffs");
+            tracing::info!(
+                version = declared.version,
+                ?staged,
+                "staging cutoffs declared in the settings"
+            );
         } else if declared.version == version_in_force
             && in_force.is_some_and(|cutoffs| cutoffs != declared)
         {
             tracing::warn!(
                 version = version_in_force,
-                "declared cutoffs differ from those in force: raise their version"
+                "cutoffs in the settings differ from those in force under the same version: raise the version in the settings"
             );
         }
     }
@@ -188,7 +192,7 @@
         let version = declared.version;
         match change {
             Some(RulesChange::New(rules)) => match self.records.stage(None, &rules, now) {
-                Ok(_) => tracing::info!(version, "declared priority rules"),
+                Ok(_) => tracing::info!(version, "staging priority rules declared in the settings"),
                 Err(error) => {
                     tracing::warn!(
                         %error,
@@ -199,7 +203,7 @@
             Some(RulesChange::VersionConflict) => {
                 tracing::warn!(
                     version,
-                    "declared priority rules differ from those in force: raise their version"
+                    "priority rules in the settings differ from those in force under the same version: raise the version in the settings"
                 );
             }
             Some(RulesChange::Unchanged) | None => {}
--- a/crates/tallygauge/src/placements.rs
+++ b/crates/tallygauge/src/placements.rs
@@ -141,7 +141,7 @@
             cluster.record_batch_rejected(&batch, now);
         }
     });
-    tracing::debug!(batch = &*batch.name, committed, "placement batch");
+    tracing::debug!(batch = &*batch.name, committed, "placement batch decided");
     if !committed {
         controller.wake_scheduler.notify_one();
     }
--- a/crates/tallygauge/src/user_api/job_refresh.rs
+++ b/crates/tallygauge/src/user_api/job_refresh.rs
@@ -47,10 +47,10 @@
     }
 }
 
-/// Reads the record versions of all active jobs into the cache after several cache misses,
-/// as they occur after a start of the process. One such request covers hundreds of jobs,
-/// whereas each miss costs two requests and a failed version check. There is at most one
-/// refresh per duration of a worker's lease. Never returns.
+/// Reads the record versions of all active jobs into the cache whenever several cache misses
+/// have occurred, for example after the process has started. One such request covers
+/// hundreds of jobs, whereas each miss costs two requests and a failed version check. There
+/// is at most one refresh per duration of a worker's lease. Never returns.
 pub async fn refresh_active_jobs(controller: Arc<Controller>) {
     let pause = Duration::from_secs_f64(controller.settings.deployment.workers.lease_s);
     loop {
--- a/crates/tallygauge/src/user_api/mod.rs
+++ b/crates/tallygauge/src/user_api/mod.rs
@@ -36,9 +36,10 @@
 /// the user is told to retry: 1.5 times the poll timeout.
 const WRITE_TIMEOUT: Duration = Duration::from_millis((POLL_TIMEOUT_S * 1500.0) as u64);
 
-/// Serves a user's request. While this controller's requests to the key-value store fail,
-/// the request is relayed to another controller, before or after the attempt to serve it
-/// here. Requests about a job that is known to have ended are served from the cache.
+/// Serves a user's request. If this controller's requests to the key-value store are
+/// failing already, the request is first relayed to another controller. If they turn out to
+/// fail while the request is served here, it is relayed afterwards. Requests about a job
+/// that is known to have ended are served from the cache.
 ///
 /// Returns `None` if the interface has no request of this method and path.
 pub async fn serve(
