--- a/crates/tallygauge-deadlines/src/forecast.rs
+++ b/crates/tallygauge-deadlines/src/forecast.rs
@@ -10,22 +10,23 @@
     /// CPUs that the work may use at a time, as limited by the quotas of its teams and by the
     /// machines that its tasks fit on.
     pub max_cpus: f64,
-    /// Seconds of run time left of its longest task.
+    /// Remaining run time, in seconds, of the longest task of these jobs.
     pub longest_task_s: f64,
 }
 
 /// Forecast for one cutoff.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Forecast {
-    /// Seconds from the end of its work to the cutoff, if all work is done in the order of
-    /// cutoffs. If negative, the work ends that much after the cutoff.
+    /// Seconds from the end of the cutoff's work to the cutoff, if all work is done in the
+    /// order of cutoffs. If negative, the work ends that much after the cutoff.
     pub slack_s: f64,
     /// Seconds until the latest time at which the remaining work can start and still meet the
-    /// cutoff, given all CPUs that this work may use. If negative, the cutoff can no longer be met.
+    /// cutoff, given all CPUs that this work may use. If negative, the cutoff can no longer
+    /// be met.
     pub latest_start_s: f64,
-    /// Whether its slack is too small although it can still be met.
+    /// Whether the slack is too small although the cutoff can still be met.
     pub at_risk: bool,
-    /// Further CPUs needed to meet it together with all earlier cutoffs.
+    /// Further CPUs needed to meet this cutoff together with all earlier ones.
     pub missing_cpus: f64,
 }
 
--- a/crates/tallygauge-health/src/reachability.rs
+++ b/crates/tallygauge-health/src/reachability.rs
@@ -16,9 +16,11 @@
 /// Thresholds of the reachability states, and the time for which evidence counts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReachabilityThresholds {
-    /// Count of evidence since the last confirmation from which a machine gets no new work.
+    /// Number of pieces of evidence since the last confirmation at which a machine stops
+    /// getting new work.
     pub no_new_work: u32,
-    /// Count of evidence since the last confirmation from which a machine is unreachable.
+    /// Number of pieces of evidence since the last confirmation at which a machine counts as
+    /// unreachable.
     pub unreachable: u32,
     /// Pieces of evidence less than this many seconds apart count as one, so that a single
     /// lost response does not count twice.
@@ -35,7 +37,7 @@
     Reachable,
     /// There is evidence, but less than the threshold of an unreachable machine.
     Suspected {
-        /// Count of evidence since the last confirmation, without expired evidence.
+        /// Number of pieces of evidence since the last confirmation, without expired ones.
         evidence_count: u32,
         /// Time of the latest evidence.
         last_at: f64,
--- a/crates/tallygauge-scheduler/src/mapping/candidates.rs
+++ b/crates/tallygauge-scheduler/src/mapping/candidates.rs
@@ -110,8 +110,9 @@
                 .any(|request| request.covers(&entry.job.spec))
     }
 
-    /// Remembers that no machine fits a task of the job, unless that may be due to the
-    /// job's own constraints or precedence and so does not apply to other jobs.
+    /// Remembers, for other jobs, that no machine fits a task of this job. Not remembered if
+    /// the job's own constraints or precedence may be the cause, since these do not apply to
+    /// other jobs.
     fn record_unplaceable(&mut self, job_index: usize) {
         let entry = &self.jobs[job_index];
         let spec = &entry.job.spec;
--- a/crates/tallygauge-scheduler/src/model/config.rs
+++ b/crates/tallygauge-scheduler/src/model/config.rs
@@ -108,8 +108,8 @@
         seconds * (1.0 + 2.0 * self.clock_drift) + self.timing_margin_s()
     }
 
-    /// Amounts of evidence at which a machine gets no new tasks and at which it counts as
-    /// unreachable. A single lost response is not enough: the responses that follow it
+    /// Numbers of pieces of evidence at which a machine gets no new tasks and at which it
+    /// counts as unreachable. A single lost response is not enough: the responses that follow it
     /// decide, within a lease but not before three heartbeats.
     #[must_use]
     pub fn reachability_thresholds(&self) -> ReachabilityThresholds {
--- a/crates/tallygauge-scheduler/src/pending_reasons.rs
+++ b/crates/tallygauge-scheduler/src/pending_reasons.rs
@@ -115,7 +115,7 @@
     fetching: usize,
     stopping: usize,
     unreachable: usize,
-    /// Seconds until the last lease of the machines of the unreachable tasks has certainly
+    /// Seconds until the leases of all machines with unreachable tasks have certainly
     /// expired.
     lease_expires_in_s: f64,
 }
--- a/crates/tallygauge-scheduler/src/start_deadline/reservations.rs
+++ b/crates/tallygauge-scheduler/src/start_deadline/reservations.rs
@@ -28,7 +28,8 @@
 struct ReservationCandidate<'a> {
     /// Seconds until the task fits.
     after_s: f64,
-    /// Whether it is not reserved for a first task yet.
+    /// Whether this would be a new reservation: the machine is not yet reserved for a first
+    /// task.
     newly_reserved: bool,
     name: &'a str,
 }
@@ -36,8 +37,8 @@
 impl ClusterState {
     /// Reserves machines for the overdue first tasks of large jobs that are larger than
     /// the smallest pending task: for each, the machine on which it will fit first.
-    /// Returns, by name of the machine, the CPUs of the smallest task that may start
-    /// there.
+    /// Returns the reservations: for each name of a machine, the CPUs of the smallest task
+    /// that may start on it.
     pub(super) fn reserve_for_unstarted(
         &self,
         claims: &BTreeMap<String, StartClaim>,
--- a/crates/tallygauge-sim/src/worker_agent.rs
+++ b/crates/tallygauge-sim/src/worker_agent.rs
@@ -235,8 +235,8 @@
             .is_some_and(|worker| worker.is_hung())
     }
 
-    /// Whether a worker and a controller are connected as far as
-    /// [`exclusive_links`](crate::FaultSettings::exclusive_links) go.
+    /// Whether [`exclusive_links`](crate::FaultSettings::exclusive_links) allow a connection
+    /// between a worker and a controller.
     fn has_link(&self, worker: &str, controller: &str) -> bool {
         let exclusive = self.faults.exclusive_links.get(worker);
         exclusive.is_none_or(|exclusive| exclusive == controller)
