--- a/crates/tallygauge-scheduler/src/minimum_share/state.rs
+++ b/crates/tallygauge-scheduler/src/minimum_share/state.rs
@@ -26,7 +26,7 @@
 pub(crate) struct Reservation {
     /// Group id of the class whose jobs it is reserved for.
     pub(crate) group: usize,
-    /// CPUs of the smallest task that may start there.
+    /// CPUs of the smallest task that may start on the machine.
     pub(crate) min_task_cpus: f64,
 }
 
