--- a/crates/tallygauge/src/user_api/cancel.rs
+++ b/crates/tallygauge/src/user_api/cancel.rs
@@ -1,8 +1,10 @@
-//! `POST /work/{id}/abort`: the cancellation of a job.
+//! `POST /work/{id}/abort`: cancels a job.
 
 use super::{
     ActiveJobRecord, Reply, TerminalJobRecord, WRITE_TIMEOUT,
-    lookup::{JobLookup, JobStateUnavailable, lookup_for_write, own_task_count, read_job_records},
+    lookup::{
+        JobLookup, JobStateUnavailable, cluster_task_count, lookup_for_write, read_job_records,
+    },
 };
 use crate::{
     controller::Controller,
@@ -15,11 +17,11 @@
 };
 use tallygauge_store::{RequestPriority, TransactionOutcome};
 
-/// Attempts to cancel a job that changes meanwhile.
+/// Maximum number of attempts to cancel a job whose record changes during each attempt.
 const MAX_CANCEL_ATTEMPTS: usize = 3;
 
-/// `POST /work/{id}/abort`. Idempotent: a job that is done or cancelled already is
-/// answered for by its status.
+/// `POST /work/{id}/abort`. Idempotent: the reply for a job that is already done or
+/// cancelled is its status.
 pub async fn cancel(controller: &Controller, id: &str) -> Reply {
     if !is_valid_job_id(id) {
         return Reply::no_such_job();
@@ -40,30 +42,30 @@
     JobStateUnavailable.into()
 }
 
-/// Replaces the record of an active job by that of a cancelled one. Returns the
-/// status in which the job ended, or `None` if its record changed meanwhile and it
+/// Replaces the record of an active job by the record of a cancelled one. Returns the
+/// status in which the job ended, or `None` if its record changed meanwhile and the job
 /// has to be looked up again.
 async fn cancel_active(
     controller: &Controller,
     id: &str,
 ) -> Result<Option<JobStatus>, JobStateUnavailable> {
-    let row = controller
+    let entry = controller
         .store
         .get(RequestPriority::Users, &active_job_key(id))
         .await
         .map_err(|_| JobStateUnavailable)?;
-    let Some(row) = row else {
+    let Some(entry) = entry else {
         return Ok(None);
     };
     let active: ActiveJobRecord =
-        serde_json::from_value(row.value).map_err(|_| JobStateUnavailable)?;
+        serde_json::from_value(entry.value).map_err(|_| JobStateUnavailable)?;
     let cancelled = build_cancelled_record(controller, id, &active.spec);
     let value = serde_json::to_value(cancelled).map_err(|_| JobStateUnavailable)?;
     let result = controller
         .store
         .commit_with_retries(
             RequestPriority::Users,
-            &build_cancel_transaction(id, row.version, value),
+            &build_cancel_transaction(id, entry.version, value),
             Some(WRITE_TIMEOUT),
         )
         .await;
@@ -72,7 +74,7 @@
             apply_cancellation(controller, id, cancelled);
             Ok(Some(JobStatus::Cancelled))
         }
-        // The job ended meanwhile, perhaps by an earlier copy of this transaction.
+        // The job ended meanwhile, possibly by an earlier copy of this transaction.
         Ok(_) => match read_job_records(controller, id).await {
             Ok(JobLookup::Terminal(record)) => Ok(Some(record.status)),
             _ => Ok(None),
@@ -81,9 +83,11 @@
     }
 }
 
-/// The record of a job that is cancelled now. The tasks of a service are never done.
+/// Builds the record of a job that is being cancelled. The number of completed tasks is 0
+/// for a service, since its tasks never complete, and for a job that is not in this
+/// controller's cluster state.
 fn build_cancelled_record(controller: &Controller, id: &str, spec: &JobSpec) -> TerminalJobRecord {
-    let done = own_task_count(controller, id).map_or(0, |count| count.done);
+    let done = cluster_task_count(controller, id).map_or(0, |count| count.done);
     TerminalJobRecord {
         status: JobStatus::Cancelled,
         done: if spec.shape == Shape::Service {
@@ -94,8 +98,8 @@
     }
 }
 
-/// The transaction that cancels a job, on condition that its record still has this
-/// version: of a cancellation and a completion only one can succeed.
+/// The transaction that cancels a job, on condition that the job's record still has the
+/// given version. Thus only one of a concurrent cancellation and completion succeeds.
 fn build_cancel_transaction(id: &str, version: u64, record: Value) -> Transaction {
     Transaction {
         conditions: vec![Condition {
@@ -115,7 +119,7 @@
     }
 }
 
-/// Caches a cancellation and, on the leader, stops the job's tasks.
+/// Records a cancellation in the job cache and, on the leader, stops the job's tasks.
 fn apply_cancellation(controller: &Controller, id: &str, record: TerminalJobRecord) {
     controller.job_cache.insert_terminal(id, record);
     let now = controller.now();
--- a/crates/tallygauge/src/user_api/lookup.rs
+++ b/crates/tallygauge/src/user_api/lookup.rs
@@ -1,6 +1,7 @@
-//! Finding out the state of a job, confirmed by the key-value store a moment ago.
+//! Looks up the state of a job. Whether the job is active or unknown is confirmed by the
+//! key-value store; that it has ended is final and may come from the cache.
 
-use super::{MAX_ANSWER_AGE_S, Reply, TerminalJobRecord, reply::without_counts};
+use super::{MAX_RESPONSE_AGE_S, Reply, TerminalJobRecord, reply::response_without_counts};
 use crate::{
     controller::Controller,
     job_cache::CachedJob,
@@ -14,25 +15,26 @@
 use tallygauge_scheduler::TaskCount;
 use tallygauge_store::RequestPriority;
 
-/// Version of a key that does not exist.
-const ABSENT: u64 = 0;
+/// Version by which a condition states that a key does not exist.
+const ABSENT_KEY_VERSION: u64 = 0;
 
-/// Attempts to find a job's state: one for each change of state that a job may go
-/// through meanwhile, and one more.
+/// Maximum number of attempts to look up a job's state: one for each change of state that
+/// the job may go through during the lookup, and one more.
 const MAX_LOOKUP_ATTEMPTS: usize = 4;
 
-/// State of a job according to the key-value store.
+/// State of a job according to its records in the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum JobLookup {
-    /// There is no such job.
+    /// The job does not exist.
     Unknown,
-    /// Neither done nor cancelled.
+    /// The job is neither done nor cancelled.
     Active,
-    /// Done or cancelled.
+    /// The job is done or cancelled.
     Terminal(TerminalJobRecord),
 }
 
-/// The state of a job can't be found out now. The text is the body of the reply.
+/// The state of a job cannot be determined now. The text is the error in the body of the
+/// reply.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
 #[error("the state of the job can't be told now")]
 pub(super) struct JobStateUnavailable;
@@ -43,7 +45,7 @@
     }
 }
 
-/// Finds out the state of a job for a request that writes.
+/// Looks up the state of a job for a submission or cancellation.
 pub(super) async fn lookup_for_write(
     controller: &Controller,
     id: &str,
@@ -55,11 +57,11 @@
     lookup(controller, id, urgency).await
 }
 
-/// Finds out the state of a job. Between the check that it is recent enough and the
-/// caller's reply there is no await.
+/// Looks up the state of a job. There is no await between the check that the state is
+/// recent enough and the reply of the caller.
 ///
 /// # Errors
-/// When the store did not answer in time, or the job kept changing.
+/// When the store did not answer in time, or the job changed during every attempt.
 pub(super) async fn lookup(
     controller: &Controller,
     id: &str,
@@ -71,10 +73,10 @@
             Some(CachedJob::Active(version)) => {
                 confirm_active(controller, id, urgency, version).await?
             }
-            Some(CachedJob::Stale) => find_uncached(controller, id, urgency).await?,
+            Some(CachedJob::Stale) => lookup_uncached(controller, id, urgency).await?,
             None => {
-                controller.job_refresh.record_unknown_job();
-                find_uncached(controller, id, urgency).await?
+                controller.job_refresh.record_cache_miss();
+                lookup_uncached(controller, id, urgency).await?
             }
         };
         if let Some(found) = found {
@@ -84,8 +86,8 @@
     Err(JobStateUnavailable)
 }
 
-/// Checks that an active job's record still has the cached version. `None` if it
-/// does not, or the check took too long.
+/// Checks that the record of an active job still has the cached version. Returns `None` if
+/// it does not, or if the check took too long.
 async fn confirm_active(
     controller: &Controller,
     id: &str,
@@ -104,10 +106,14 @@
     Ok(is_recent(controller, check.as_of).then_some(JobLookup::Active))
 }
 
-/// Finds out which record a job has, and reads it into the cache. `None` if the
-/// store has to be asked again: the job is terminal, it changed meanwhile, or an
-/// answer took too long.
-async fn find_uncached(
+/// Determines which record a job has, and reads that record into the cache.
+///
+/// Returns `None` if the lookup has to be repeated:
+///
+/// - the job is terminal (its state is in the cache now);
+/// - the job changed meanwhile;
+/// - a response took too long.
+async fn lookup_uncached(
     controller: &Controller,
     id: &str,
     urgency: Urgency,
@@ -126,7 +132,7 @@
     Ok(None)
 }
 
-/// Reads a job's records after a transaction on them met a conflict.
+/// Reads a job's records after a transaction on them failed on a condition.
 ///
 /// # Errors
 /// When the store did not answer in time, or the job has no record.
@@ -148,46 +154,48 @@
         .ok_or(JobStateUnavailable)
 }
 
-/// Reads the record of an active job and caches its version. Returns whether there
-/// is one.
+/// Reads the record of an active job and caches its version. Returns whether the record
+/// exists.
 async fn read_active_record(
     controller: &Controller,
     priority: RequestPriority,
     id: &str,
 ) -> Result<bool, JobStateUnavailable> {
-    let row = controller
+    let entry = controller
         .store
         .get(priority, &active_job_key(id))
         .await
         .map_err(|_| JobStateUnavailable)?;
-    if let Some(row) = &row {
-        controller.job_cache.insert_active(id, row.version);
+    if let Some(entry) = &entry {
+        controller.job_cache.insert_active(id, entry.version);
     }
-    Ok(row.is_some())
+    Ok(entry.is_some())
 }
 
-/// Reads the record of a terminal job and caches it. `None` if there is none.
+/// Reads the record of a terminal job and caches it. Returns `None` if the record does not
+/// exist.
 async fn read_terminal_record(
     controller: &Controller,
     priority: RequestPriority,
     id: &str,
 ) -> Result<Option<TerminalJobRecord>, JobStateUnavailable> {
-    let row = controller
+    let entry = controller
         .store
         .get(priority, &terminal_job_key(id))
         .await
         .map_err(|_| JobStateUnavailable)?;
-    let Some(row) = row else {
+    let Some(entry) = entry else {
         return Ok(None);
     };
     let record: TerminalJobRecord =
-        serde_json::from_value(row.value).map_err(|_| JobStateUnavailable)?;
+        serde_json::from_value(entry.value).map_err(|_| JobStateUnavailable)?;
     controller.job_cache.insert_terminal(id, record);
     Ok(Some(record))
 }
 
-/// What users are told of a job; `None` if it does not exist. Task counts of an
-/// active job are the leader's, on other controllers as last read from it.
+/// The response that describes a job in the given state, or `None` if the job does not
+/// exist. The task counts of an active job come from the leader's cluster state. A follower
+/// uses the counts that it last read from the leader, and requests newer ones.
 pub(super) fn job_response(
     controller: &Controller,
     id: &str,
@@ -199,7 +207,7 @@
             (status, TaskCount { done, running: 0 })
         }
         JobLookup::Active => {
-            let count = own_task_count(controller, id)
+            let count = cluster_task_count(controller, id)
                 .unwrap_or_else(|| controller.task_counts.get_and_request(id));
             let status = if count.running > 0 {
                 JobStatus::Running
@@ -212,12 +220,13 @@
     Some(JobResponse {
         done: Some(count.done),
         running: Some(count.running),
-        ..without_counts(id, status)
+        ..response_without_counts(id, status)
     })
 }
 
-/// A job's task counts in this controller's cluster state, if it is the leader.
-pub(super) fn own_task_count(controller: &Controller, id: &str) -> Option<TaskCount> {
+/// The task counts of a job in this controller's cluster state. `None` unless this
+/// controller is the leader, has recovered the cluster state, and finds the job there.
+pub(super) fn cluster_task_count(controller: &Controller, id: &str) -> Option<TaskCount> {
     controller
         .with_cluster(|cluster| cluster.task_count(id))
         .flatten()
@@ -227,7 +236,7 @@
 pub(super) fn absent(key: String) -> Condition {
     Condition {
         key,
-        version: ABSENT,
+        version: ABSENT_KEY_VERSION,
     }
 }
 
@@ -243,7 +252,7 @@
         .ok_or(JobStateUnavailable)
 }
 
-/// Whether an answer to what was sent at `sent_at` may still be told to a user.
+/// Whether the response to a request sent at `sent_at` is recent enough to tell a user.
 fn is_recent(controller: &Controller, sent_at: f64) -> bool {
-    controller.now() - sent_at <= MAX_ANSWER_AGE_S
+    controller.now() - sent_at <= MAX_RESPONSE_AGE_S
 }
--- a/crates/tallygauge/src/user_api/mod.rs
+++ b/crates/tallygauge/src/user_api/mod.rs
@@ -1,7 +1,7 @@
-//! The users' HTTP interface: submit a job, read its status, cancel it.
+//! The HTTP interface for users: submit a job, read its status, cancel it.
 //!
-//! No request waits for the key-value store to recover: a user whose request can't
-//! be answered now is told at once to retry.
+//! No request waits for the key-value store to recover. A user whose request cannot be
+//! served now is told at once to retry.
 
 mod cancel;
 mod job_refresh;
@@ -26,17 +26,21 @@
 use tallygauge_protocol::users::POLL_TIMEOUT_S;
 use warp::http::Method;
 
-/// Oldest answer of the key-value store, or of another controller, that a user may
-/// be told, seconds. This process may have been paused since it asked, and the job
-/// may have ended and its user been told so by another controller.
-const MAX_ANSWER_AGE_S: f64 = POLL_TIMEOUT_S / 2.0;
+/// Maximum age of the information that a user is given, in seconds since the request for
+/// it was sent to the key-value store or to another controller. If this process was
+/// paused after it sent the request, the job may have ended meanwhile and another
+/// controller may have told its user so.
+const MAX_RESPONSE_AGE_S: f64 = POLL_TIMEOUT_S / 2.0;
 
-/// How long the write of a submission or cancellation is retried before its user is
-/// told to retry.
+/// Time for which the store transaction of a submission or cancellation is retried before
+/// the user is told to retry: 1.5 times the poll timeout.
 const WRITE_TIMEOUT: Duration = Duration::from_millis((POLL_TIMEOUT_S * 1500.0) as u64);
 
-/// Serves a user's request, relayed to another controller while the key-value store
-/// does not serve this one. `None` if there is no such request.
+/// Serves a user's request. While this controller's requests to the key-value store fail,
+/// the request is relayed to another controller, before or after the attempt to serve it
+/// here. Requests about a job that is known to have ended are served from the cache.
+///
+/// Returns `None` if the interface has no request of this method and path.
 pub async fn serve(
     controller: &Controller,
     method: &Method,
@@ -58,8 +62,10 @@
     Some(reply)
 }
 
-/// Serves a user's request by this controller alone; `None` if there is no such
-/// request. Called for requests that other controllers relay, too.
+/// Serves a user's request without relaying it. Requests that other controllers relay to
+/// this one are served by this function too.
+///
+/// Returns `None` if the interface has no request of this method and path.
 pub async fn handle_locally(
     controller: &Controller,
     method: &Method,
--- a/crates/tallygauge/src/user_api/records.rs
+++ b/crates/tallygauge/src/user_api/records.rs
@@ -1,14 +1,15 @@
-//! Durable records of jobs in the key-value store. A job has one of them at a time.
+//! Durable records of jobs in the key-value store. A job has exactly one of the two records
+//! at a time.
 
 use serde::{Deserialize, Serialize};
 use tallygauge_protocol::users::{JobSpec, JobStatus};
 
-/// Record of an active job. It never changes while the job is active.
+/// Record of an active job. It does not change while the job is active.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ActiveJobRecord {
     /// The job as submitted.
     pub spec: JobSpec,
-    /// When the job was accepted, in seconds since the epoch.
+    /// When the job was accepted, in seconds since the Unix epoch.
     #[serde(rename = "at")]
     pub accepted_at: f64,
 }
@@ -16,8 +17,8 @@
 /// Record of a job that is done or cancelled. It is never removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TerminalJobRecord {
-    /// `done` or `cancelled`.
+    /// Status in which the job ended: `done` or `cancelled`.
     pub status: JobStatus,
-    /// Tasks done.
+    /// Number of completed tasks.
     pub done: u32,
 }
--- a/crates/tallygauge/src/user_api/relay_requests.rs
+++ b/crates/tallygauge/src/user_api/relay_requests.rs
@@ -1,21 +1,21 @@
-//! Relaying users' requests to other controllers while the key-value store does not
-//! serve this one.
+//! Relays users' requests to other controllers while this controller's requests to the
+//! key-value store fail.
 
-use super::{MAX_ANSWER_AGE_S, Reply};
+use super::{MAX_RESPONSE_AGE_S, Reply};
 use crate::controller::Controller;
 use std::time::Duration;
 use tallygauge_protocol::users::{JobResponse, JobStatus, POLL_TIMEOUT_S};
 use warp::http::Method;
 
-/// Seconds without relaying after no other controller could answer: as long as users
-/// are told to wait.
+/// Pause in relaying after no other controller could serve a request, in seconds. It is as
+/// long as users are told to wait before a retry.
 const RELAY_BACKOFF_S: f64 = 1.0;
 
-/// Seconds that other controllers may take to answer.
+/// Time that other controllers have to serve a relayed request, in seconds.
 const RELAY_TIMEOUT_S: f64 = POLL_TIMEOUT_S / 4.0;
 
-/// Relays a request, unless that failed a moment ago. `None` if no other controller
-/// could answer it.
+/// Relays a request to the other controllers. Returns `None` if none of them could serve
+/// it, or if the pause after an earlier failure has not ended yet.
 pub(super) async fn relay_to_peers(
     controller: &Controller,
     method: &Method,
@@ -28,11 +28,11 @@
     }
     let timeout = Duration::from_secs_f64(RELAY_TIMEOUT_S);
     let sent_at = controller.now();
-    let answer = tokio::time::timeout(timeout, relay.relay(method, path, body)).await;
-    // An answer that arrived while this process was paused may be out of date, and
-    // the timeout above lets it pass.
-    let is_outdated = controller.now() - sent_at > MAX_ANSWER_AGE_S;
-    match answer {
+    let relayed = tokio::time::timeout(timeout, relay.relay(method, path, body)).await;
+    // The timeout does not reject a reply that arrived while this process was paused, and
+    // such a reply may be out of date.
+    let is_outdated = controller.now() - sent_at > MAX_RESPONSE_AGE_S;
+    match relayed {
         Ok(Some(reply)) if !is_outdated => {
             apply_relayed_cancellation(controller, &reply.body);
             Some(Reply::Relayed(reply))
@@ -45,9 +45,10 @@
     }
 }
 
-/// Stops a job's tasks at once if the relayed answer says that it was cancelled and
-/// this controller is the leader. The fence on heartbeat responses stops them anyway,
-/// but later.
+/// Stops a job's tasks at once if the relayed reply says that the job was cancelled and
+/// this controller is the leader. The tasks would otherwise stop later: a leader whose
+/// cluster state may lack the cancellation is fenced after a while, and then no longer
+/// responds to heartbeats.
 fn apply_relayed_cancellation(controller: &Controller, body: &[u8]) {
     let Ok(response) = serde_json::from_slice::<JobResponse>(body) else {
         return;
--- a/crates/tallygauge/src/user_api/reply.rs
+++ b/crates/tallygauge/src/user_api/reply.rs
@@ -1,36 +1,36 @@
-//! Replies to users.
+//! Replies to users' requests.
 
 use crate::relay::RelayedReply;
 use tallygauge_protocol::users::{ErrorResponse, JobResponse, JobStatus};
 
-/// Seconds after which a user whose request can't be served now should retry.
+/// Seconds after which a user should retry a request that cannot be served now.
 const RETRY_AFTER_S: u64 = 1;
 
 /// Reply to a user's request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// The state of the job.
+    /// The status of the job, with its task counts where they are known.
     Job {
         /// Status code: 201 if the job was created by this request, otherwise 200.
         status: u16,
-        /// Body.
+        /// Body of the reply.
         response: JobResponse,
     },
-    /// The request can't succeed, however often it is sent.
+    /// The request is invalid, and a retry cannot succeed.
     Rejected {
         /// Status code: 400, 404 or 422.
         status: u16,
         /// Body: what is wrong with the request.
         error: String,
     },
-    /// 503: the request can't be served now.
+    /// 503: the request cannot be served now.
     RetryLater {
-        /// Body: why not.
+        /// Body: why the request cannot be served.
         reason: String,
-        /// Value of the `retry-after` header, seconds.
+        /// Value of the `retry-after` header, in seconds.
         retry_after_s: u64,
     },
-    /// Another controller's reply.
+    /// The reply of another controller, to which the request was relayed.
     Relayed(RelayedReply),
 }
 
@@ -61,7 +61,7 @@
         body.unwrap_or_default()
     }
 
-    /// Value of the HTTP `retry-after` header, seconds, if the reply has one.
+    /// Value of the HTTP `retry-after` header in seconds, if the reply has the header.
     #[must_use]
     pub fn retry_after_s(&self) -> Option<u64> {
         match self {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The reply to a request that can't be served now.
+    /// The reply to a request that cannot be served now.
     pub(super) fn retry_later(reason: impl Into<String>) -> Self {
         Reply::RetryLater {
             reason: reason.into(),
@@ -86,17 +86,17 @@
         }
     }
 
-    /// The reply with a job's status and no task counts.
+    /// A reply with a job's status and without task counts.
     pub(super) fn job_status(status: u16, id: &str, job_status: JobStatus) -> Self {
         Reply::Job {
             status,
-            response: without_counts(id, job_status),
+            response: response_without_counts(id, job_status),
         }
     }
 }
 
-/// A response with a job's status and no task counts.
-pub(super) fn without_counts(id: &str, status: JobStatus) -> JobResponse {
+/// A response body with a job's status and without task counts.
+pub(super) fn response_without_counts(id: &str, status: JobStatus) -> JobResponse {
     JobResponse {
         id: id.to_string(),
         status,
--- a/crates/tallygauge/src/user_api/status.rs
+++ b/crates/tallygauge/src/user_api/status.rs
@@ -1,4 +1,4 @@
-//! `GET /work/{id}`: the status of a job.
+//! `GET /work/{id}`: reports the status of a job.
 
 use super::{
     Reply,
@@ -8,7 +8,7 @@
 use tallygauge_protocol::users::is_valid_job_id;
 use tallygauge_store::RequestPriority;
 
-/// `GET /work/{id}`
+/// `GET /work/{id}`. Records the poll as unanswered until the job's state is known.
 pub async fn job_status(controller: &Controller, id: &str) -> Reply {
     if !is_valid_job_id(id) {
         return Reply::no_such_job();
--- a/crates/tallygauge/src/user_api/submit.rs
+++ b/crates/tallygauge/src/user_api/submit.rs
@@ -1,4 +1,4 @@
-//! `POST /work`: the submission of a job.
+//! `POST /work`: submits a job.
 
 use super::{
     ActiveJobRecord, Reply, WRITE_TIMEOUT,
@@ -16,10 +16,10 @@
 use tallygauge_scheduler::{InfeasibleJob, check_feasible};
 use tallygauge_store::{RequestPriority, TransactionOutcome};
 
-/// Part of the store's largest value that the record of a job may take.
+/// Maximum size of a job's record, as a fraction of the store's value size limit.
 const MAX_RECORD_FRACTION: f64 = 0.9;
 
-/// Why a submission is not accepted. The text is the body of the reply.
+/// Why a submission is rejected. The text is the error in the body of the reply.
 #[derive(Debug, thiserror::Error)]
 enum SubmissionError {
     #[error("not JSON: {0}")]
@@ -28,10 +28,10 @@
     NotAnObject,
     #[error("nameId must be 'req-' followed by digits")]
     InvalidId,
-    /// A field is missing, or has a value that it may not have.
+    /// A field is missing or has an invalid value.
     #[error("{0}")]
     InvalidField(String),
-    /// No machine type, or not the team's limit, allows for the job.
+    /// The job fits no machine type, or exceeds its team's quota.
     #[error(transparent)]
     Infeasible(#[from] InfeasibleJob),
     #[error("the machine types are not known yet")]
@@ -56,21 +56,21 @@
     }
 }
 
-/// A submission of which only the id has been read.
+/// A submission of which only the job's id has been validated.
 struct Submission {
     id: String,
     value: Value,
 }
 
-/// `POST /work`. Idempotent: a job that is known already is answered for by its
-/// state, whatever else the submission says.
+/// `POST /work`. Idempotent: the reply to the submission of a job that exists is the job's
+/// status, even if the rest of the submission differs or is invalid.
 pub async fn submit(controller: &Controller, body: &[u8]) -> Reply {
     let Submission { id, value } = match parse_submission(body) {
         Ok(submission) => submission,
         Err(error) => return error.into(),
     };
     if controller.job_cache.get(&id).is_some() {
-        match resubmit_idempotently(controller, &id).await {
+        match existing_job_reply(controller, &id).await {
             Ok(Some(reply)) => return reply,
             Ok(None) => {}
             Err(unavailable) => return unavailable.into(),
@@ -78,7 +78,7 @@
     }
     match validate_spec(controller, value) {
         Ok(spec) => create_job(controller, &id, spec).await,
-        Err(error) => match resubmit_idempotently(controller, &id).await {
+        Err(error) => match existing_job_reply(controller, &id).await {
             Ok(Some(reply)) => reply,
             Ok(None) => error.into(),
             Err(_) if matches!(error, SubmissionError::CatalogueUnknown) => error.into(),
@@ -99,7 +99,8 @@
     }
 }
 
-/// Checks that a submission is well-formed and that the job can run on some machine.
+/// Checks that a submission is well-formed and that some machine type and its team's quota
+/// allow the job to run.
 fn validate_spec(controller: &Controller, value: Value) -> Result<JobSpec, SubmissionError> {
     let spec: JobSpec = serde_json::from_value(value)
         .map_err(|error| SubmissionError::InvalidField(error.to_string()))?;
@@ -111,8 +112,8 @@
     Ok(spec)
 }
 
-/// The reply to a submission of a job that exists; `None` if it does not.
-async fn resubmit_idempotently(
+/// The reply to the submission of a job that exists, or `None` if the job does not exist.
+async fn existing_job_reply(
     controller: &Controller,
     id: &str,
 ) -> Result<Option<Reply>, JobStateUnavailable> {
@@ -121,7 +122,7 @@
     Ok(response.map(|response| Reply::job_status(200, id, response.status)))
 }
 
-/// Writes the record of a new job.
+/// Writes the record of a new job to the store, and builds the reply.
 async fn create_job(controller: &Controller, id: &str, spec: JobSpec) -> Reply {
     let record = match encode_record(controller, spec) {
         Ok(record) => record,
@@ -160,9 +161,9 @@
     Ok(value)
 }
 
-/// The transaction that creates a job. Its conditions make it safe to send again
-/// when no answer came: the record of a job is created once, and never again after
-/// the job has ended.
+/// The transaction that creates a job. It is safe to send it again when no response
+/// arrived: by its conditions the record of a job is created once, and is not created
+/// again after the job has ended.
 fn build_create_transaction(id: &str, record: Value) -> Transaction {
     Transaction {
         conditions: vec![absent(active_job_key(id)), absent(terminal_job_key(id))],
@@ -174,8 +175,8 @@
     }
 }
 
-/// The reply when the job exists already, perhaps by an earlier copy of the same
-/// transaction.
+/// The reply when the transaction that creates a job met a conflict: the job exists
+/// already, possibly created by an earlier copy of the same transaction.
 async fn reply_to_conflict(controller: &Controller, id: &str) -> Reply {
     match read_job_records(controller, id).await {
         Ok(found) => match job_response(controller, id, found) {
