--- a/crates/tallygauge/src/user_api/status.rs
+++ b/crates/tallygauge/src/user_api/status.rs
@@ -1,4 +1,4 @@
-//! `GET /work/{id}`: the status of a job.
+//! `GET /work/{id}`: reports the status of a job.
 
 use super::{
     Reply,
@@ -8,13 +8,13 @@
 use tallygauge_protocol::users::is_valid_job_id;
 use tallygauge_store::RequestPriority;
 
-/// `GET /work/{id}`
+/// `GET /work/{id}`. Records the poll as unanswered until the job's state is known.
 pub async fn job_status(controller: &Controller, id: &str) -> Reply {
     if !is_valid_job_id(id) {
         return Reply::no_such_job();
     }
     let (now, expiry_s) = (controller.now(), controller.caller_expiry_s());
-    let unanswered_since = controller.pending_callers.record_request(id, now, expiry_s);
+    let unanswered_since = controller.unanswered_polls.record_poll(id, now, expiry_s);
     let urgency = Urgency {
         priority: RequestPriority::Polls,
         unanswered_since,
@@ -23,7 +23,7 @@
         Ok(found) => found,
         Err(unavailable) => return unavailable.into(),
     };
-    controller.pending_callers.record_response(id);
+    controller.unanswered_polls.record_reply(id);
     match job_response(controller, id, found) {
         Some(response) => Reply::Job {
             status: 200,
