--- a/crates/tallygauge-protocol/build.rs
+++ b/crates/tallygauge-protocol/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the peer service without needing `protoc`.
+//! Compiles `proto/peer.proto` with `protox`, so that the build does not need `protoc`.
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/peer.proto");
     let files = protox::compile(["proto/peer.proto"], ["proto"])?;
--- a/crates/tallygauge-protocol/src/cloud.rs
+++ b/crates/tallygauge-protocol/src/cloud.rs
@@ -1,54 +1,53 @@
-//! Messages of the cloud, which rents out machines to the leader (HTTP with JSON
-//! bodies).
+//! Messages of the cloud, from which the leader rents machines (HTTP with JSON bodies).
 //!
-//! The JSON names are given by the cloud and are not this code's terms (`benches`,
-//! `build`, `booking`, ...). They are mapped to the field's terms here, once, by serde.
+//! The cloud defines the JSON names (`benches`, `build`, `booking`, ...), which differ from
+//! the terms of this code. Only this module maps between the two, with serde attributes.
 
 use serde::{Deserialize, Serialize};
 
-/// A machine type on offer.
+/// Machine type that the cloud offers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Name of the type.
     pub name: String,
-    /// CPUs of a machine.
+    /// CPUs per machine.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// GPUs of a machine.
+    /// GPUs per machine.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory of a machine, GB.
+    /// Memory per machine, GB.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
     /// Size of a machine's image cache, GB.
     #[serde(rename = "cacheGb")]
     pub cache_gb: f64,
-    /// Rate at which a machine fetches images, GB a second.
+    /// Rate at which a machine fetches images, GB/s.
     #[serde(rename = "pullGbPerS")]
     pub fetch_gb_per_s: f64,
-    /// Price an hour.
+    /// On-demand price per hour.
     #[serde(rename = "rate")]
     pub price: f64,
-    /// Spot price an hour, as of now.
+    /// Current spot price per hour.
     #[serde(rename = "lowPrice")]
     pub spot_price: f64,
-    /// Usual boot time, seconds.
+    /// Typical boot time, seconds.
     #[serde(rename = "readyS")]
     pub boot_s: f64,
-    /// Zones in which it is offered.
+    /// Zones in which the type is offered.
     #[serde(rename = "sites")]
     pub zones: Vec<String>,
 }
 
-/// Answer of `GET /catalog`.
+/// Response to `GET /catalog`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Catalogue {
-    /// Machine types on offer.
+    /// Machine types that the cloud offers.
     #[serde(rename = "builds")]
     pub types: Vec<MachineType>,
 }
 
-/// Request for new machines (scale out).
+/// Request to rent machines (scale out).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RentRequest {
     /// Idempotency key of the request, never reused.
@@ -60,7 +59,7 @@
     /// Zone.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Whether spot instances are asked for.
+    /// Whether the machines are to be spot instances.
     #[serde(rename = "borrowed")]
     pub spot: bool,
     /// Number of machines, at most [`MAX_MACHINES_PER_RENTAL`].
@@ -68,42 +67,43 @@
     pub count: u32,
 }
 
-/// Most machines that one rental request may ask for.
+/// Maximum number of machines in one rental request.
 pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
 
-/// Most machines that one request may return (scale in).
+/// Maximum number of machines in one return request (scale in).
 pub const MAX_MACHINES_PER_RETURN: usize = 100;
 
-/// Names of machines: those that were rented, or those to return.
+/// Names of machines: in the response to a rental the rented ones, in a return request those
+/// to return.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Machine names.
     #[serde(rename = "benches")]
     pub names: Vec<String>,
 }
 
-/// State of a listed machine.
+/// State of a machine in the machine list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Not up yet when the list was made.
+    /// The machine was still booting when the cloud built the list.
     Booting,
-    /// Up when the list was made, some seconds ago.
+    /// The machine was up when the cloud built the list, which was some seconds ago.
     Running,
-    /// It stopped without being returned.
+    /// The machine stopped without being returned.
     Failed,
     /// A state that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// A machine in the machine list.
+/// Entry of the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
     /// Name of the machine.
     #[serde(rename = "nameId")]
     pub name: String,
-    /// Address on which its worker takes direct commands.
+    /// Address on which the machine's worker receives direct commands.
     pub endpoint: String,
     /// Machine type.
     #[serde(rename = "build")]
@@ -111,13 +111,13 @@
     /// Zone.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "borrowed")]
     pub spot: bool,
     /// State of the machine.
     #[serde(rename = "status")]
     pub state: MachineState,
-    /// Time since it was asked for, seconds.
+    /// Time since the machine was requested, seconds.
     #[serde(rename = "ageS")]
     pub age_s: f64,
 }
@@ -125,13 +125,13 @@
 /// One page of the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// Machines in ascending order of their names.
+    /// Machines in ascending order of name.
     #[serde(rename = "benches")]
     pub machines: Vec<Machine>,
-    /// Whether there are further pages.
+    /// Whether more pages follow.
     #[serde(rename = "hasNext")]
     pub has_more: bool,
 }
 
-/// Most machines on one page of the machine list.
+/// Maximum number of machines on one page of the machine list.
 pub const MAX_MACHINES_PER_PAGE: u32 = 500;
--- a/crates/tallygauge-protocol/src/state.rs
+++ b/crates/tallygauge-protocol/src/state.rs
@@ -1,13 +1,13 @@
-//! Messages of the consensus-backed key-value store ("state service"), which
-//! controllers call (HTTP with JSON bodies).
+//! Messages of the consensus-backed key-value store ("state service"), which controllers
+//! call (HTTP with JSON bodies).
 //!
-//! The JSON names are given by the store and are not this code's terms (`path`,
-//! `stamp`, `epoch`, ...). They are mapped to the field's terms here, once, by serde.
+//! The store defines the JSON names (`path`, `stamp`, `epoch`, ...), which differ from the
+//! terms of this code. Only this module maps between the two, with serde attributes.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key with its value: answer to a read, and a row of a listing.
+/// A key with its value: the response to a read, and an entry of a listing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValue {
     /// Key.
@@ -15,16 +15,16 @@
     pub key: String,
     /// Value.
     pub value: Value,
-    /// Version of the key: revision of its last change.
+    /// Version of the key: the store's revision at the key's last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// Answer to a read of a key that does not exist, and to a transaction that was
+/// Response to a read of a key that does not exist, and to a transaction that was
 /// committed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionResponse {
-    /// Revision of the store; it grows with every change.
+    /// Revision of the store; increases with every change.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
@@ -35,7 +35,7 @@
     /// Entries in key order.
     #[serde(rename = "rows")]
     pub entries: Vec<KeyValue>,
-    /// Whether there are further pages.
+    /// Whether more pages follow.
     #[serde(rename = "hasNext")]
     pub has_more: bool,
     /// Revision of the store at which the page was read.
@@ -43,13 +43,13 @@
     pub revision: u64,
 }
 
-/// Condition of a transaction (compare-and-swap): the key has this version.
+/// Condition of a transaction (compare-and-swap) on the version of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
     /// Key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Version that the key must have; 0: the key must not exist.
+    /// Version that the key must have; 0 means that the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -65,7 +65,8 @@
         key: String,
         /// Value.
         value: Value,
-        /// Id of the lease with which the key is removed.
+        /// Id of the lease that the key is attached to: the key is removed when the lease
+        /// ends.
         #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -77,21 +78,21 @@
     },
 }
 
-/// A transaction: its writes are made if all its conditions hold, or none of them.
+/// A transaction: if all conditions hold, all writes are applied; otherwise none is.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Transaction {
     /// Conditions that must hold.
     #[serde(rename = "guards")]
     pub conditions: Vec<Condition>,
-    /// Writes to make.
+    /// Writes to apply.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub writes: Vec<Write>,
 }
 
-/// Body of a 409: conditions of the transaction failed.
+/// Body of a 409 response: at least one condition of the transaction failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConflictResponse {
-    /// Keys whose condition failed.
+    /// Keys whose conditions failed.
     pub failed: Vec<String>,
 }
 
@@ -103,7 +104,7 @@
     pub ttl_ms: u64,
 }
 
-/// Answer to a request for a lease.
+/// Response to a request for a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseResponse {
     /// Id of the lease.
@@ -131,16 +132,16 @@
         /// Key.
         #[serde(rename = "remove")]
         key: String,
-        /// Revision of the removal.
+        /// Store's revision at the removal.
         #[serde(rename = "stamp")]
         version: u64,
     },
 }
 
-/// Answer of a watch.
+/// Response to a watch request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Revision from which the next watch goes on.
+    /// Revision from which the next watch request continues.
     #[serde(rename = "epoch")]
     pub revision: u64,
     /// Changes in the order in which they were made.
--- a/crates/tallygauge-protocol/src/users.rs
+++ b/crates/tallygauge-protocol/src/users.rs
@@ -1,25 +1,25 @@
-//! Messages of the users' interface: submissions of jobs and the answers to them
-//! (HTTP with JSON bodies), served by every controller.
+//! Messages of the user interface (HTTP with JSON bodies), which every controller serves:
+//! job submissions and the responses about jobs.
 //!
-//! The JSON names are part of the published interface and are not this code's
-//! terms (`pieces`, `owner`, `bundle`, ...). They are mapped to the field's terms
-//! here, once, by serde.
+//! The JSON names (`pieces`, `owner`, `bundle`, ...) are part of the published interface and
+//! differ from the terms of this code. Only this module maps between the two, with serde
+//! attributes.
 
 use serde::{Deserialize, Serialize};
 
-/// Time that a user waits for the answer to a request for a job's state, seconds.
+/// Time for which a user waits for the response to a poll of a job's state, seconds.
 pub const POLL_TIMEOUT_S: f64 = 2.0;
 
-/// Time that a task must run for its start to count as one, seconds.
+/// Minimum run time of an attempt for the task to count as started, seconds.
 pub const MIN_COUNTED_RUN_S: f64 = 30.0;
 
-/// Whether tasks run to completion or until the job is cancelled.
+/// Kind of a job: whether its tasks run to completion or until the job is cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Shape {
-    /// Independent tasks, each runs to completion.
+    /// Job array: independent tasks, each of which runs to completion.
     Array,
-    /// Replicas that run until the job is cancelled.
+    /// Service: replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
 }
@@ -39,72 +39,72 @@
     Production,
 }
 
-/// A submitted job: body of a submission.
+/// Specification of a job: the body of a submission.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Unique id chosen by the user, see [`is_valid_job_id`].
+    /// Unique id chosen by the user; see [`is_valid_job_id`].
     #[serde(rename = "nameId")]
     pub id: String,
-    /// Class of jobs, named by the objectives in the settings.
+    /// Class of the job; the objectives in the settings refer to classes by name.
     #[serde(rename = "workload")]
     pub class: String,
     /// Team whose quota applies.
     #[serde(rename = "owner")]
     pub team: String,
-    /// Job array or service.
+    /// Whether the job is an array or a service.
     pub shape: Shape,
     /// Priority.
     #[serde(rename = "urgency")]
     pub priority: Priority,
-    /// Number of tasks, numbered from 0.
+    /// Number of tasks; they are numbered from 0.
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// CPUs of one task.
+    /// CPUs per task.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// GPUs of one task.
+    /// GPUs per task.
     pub gpus: f64,
-    /// Memory of one task, GB.
+    /// Memory per task, GB.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
-    /// Image that a machine must have in its cache to run a task.
+    /// Image that must be in a machine's cache before a task runs there.
     #[serde(rename = "bundle")]
     pub image: String,
     /// Size of the image, GB.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
-    /// Allowed machine types; `None`: any.
+    /// Machine types on which tasks may run; `None` allows all.
     #[serde(rename = "builds", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<String>>,
-    /// The only allowed zone; `None`: any.
+    /// Zone in which tasks must run; `None` allows all.
     #[serde(rename = "site", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Whether all tasks must be in one zone.
+    /// Whether all tasks must be in the same zone.
     #[serde(rename = "oneZone")]
     pub one_zone: bool,
-    /// Whether a zone may have at most half of the tasks, rounded up.
+    /// Whether at most half of the tasks, rounded up, may be in the same zone.
     pub spread: bool,
     /// Whether tasks may run on spot instances.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time, seconds; 0 for services.
+    /// Run time of a task as estimated by the user, seconds; 0 for services.
     #[serde(rename = "expectedS")]
     pub expected_s: f64,
-    /// Run time between two checkpoints, seconds; 0: no checkpoints.
+    /// Run time between two checkpoints, seconds; 0 means that no checkpoints are written.
     #[serde(rename = "snapshotEveryS")]
     pub checkpoint_every_s: f64,
-    /// Time that a task needs to write a checkpoint when it is stopped, seconds.
+    /// Time that a task needs to write its checkpoint when it is stopped, seconds.
     #[serde(rename = "snapshotS")]
     pub checkpoint_s: f64,
-    /// Deadline, seconds from submission; `None`: no deadline.
+    /// Deadline, seconds after submission; `None` means no deadline.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
-/// Most tasks that one job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS_PER_JOB: u32 = 100_000;
 
-/// Whether a job id has the form `req-` and digits.
+/// Whether a job id consists of `req-` and 1 to 20 decimal digits.
 #[must_use]
 pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("req-").is_some_and(|digits| {
@@ -112,38 +112,38 @@
     })
 }
 
-/// Longest name of a class, a team or an image, bytes.
+/// Maximum length of the name of a class, a team or an image, bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// What is wrong with a submitted job. Displays as a sentence for the user that
-/// names the field as it is in the JSON.
+/// Why a submitted job is invalid. The displayed text is shown to the user, so it names the
+/// field as in the JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum JobSpecError {
-    /// The id has not the form that [`is_valid_job_id`] asks for.
+    /// The id does not have the form that [`is_valid_job_id`] checks for.
     #[error("nameId must be 'req-' followed by digits")]
     InvalidId,
-    /// No task, or more than [`MAX_TASKS_PER_JOB`].
+    /// The job has no tasks, or more than [`MAX_TASKS_PER_JOB`].
     #[error("pieces must be 1 to {MAX_TASKS_PER_JOB}")]
     InvalidTaskCount,
-    /// An amount or a time is below 0, or not finite.
+    /// An amount or a duration is negative or not finite.
     #[error("{field} must not be negative")]
     Negative {
-        /// Name of the field in the JSON.
+        /// Field name in the JSON.
         field: &'static str,
     },
-    /// A name is empty or too long.
+    /// A name is empty or longer than `MAX_NAME_BYTES`.
     #[error("{field} must have 1 to {MAX_NAME_BYTES} bytes")]
     InvalidNameLength {
-        /// Name of the field in the JSON.
+        /// Field name in the JSON.
         field: &'static str,
     },
 }
 
 impl JobSpec {
-    /// Checks the values that the types alone do not rule out.
+    /// Checks the constraints on values that the types do not enforce.
     ///
     /// # Errors
-    /// The first [`JobSpecError`] that applies.
+    /// Returns a [`JobSpecError`] for the first violated constraint.
     pub fn validate(&self) -> Result<(), JobSpecError> {
         if !is_valid_job_id(&self.id) {
             return Err(JobSpecError::InvalidId);
@@ -178,7 +178,7 @@
     }
 }
 
-/// State of a job as users see it.
+/// State of a job as shown to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStatus {
@@ -188,11 +188,11 @@
     Running,
     /// All tasks are done.
     Done,
-    /// Cancelled by its user.
+    /// Cancelled by the user.
     Cancelled,
 }
 
-/// Answer about a job. The counts are given by `GET /work/{id}` only.
+/// Response about a job. Only the response to `GET /work/{id}` has the counts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobResponse {
     /// Job id.
@@ -208,10 +208,10 @@
     pub running: Option<u32>,
 }
 
-/// Body of every answer that is not a success.
+/// Body of every response that is not a success.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// What is wrong, in words a user understands.
+    /// What is wrong, in terms that users understand.
     pub error: String,
 }
 
--- a/crates/tallygauge-protocol/src/workers.rs
+++ b/crates/tallygauge-protocol/src/workers.rs
@@ -1,28 +1,28 @@
-//! Messages between workers and controllers: heartbeats, which workers send, their
-//! responses with commands, and commands that the leader sends directly (HTTP with
-//! JSON bodies).
+//! Messages between workers and controllers (HTTP with JSON bodies): heartbeats from
+//! workers, the responses to them, which carry commands, and commands that the leader sends
+//! directly.
 //!
-//! The JSON names are given by the workers and are not this code's terms (`bench`,
-//! `shift`, `baton`, ...). They are mapped to the field's terms here, once, by serde.
+//! The workers define the JSON names (`bench`, `shift`, `baton`, ...), which differ from the
+//! terms of this code. Only this module maps between the two, with serde attributes.
 
 use serde::{Deserialize, Serialize};
 
-/// Time that a worker waits for the response to a heartbeat, seconds.
+/// Time for which a worker waits for the response to a heartbeat, seconds.
 pub const HEARTBEAT_RESPONSE_TIMEOUT_S: f64 = 4.0;
 
 /// State of a task on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Its image is being fetched.
+    /// The image of the task is being fetched.
     Fetching,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It was told to stop and writes its checkpoint.
+    /// The task received a stop command and is writing its checkpoint.
     Saving,
-    /// It has ended, see [`TaskStatus::cause`].
+    /// The task has ended; see [`TaskStatus::cause`].
     Ended,
-    /// A state that this version does not know: the task counts as being on the
+    /// A state that this version does not know. The task is treated as present on the
     /// machine.
     #[serde(other)]
     Unknown,
@@ -32,17 +32,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndCause {
-    /// It completed.
+    /// The task completed.
     Done,
-    /// It was stopped by a command.
+    /// A command stopped the task.
     Halted,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// The start was refused: not enough free resources.
+    /// The worker rejected the start: not enough free resources.
     NoRoom,
-    /// The start was refused: another attempt of the task is on the machine.
+    /// The worker rejected the start: another attempt of the task is on the machine.
     Busy,
-    /// The start was refused: no such job or task.
+    /// The worker rejected the start: the job or the task does not exist.
     NoSuch,
     /// A cause that this version does not know.
     #[serde(other)]
@@ -52,31 +52,31 @@
 /// Status of one task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// Job id, a slash, and the task's number.
+    /// Task name, `<job id>/<task number>`.
     #[serde(rename = "piece")]
     pub task: String,
-    /// Number of the attempt.
+    /// Attempt number.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// State of the task.
+    /// State of the task when the heartbeat was sent.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it ended, if it has.
+    /// Why the task ended, if it has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<EndCause>,
-    /// Whether it left a checkpoint when it ended.
+    /// Whether the task left a checkpoint when it ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "kept")]
     pub checkpointed: Option<bool>,
 }
 
-/// A worker's heartbeat with the status of its tasks.
+/// Heartbeat of a worker, with the status of its tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Machine name.
     #[serde(rename = "bench")]
     pub machine: String,
-    /// Address on which the worker takes direct commands.
+    /// Address on which the worker receives direct commands.
     pub endpoint: String,
     /// Machine type.
     #[serde(rename = "build")]
@@ -87,16 +87,17 @@
     /// Whether the machine is a spot instance.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// Agent incarnation; grows each time the worker's lease expires.
+    /// Agent incarnation; increases each time the worker's lease expires.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Sequence number; grows with every message of the incarnation.
+    /// Sequence number; increases with every message of the incarnation.
     #[serde(rename = "tick")]
     pub sequence: u64,
     /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Seconds until the cloud reclaims the spot instance, once that is announced.
+    /// Time until the cloud reclaims the spot instance, seconds; `None` unless the cloud has
+    /// announced it.
     #[serde(rename = "recallS", default, skip_serializing_if = "Option::is_none")]
     pub spot_reclaim_in_s: Option<f64>,
     /// Status of all tasks on the machine.
@@ -104,38 +105,38 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// One command to a worker.
+/// Command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Command {
     /// Start a task.
     Start {
-        /// Job id, a slash, and the task's number.
+        /// Task name, `<job id>/<task number>`.
         #[serde(rename = "piece")]
         task: String,
-        /// Number of the attempt.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
     },
     /// Stop a task.
     #[serde(rename = "kill")]
     Stop {
-        /// Job id, a slash, and the task's number.
+        /// Task name, `<job id>/<task number>`.
         #[serde(rename = "piece")]
         task: String,
-        /// Number of the attempt.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time that it has for its checkpoint, seconds.
+        /// Time that the task has to write its checkpoint, seconds.
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
-    /// Forget a task that has ended.
+    /// Forget an ended task, so that heartbeats no longer report it.
     Clear {
-        /// Job id, a slash, and the task's number.
+        /// Task name, `<job id>/<task number>`.
         #[serde(rename = "piece")]
         task: String,
-        /// Number of the attempt.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -147,29 +148,29 @@
     /// Fencing token of the leader.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Commands, executed in order.
+    /// Commands, in the order of execution.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Commands that the leader sends outside of a heartbeat's response.
+/// Commands that the leader sends directly, not in the response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
     /// Fencing token of the leader.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Agent incarnation that they are for.
+    /// Agent incarnation that the commands are for.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Commands, executed in order.
+    /// Commands, in the order of execution.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Body of a 421: the controller is not the leader.
+/// Body of a 421 response: the controller is not the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Name of the leader, if it is known.
+    /// Name of the leader, if known.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
